--- a/crates/tinbay-core/src/handover/course.rs
+++ b/crates/tinbay-core/src/handover/course.rs
@@ -1,29 +1,30 @@
-//! The course of one hand-over: what is done next after each answer, lost answer or refusal.
+//! Steps of one hand-over: what to do after each answer, lost answer or refusal.
 //!
-//! A run is in one place at a time: the source is stopped before any other server is asked to go on,
-//! and the last server that may have taken it up is the last one that is asked.
+//! A run is at one server at a time: the source is stopped before any other server is asked to
+//! resume, and no server is asked after one that may have resumed the run.
 
-/// What the source answered when it was asked to stop a run and copy it.
+/// Answer of the source to the request to stop a run and copy it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum MoveAnswer {
-    /// The copy is at the target.
+    /// The run's state has been copied to the target.
     Copied {
-        /// Names the copy at both ends.
+        /// Name of the copy at both servers.
         handle: String,
     },
-    /// The run is stopped, and there was no room or no way: the source keeps it.
+    /// The run is stopped but could not be copied, for lack of room or connection; the source keeps
+    /// it.
     Kept {
-        /// Names it.
+        /// Name of the stopped run.
         handle: String,
     },
-    /// The run goes on, or has ended.
+    /// The run continues, or has ended.
     NotStopped,
-    /// No answer came: the run may have stopped.
+    /// No answer arrived: the run may have stopped.
     Unknown,
 }
 
 impl MoveAnswer {
-    /// Name of the copy, if there is one.
+    /// Name by which the run can be resumed, if there is one.
     pub fn handle(&self) -> Option<&str> {
         match self {
             MoveAnswer::Copied { handle } | MoveAnswer::Kept { handle } => Some(handle),
@@ -32,45 +33,45 @@
     }
 }
 
-/// How a server took a run up.
+/// Answer of a server that was asked to resume a run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ResumeAnswer {
-    /// It goes on there.
+    /// The run continues there.
     Resumed,
-    /// It said that it did not run it, or took no connection.
+    /// The server refused the run or no connection.
     NotResumed,
-    /// It may go on there, and the answer is lost.
+    /// The run may continue there; the answer was lost.
     Unknown,
 }
 
-/// Where a stopped run goes on.
+/// Server at which a stopped run resumes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Place {
-    /// The server that was chosen to make the rest.
+    /// Server chosen to decode the rest.
     Target,
-    /// The server that began it.
+    /// Server that began the run.
     Source,
 }
 
-/// What is done next.
+/// Next step of the hand-over.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Step {
-    /// Ask a server to go on, by the name of the copy.
+    /// Ask a server to resume the run.
     Resume {
-        /// Which one.
+        /// Server to ask.
         at: Place,
         /// Name of the copy.
         handle: String,
     },
-    /// The source goes on as if nothing had been asked.
-    GoOn,
-    /// The run goes on at this place.
+    /// Keep reading from the source as if no hand-over had been requested.
+    Continue,
+    /// The hand-over is complete and the run continues at this server.
     Done(Place),
-    /// Nobody goes on with it: the caller's answer is cut.
+    /// The run cannot be resumed; the caller's answer is cut off.
     Lost,
 }
 
-/// What follows on the source's answer.
+/// The step after the source's answer.
 pub fn after_move(answer: MoveAnswer) -> Step {
     match answer {
         MoveAnswer::Copied { handle } => Step::Resume {
@@ -81,15 +82,16 @@
             at: Place::Source,
             handle,
         },
-        // Where the run has stopped all the same, its stream breaks off, and nothing names the copy.
-        MoveAnswer::NotStopped | MoveAnswer::Unknown => Step::GoOn,
+        // If the run has stopped after all, its stream breaks off, and there is no handle to resume
+        // it.
+        MoveAnswer::NotStopped | MoveAnswer::Unknown => Step::Continue,
     }
 }
 
-/// What follows on the answer of a server that was asked to go on.
+/// The step after the answer of a server that was asked to resume.
 ///
-/// A handle serves once: after an answer that was lost the run may go on where it was asked for, and
-/// nobody else may be asked.
+/// A handle serves once: after a lost answer the run may be continuing at the server that was
+/// asked, so no other one may be asked.
 pub fn after_resume(at: Place, handle: &str, answer: ResumeAnswer) -> Step {
     match (at, answer) {
         (_, ResumeAnswer::Resumed) => Step::Done(at),
--- a/crates/tinbay-core/src/handover/events.rs
+++ b/crates/tinbay-core/src/handover/events.rs
@@ -1,15 +1,15 @@
-//! The events of a stream as its bytes pass.
+//! Incremental scanner for the events of a server-sent event stream.
 //!
-//! Source: WHATWG, "HTML Living Standard", section "Server-sent events": an event ends with an empty
-//! line, and a line `id: ...` names it.
+//! Source: WHATWG, "HTML Living Standard", section "Server-sent events": an event ends with an
+//! empty line, and a line `id: ...` sets its id.
 
-/// Longest line that is looked at; what is longer is no line with an id.
-const MOST_LINE_BYTES: usize = 64;
+/// Bytes kept of each line; lines with an id are shorter.
+const MAX_LINE_BYTES: usize = 64;
 
-/// What the name of an event begins with.
+/// Prefix of a line with an event's id.
 const ID_FIELD: &str = "id:";
 
-/// Reads the events of a stream, however its bytes are cut.
+/// Tracks event boundaries and ids in a stream that arrives in arbitrary chunks.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct EventScanner {
     line: Vec<u8>,
@@ -20,7 +20,8 @@
 }
 
 impl EventScanner {
-    /// Takes the next bytes; how many of them belong to events that are whole by then.
+    /// Processes the next bytes; returns how many of them belong to events that are complete by
+    /// then.
     pub fn scan(&mut self, bytes: &[u8]) -> usize {
         let mut whole = 0;
         for (position, byte) in bytes.iter().enumerate() {
@@ -33,31 +34,31 @@
         whole
     }
 
-    /// Forgets an event that has begun: it comes again, from another server.
+    /// Discards an incomplete event, which another server sends again.
     pub fn drop_partial(&mut self) {
         self.line.clear();
         self.line_bytes = 0;
         self.id_in_event = None;
     }
 
-    /// Number of the last whole event that had one.
+    /// Id of the last complete event that had one.
     pub fn last_id(&self) -> Option<u64> {
         self.last_id
     }
 
-    /// Events that are whole.
+    /// Number of complete events.
     pub fn events(&self) -> u64 {
         self.events
     }
 
     fn extend_line(&mut self, byte: u8) {
         self.line_bytes += 1;
-        if self.line.len() < MOST_LINE_BYTES {
+        if self.line.len() < MAX_LINE_BYTES {
             self.line.push(byte);
         }
     }
 
-    /// Ends a line; whether that ends an event.
+    /// Ends a line; returns whether that completes an event.
     fn end_line(&mut self) -> bool {
         if self.line_bytes > 0 {
             self.id_in_event = read_id(&self.line).or(self.id_in_event);
--- a/crates/tinbay-core/src/handover/mod.rs
+++ b/crates/tinbay-core/src/handover/mod.rs
@@ -1,9 +1,9 @@
-//! Hand-over of running streams: one engine reads a prompt, another one makes the rest of the answer.
+//! Hand-over of running streams: one engine prefills a prompt, another one decodes the answer.
 //!
-//! An engine reads prompts in pieces, between the tokens of the requests that run there. Where such
-//! pieces are long against the pause that callers bear, streams at engines that read much are late by
-//! a pause, however early they began. Then some engines of a service read for the others, and a run
-//! moves to another engine after its first event.
+//! An engine prefills prompts in chunks, interleaved with the decoding of its running requests.
+//! Where such chunks are long compared with the pause that callers tolerate, streams at engines
+//! with much prefill work are late by a pause, however early they began. Then some engines of a
+//! service prefill for the others, and a run moves to another engine after its first event.
 //!
 //! Like the rest of the core this does no I/O and reads no clock.
 
--- a/crates/tinbay-core/src/handover/need.rs
+++ b/crates/tinbay-core/src/handover/need.rs
@@ -1,28 +1,28 @@
-//! Whether streams of a service need engines that read for others.
+//! Detects whether a service needs engines that prefill for others.
 //!
-//! Load it answers: prompts that are read beside running streams hold these up for longer than their
-//! callers bear. What the pieces of a prompt take is not told by anybody; that streams were late by a
-//! pause is seen. A box judges by its own streams: two boxes that differ do no harm, as a server that
-//! one of them takes for a reader serves whatever another one sends.
+//! Prompts that are prefilled beside running streams may delay these for longer than their callers
+//! tolerate. No server reports how long its prefill chunks take; streams that were late by a pause
+//! show it. A box judges by its own streams. Two boxes that disagree do no harm, as a server that
+//! one of them uses for prefill serves whatever another one sends.
 
 use crate::serving::fading::Fading;
 use crate::units::Millis;
 
-/// Half-life of what was seen of streams.
-const SEEN_HALF_LIFE_MS: f64 = 2_000.0;
+/// Half-life of the stream counts.
+const COUNT_HALF_LIFE_MS: f64 = 2_000.0;
 
-/// Streams that must have been seen lately: fewer say little.
-const LEAST_SEEN: f64 = 8.0;
+/// Least decayed number of streams; fewer are not significant.
+const MIN_STREAMS: f64 = 8.0;
 
-/// Part of the streams that are late by a pause above which others are to read: below that, servers
-/// that fail or turn slow explain it, and callers have more of engines that serve alike.
-const MOST_LATE: f64 = 0.2;
+/// Fraction of streams late by a pause above which hand-over is needed: a lower one is explained by
+/// failing or slow servers, and callers are better served if all engines do the same work.
+const MAX_LATE_FRACTION: f64 = 0.2;
 
-/// Time for which others read after it was last seen to be needed. While they do, little is late, so
-/// that need shows again only when they stop.
-const NEEDED_FOR_MS: Millis = 60_000;
+/// How long hand-over stays on after it was last needed. While it is on, few streams are late, so
+/// the need shows again only when it stops.
+const HOLD_MS: Millis = 60_000;
 
-/// What was seen of the streams of a service.
+/// Decayed counts of streams of a service, and how long hand-over stays on.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct ReadingNeed {
     seen: Fading,
@@ -31,20 +31,20 @@
 }
 
 impl ReadingNeed {
-    /// Notes a stream that ended where it began, and whether a pause made it late.
+    /// Records a stream that was not handed over, and whether a pause made it late.
     pub fn note_stream(&mut self, is_late_by_pause: bool, now_ms: Millis) {
-        self.seen.add(1.0, SEEN_HALF_LIFE_MS, now_ms);
+        self.seen.add(1.0, COUNT_HALF_LIFE_MS, now_ms);
         if is_late_by_pause {
-            self.late.add(1.0, SEEN_HALF_LIFE_MS, now_ms);
+            self.late.add(1.0, COUNT_HALF_LIFE_MS, now_ms);
         }
-        let seen = self.seen.at(SEEN_HALF_LIFE_MS, now_ms);
-        let late = self.late.at(SEEN_HALF_LIFE_MS, now_ms);
-        if seen >= LEAST_SEEN && late > MOST_LATE * seen {
-            self.needed_until_ms = now_ms + NEEDED_FOR_MS;
+        let seen = self.seen.at(COUNT_HALF_LIFE_MS, now_ms);
+        let late = self.late.at(COUNT_HALF_LIFE_MS, now_ms);
+        if seen >= MIN_STREAMS && late > MAX_LATE_FRACTION * seen {
+            self.needed_until_ms = now_ms + HOLD_MS;
         }
     }
 
-    /// Whether some engines should read for the others.
+    /// Whether some engines should prefill for the others.
     pub fn is_needed(&self, now_ms: Millis) -> bool {
         now_ms < self.needed_until_ms
     }
--- a/crates/tinbay-core/src/handover/reading_room.rs
+++ b/crates/tinbay-core/src/handover/reading_room.rs
@@ -1,15 +1,15 @@
-//! Whether a prompt may be read beside running streams.
+//! Decides whether a prompt may be prefilled beside running streams.
 //!
-//! Load it answers: bursts of prompts at engines whose streams must not stand still for longer than
-//! their callers bear, some of which are slow for a moment.
+//! Bursts of prompts must not delay the streams of an engine for longer than their callers
+//! tolerate, also while the engine is temporarily slow.
 
 use crate::units::Millis;
 
-/// Part of the pause that callers bear which the prompts beside a stream may take: an engine that is
-/// two and a half times slower for a moment still makes an event in time.
-const PART_OF_PAUSE: f64 = 0.25;
+/// Fraction of the tolerated pause that prefill beside a stream may take: an engine that is
+/// temporarily two and a half times slower still produces an event in time.
+const MAX_PAUSE_FRACTION: f64 = 0.25;
 
-/// Whether an engine may read so much in a row beside its streams.
+/// Whether an engine may prefill for this long without interruption beside its streams.
 pub fn reads_beside(reading_ms: f64, pause_ms: Millis) -> bool {
-    reading_ms <= PART_OF_PAUSE * pause_ms as f64
+    reading_ms <= MAX_PAUSE_FRACTION * pause_ms as f64
 }
--- a/crates/tinbay-core/src/handover/roles.rs
+++ b/crates/tinbay-core/src/handover/roles.rs
@@ -1,57 +1,57 @@
-//! What each engine of a service does for it, where some read for others.
+//! Assigns each engine of a service a role, where some prefill for others.
 //!
-//! All boxes draw the same ones from what they know alike, the servers and their availability zones, so
-//! that nobody decides for others and nothing is told. A server that comes or goes moves the border by
-//! one server of its zone.
+//! All boxes assign the same roles from what they all know, the servers and their availability
+//! zones, so that no coordination is needed. When a server joins or leaves, at most one other
+//! server of its zone changes its role.
 
 use std::collections::BTreeMap;
 
 use crate::rendezvous;
 
-/// Part of a zone's engines that read for the others. Too few are worse than none, as all prompts wait
-/// for them; more leave too little room for running streams.
-const READERS_PART: f64 = 0.45;
+/// Fraction of a zone's engines that prefill for the others. With too few of them all prompts wait,
+/// which is worse than no hand-over; with more of them too little room is left for decoding.
+const PREFILL_FRACTION: f64 = 0.45;
 
-/// Least engines of a zone of which some read for others.
-const LEAST_ENGINES: usize = 3;
+/// Least number of engines in a zone with separate roles.
+const MIN_ENGINES: usize = 3;
 
-/// Part of all places for adapters that the adapters of a service may take where its engines are parted:
-/// each has to be held at two engines. Where places are short, what is loaded twice costs more than
-/// streams gain.
-const MOST_PLACES_PART: f64 = 0.5;
+/// Largest fraction of all adapter slots that the adapters of a service may take where roles are
+/// separate: each adapter has to be held at two engines. Where slots are short, loading twice costs
+/// more than streams gain.
+const MAX_SLOTS_FRACTION: f64 = 0.5;
 
-/// Whether adapters have places enough to be held at two engines each.
+/// Whether there are enough adapter slots to hold each adapter at two engines.
 pub fn has_places_for_two(adapters: usize, engines: usize, places_an_engine: usize) -> bool {
     let places = engines.saturating_mul(places_an_engine);
-    adapters as f64 <= MOST_PLACES_PART * places as f64
+    adapters as f64 <= MAX_SLOTS_FRACTION * places as f64
 }
 
-/// Name by which roles are drawn.
-const DRAW: &str = "readers";
+/// Key of the rendezvous hash that ranks the engines.
+const RANKING_KEY: &str = "readers";
 
-/// What an engine does for its service.
+/// Role of an engine in its service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Role {
-    /// Reads prompts; their runs move on.
+    /// Prefills prompts, whose runs then move to another engine.
     Reader,
-    /// Goes on with runs that readers began.
+    /// Decodes runs that a prefill engine began.
     Home,
 }
 
-/// An engine.
+/// An engine to which a role is assigned.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Engine<'a> {
-    /// Where it listens, as text.
+    /// Address at which it listens, as text.
     pub address: &'a str,
     /// Its availability zone.
     pub zone: &'a str,
 }
 
-/// The role of each engine, in the order in which they are given.
+/// Assigns a role to each engine, in the order in which they are given.
 pub fn draw_roles(engines: &[Engine<'_>]) -> Vec<Role> {
     let mut by_zone: BTreeMap<&str, Vec<(u64, usize)>> = BTreeMap::new();
     for (position, engine) in engines.iter().enumerate() {
-        let score = rendezvous::score(DRAW, engine.address);
+        let score = rendezvous::score(RANKING_KEY, engine.address);
         let zone = by_zone.entry(engine.zone).or_default();
         zone.push((score, position));
     }
@@ -65,10 +65,10 @@
     roles
 }
 
-/// The role of the engine of that rank among those of its zone.
+/// The role of the engine of this rank among the `engines` of its zone.
 fn role_of(rank: usize, engines: usize) -> Role {
-    let readers = (engines as f64 * READERS_PART).round() as usize;
-    if engines >= LEAST_ENGINES && rank < readers {
+    let readers = (engines as f64 * PREFILL_FRACTION).round() as usize;
+    if engines >= MIN_ENGINES && rank < readers {
         Role::Reader
     } else {
         Role::Home
--- a/crates/tinbay-core/tests/handover_test.rs
+++ b/crates/tinbay-core/tests/handover_test.rs
@@ -225,7 +225,7 @@
     for at in [Place::Target, Place::Source] {
         assert_eq!(after_resume(at, "h", ResumeAnswer::Unknown), Step::Lost);
     }
-    assert_eq!(after_move(MoveAnswer::Unknown), Step::GoOn);
+    assert_eq!(after_move(MoveAnswer::Unknown), Step::Continue);
 }
 
 #[test]
