--- a/crates/tinbay-core/src/pace/answer_times.rs
+++ b/crates/tinbay-core/src/pace/answer_times.rs
@@ -1,18 +1,18 @@
-//! Answer times of a service over a fading window.
+//! Response times of a service over a sliding window of two halves.
 
 use crate::units::Millis;
 
-/// Length of each half of the window: at a few answers a second some hundred are in it.
+/// Length of each half of the window; it holds some hundred answers at a few answers per second.
 const HALF_WINDOW_MS: Millis = 15_000;
 
 /// Ratio between the bounds of neighbouring buckets.
 const BUCKET_RATIO: f64 = 1.1;
 
-/// Buckets; the last one begins beyond a minute.
+/// Number of buckets; the last one begins beyond a minute.
 const BUCKETS: usize = 120;
 
-/// Answers before anything is told of them.
-pub const LEAST_ANSWERS: u32 = 20;
+/// Least number of answers for a quantile.
+pub const MIN_ANSWERS: u32 = 20;
 
 #[derive(Debug, Clone, PartialEq, Eq)]
 struct Half {
@@ -29,7 +29,8 @@
     }
 }
 
-/// Answer times of a service, the newest half of the window and the one before.
+/// Histogram of the response times of a service, in the newest half of the window and the one
+/// before.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct AnswerTimes {
     newest: Half,
@@ -38,7 +39,8 @@
 }
 
 impl AnswerTimes {
-    /// Notes how long an answer took, or how long one had taken that was not awaited any more.
+    /// Records the response time of an answer, or the time after which an answer was no longer
+    /// awaited.
     pub fn note(&mut self, took_ms: f64, now_ms: Millis) {
         if now_ms >= self.began_ms + 2 * HALF_WINDOW_MS {
             *self = Self::default();
@@ -52,10 +54,10 @@
         self.newest.sum += 1;
     }
 
-    /// Time within which this part of the answers came; none while too few are known.
+    /// Time within which the fraction `part` of the answers arrived; none while too few are known.
     pub fn quantile_ms(&self, part: f64) -> Option<f64> {
         let sum = self.newest.sum + self.before.sum;
-        if sum < LEAST_ANSWERS {
+        if sum < MIN_ANSWERS {
             return None;
         }
         let wanted = part * f64::from(sum);
--- a/crates/tinbay-core/src/pace/mod.rs
+++ b/crates/tinbay-core/src/pace/mod.rs
@@ -1,7 +1,7 @@
-//! How fast servers are: answer times of a service, and one server's speed against them.
+//! Response times of a service, and the speed of each server compared with them.
 //!
-//! Load it answers: a few servers of a service with short work, each slow for spells of some
-//! hundred milliseconds, and answers that must come within a few times the work.
+//! A few servers of a service with short requests may each be slow for some hundred milliseconds,
+//! while answers must arrive within a few times the processing time.
 
 pub mod answer_times;
 pub mod slowness;
--- a/crates/tinbay-core/src/pace/slowness.rs
+++ b/crates/tinbay-core/src/pace/slowness.rs
@@ -1,48 +1,49 @@
-//! One server's speed against what its service usually does, fading within a second.
+//! Slowness of one server compared with its service, decaying within a second.
 
 use crate::serving::fading::faded;
 use crate::units::Millis;
 
-/// Half-life of what was seen: little is left of it after a second, as a server that is passed over
-/// shows nothing new.
+/// Half-life of the samples: little is left of them after a second, as a server that is avoided
+/// gives no new ones.
 const HALF_LIFE_MS: f64 = 250.0;
 
-/// Weight of the belief that a server is like the others, in answers.
-const ALIKE_WEIGHT: f64 = 0.5;
+/// Weight of the prior that a server is as fast as the others, in answers.
+const PRIOR_WEIGHT: f64 = 0.5;
 
-/// Slowest and fastest that one answer makes a server look.
-const BELIEVABLE: std::ops::RangeInclusive<f64> = 0.25..=8.0;
+/// Range to which the slowness of a single answer is clamped.
+const PLAUSIBLE_RATIOS: std::ops::RangeInclusive<f64> = 0.25..=8.0;
 
-/// Slowness of a server that says it is slow after its start.
+/// Slowness assumed for a server that announces a slow start.
 pub const SLOW_START: f64 = 2.0;
 
-/// Longest slowness after a start that is believed.
+/// Longest announced slow start that is believed.
 pub const MOST_SLOW_START_MS: Millis = 60_000;
 
-/// How one server's answers stood to the usual time, newer ones counting more.
+/// Weighted average of a server's response times relative to the usual time, with newer answers
+/// counting more.
 #[derive(Debug, Default, Clone, Copy, PartialEq)]
 pub struct Slowness {
-    /// Sum of the logarithms, by weight.
+    /// Weighted sum of the logarithms of the ratios.
     sum: f64,
     weight: f64,
     noted_ms: Millis,
 }
 
 impl Slowness {
-    /// Notes an answer that was expected to take so long and took so long.
+    /// Records the expected and the actual response time of an answer.
     pub fn note(&mut self, expected_ms: f64, took_ms: f64, now_ms: Millis) {
-        let (fastest, slowest) = BELIEVABLE.into_inner();
+        let (fastest, slowest) = PLAUSIBLE_RATIOS.into_inner();
         let factor = (took_ms.max(1.0) / expected_ms.max(1.0)).clamp(fastest, slowest);
         self.sum = self.left(self.sum, now_ms) + factor.ln();
         self.weight = self.left(self.weight, now_ms) + 1.0;
         self.noted_ms = now_ms;
     }
 
-    /// Factor over the usual time; 1 where nothing was seen lately.
+    /// Ratio to the usual response time; 1 without recent answers.
     pub fn factor(&self, now_ms: Millis) -> f64 {
         let sum = self.left(self.sum, now_ms);
         let weight = self.left(self.weight, now_ms);
-        (sum / (weight + ALIKE_WEIGHT)).exp()
+        (sum / (weight + PRIOR_WEIGHT)).exp()
     }
 
     fn left(&self, amount: f64, now_ms: Millis) -> f64 {
@@ -50,9 +51,9 @@
     }
 }
 
-/// How busy a server counts that does everything by this factor slower: what is there before a
-/// request takes longer, and so does the request's own work. All are parts of the objective or of
-/// the server's places; a server that is like the others counts as busy as it is.
+/// Effective load of a server that is slower by the factor `slowness`: the load ahead of a request
+/// takes longer, and so does the request itself. `load` and `own_part` are fractions of the
+/// objective or of the server's slots; with a slowness of 1 the load is unchanged.
 pub fn slowed_load(load: f64, own_part: f64, slowness: f64) -> f64 {
     load + (slowness - 1.0) * (load + own_part)
 }
--- a/crates/tinbay-core/tests/pace_test.rs
+++ b/crates/tinbay-core/tests/pace_test.rs
@@ -2,7 +2,7 @@
 
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
-use tinbay_core::pace::answer_times::{AnswerTimes, LEAST_ANSWERS};
+use tinbay_core::pace::answer_times::{AnswerTimes, MIN_ANSWERS};
 use tinbay_core::pace::slowness::{Slowness, slowed_load};
 use tinbay_core::units::Millis;
 
@@ -27,7 +27,7 @@
 
 #[test]
 fn quantile_of_few_answers_is_unknown() {
-    let times = times_of((1..LEAST_ANSWERS).map(f64::from));
+    let times = times_of((1..MIN_ANSWERS).map(f64::from));
     assert_eq!(times.quantile_ms(0.5), None);
 }
 
