--- a/crates/tinbay-core/src/serving/contents/fetching.rs
+++ b/crates/tinbay-core/src/serving/contents/fetching.rs
@@ -1,53 +1,54 @@
-//! How many adapters a server may fetch at once.
+//! Limits how many adapters a server fetches at once.
 //!
-//! The weight store brings adapters at full speed only while few are on their way over all
-//! servers; beyond that each one takes longer in proportion, and the more are begun the later
-//! all of them come. Each holder sees only its own loads: where they take longer than they did
-//! at best, it begins fewer (additive increase, multiplicative decrease).
+//! The weight store delivers adapters at full speed only while few loads are in progress over all
+//! servers; beyond that each load takes proportionally longer, so starting more delays all of them.
+//! Each holder sees only its own loads: where they take longer than the best time seen, it begins
+//! fewer (additive increase, multiplicative decrease).
 
-/// Most that a server takes at once.
-const MOST_AT_ONCE: f64 = 4.0;
+/// Upper bound of the window.
+const MAX_WINDOW: f64 = 4.0;
 
-/// Least that a server takes at once.
-const LEAST_AT_ONCE: f64 = 1.0;
+/// Lower bound of the window.
+const MIN_WINDOW: f64 = 1.0;
 
-/// Factor over the best time at which the store counts as busy.
+/// Multiple of the best load time from which the store counts as busy.
 const BUSY_FACTOR: f64 = 1.5;
 
-/// Part of the window that stays after a slow load.
+/// Factor by which a slow load shrinks the window.
 const DECREASE: f64 = 0.7;
 
-/// What a load in good time adds to the window.
+/// Amount by which a fast load widens the window.
 const INCREASE: f64 = 0.25;
 
-/// Window below which nothing is fetched that no request waits for.
-const LEAST_FOR_COPIES: f64 = 2.0;
+/// Window below which no additional copies are fetched.
+const MIN_WINDOW_FOR_COPIES: f64 = 2.0;
 
-/// Factor by which the best time is forgotten with each load, as it may have been luck.
-const FORGETTING: f64 = 1.005;
+/// Factor by which the best time grows with each load, so that a single fast load does not set it
+/// forever.
+const BEST_TIME_GROWTH: f64 = 1.005;
 
-/// How long a load took, as far as that was seen: it was still on its way after the least time,
-/// and done after the most.
+/// Bounds on the duration of a load: it was still in progress after `least_ms` and complete after
+/// `most_ms`.
 ///
-/// Whether a load is done is seen only by the answer to an order. Taken as the time of the load,
-/// that of a late answer had servers that lose orders load one adapter at a time, 990 of 1,094
-/// looks by the log of orders, and tell their callers waits of 8.8 s in the median.
+/// The state of a load is only seen in the answer to an order. With the arrival of a late answer
+/// taken as the end of the load, servers that lose orders were limited to one load at a time (in
+/// 990 of 1,094 polls), and callers were told to wait 8.8 s in the median.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct LoadTime {
-    /// Longest time after which it was seen not to be done.
+    /// Latest time at which the load was seen to be in progress.
     pub least_ms: f64,
-    /// Time after which it was seen to be done.
+    /// Time at which it was seen to be complete.
     pub most_ms: f64,
 }
 
 impl LoadTime {
-    /// The time within the bounds that is nearest to the one expected.
+    /// The duration within the bounds that is closest to the expected one.
     pub fn nearest_to(&self, expected_ms: f64) -> f64 {
         expected_ms.max(self.least_ms).min(self.most_ms)
     }
 }
 
-/// How many adapters a server may fetch at once.
+/// Number of adapters that a server may fetch at once, adapted to the speed of the weight store.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct FetchWindow {
     window: f64,
@@ -55,32 +56,32 @@
 }
 
 impl FetchWindow {
-    /// A window for loads that are expected to take so long.
+    /// Creates a window for loads that are expected to take `expected_ms`.
     pub fn new(expected_ms: f64) -> Self {
         Self {
-            window: MOST_AT_ONCE,
+            window: MAX_WINDOW,
             best_ms: expected_ms,
         }
     }
 
-    /// Notes how long a load from the weight store took.
+    /// Records the duration of a load from the weight store.
     pub fn note(&mut self, took: LoadTime) {
-        self.best_ms = (self.best_ms * FORGETTING).min(took.most_ms.max(1.0));
+        self.best_ms = (self.best_ms * BEST_TIME_GROWTH).min(took.most_ms.max(1.0));
         let busy_ms = self.best_ms * BUSY_FACTOR;
         if took.least_ms > busy_ms {
-            self.window = (self.window * DECREASE).max(LEAST_AT_ONCE);
+            self.window = (self.window * DECREASE).max(MIN_WINDOW);
         } else if took.most_ms <= busy_ms {
-            self.window = (self.window + INCREASE).min(MOST_AT_ONCE);
+            self.window = (self.window + INCREASE).min(MAX_WINDOW);
         }
     }
 
-    /// Loads that may be on their way.
+    /// Number of loads that may be in progress.
     pub fn at_once(&self) -> usize {
         self.window as usize
     }
 
-    /// Whether the store has time for what no request waits for.
-    pub fn takes_copies(&self) -> bool {
-        self.window >= LEAST_FOR_COPIES
+    /// Whether the store has capacity for copies, for which no request waits.
+    pub fn allows_copies(&self) -> bool {
+        self.window >= MIN_WINDOW_FOR_COPIES
     }
 }
--- a/crates/tinbay-core/src/serving/contents/held.rs
+++ b/crates/tinbay-core/src/serving/contents/held.rs
@@ -1,4 +1,4 @@
-//! An adapter that takes a place at a server.
+//! An adapter that occupies a slot of a server.
 
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -7,60 +7,60 @@
 use crate::serving::servers::AdapterName;
 use crate::units::Millis;
 
-/// Short name of an adapter in memory.
+/// Hash that identifies an adapter in memory.
 pub type AdapterKey = u64;
 
-/// An adapter used more lately than this is not taken out: a request for it may be on its way.
-const KEEP_USED_MS: Millis = 150;
+/// Least idle time before an adapter may be evicted: a request for it may be in flight.
+const EVICTION_IDLE_MS: Millis = 150;
 
-/// Half-life of an adapter's uses; the loads of some seconds tell what is asked for next.
+/// Half-life of an adapter's use count: the loads of some seconds predict the demand.
 const USE_HALF_LIFE_MS: f64 = 8_000.0;
 
-/// The key of an adapter.
+/// Returns the key of an adapter named `model/name`.
 pub fn adapter_key(adapter: &str) -> AdapterKey {
     xxh3_64(adapter.as_bytes())
 }
 
-/// Whether an adapter can serve.
+/// State of an adapter in its slot.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HeldState {
-    /// It is on its way.
+    /// Being loaded.
     Loading,
-    /// It serves.
+    /// Loaded and able to serve.
     Ready,
 }
 
-/// How a server holds an adapter.
+/// Whether a server holds the wanted version of an adapter.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Holding {
-    /// Not at all.
+    /// Not held.
     None,
-    /// In an older version.
+    /// Held in an older version.
     Stale,
-    /// On its way, or there.
+    /// Loaded or being loaded.
     Current,
 }
 
-/// An adapter that takes a place.
+/// An adapter that occupies a slot.
 #[derive(Debug, Clone)]
 pub struct Held {
-    /// The adapter as `model/name`.
+    /// Name of the adapter, as `model/name`.
     pub adapter: AdapterName,
-    /// Its version, where it is known.
+    /// Version, where it is known.
     pub version: Option<u64>,
-    /// Whether it can serve.
+    /// Whether it is loaded.
     pub state: HeldState,
     pub(super) uses: f64,
     pub(super) used_ms: Millis,
     pub(super) ordered_ms: Millis,
     pub(super) check_ms: Millis,
-    /// When its load was last seen not to be done.
+    /// When its load was last seen to be in progress.
     pub(super) seen_loading_ms: Millis,
     pub(super) is_fetch: bool,
 }
 
 impl Held {
-    /// An adapter that is there.
+    /// An adapter that is loaded.
     pub(super) fn ready(adapter: AdapterName, version: Option<u64>, now_ms: Millis) -> Self {
         Self {
             adapter,
@@ -75,13 +75,13 @@
         }
     }
 
-    /// Whether it serves and nothing was sent to it for a while.
+    /// Whether it is loaded and has been unused for long enough to be evicted.
     pub(super) fn is_idle(&self, now_ms: Millis) -> bool {
         let idle_ms = now_ms.saturating_sub(self.used_ms);
-        self.state == HeldState::Ready && idle_ms >= KEEP_USED_MS
+        self.state == HeldState::Ready && idle_ms >= EVICTION_IDLE_MS
     }
 
-    /// How long its load took that is seen to be done now.
+    /// Bounds on the duration of its load, which was seen to be complete at `now_ms`.
     pub(super) fn load_time(&self, now_ms: Millis) -> LoadTime {
         let since_ordered_ms = |time_ms: Millis| time_ms.saturating_sub(self.ordered_ms) as f64;
         LoadTime {
--- a/crates/tinbay-core/src/serving/contents/mod.rs
+++ b/crates/tinbay-core/src/serving/contents/mod.rs
@@ -1,99 +1,101 @@
-//! What one server holds, as its holder knows it, and what to order next.
+//! Tracks the contents of one server, as its holder knows them, and decides which order to send
+//! next.
 //!
-//! Every order names how many orders the server must have taken before. So an order that
-//! is carried out late finds the count moved on, and the holder never acts on contents
-//! that are not as it believes.
+//! Every order names how many orders the server must have accepted before. So a delayed order finds
+//! the count changed and is rejected, and the holder never acts on contents that differ from what
+//! it believes.
 
-mod doubts;
 mod fetching;
 mod held;
 mod models;
+mod unconfirmed;
 
 use std::collections::{BTreeMap, HashMap};
 
-use doubts::Doubts;
 use fetching::FetchWindow;
 pub use held::{AdapterKey, Held, HeldState, Holding, adapter_key};
 use models::BaseModels;
+use unconfirmed::UnconfirmedOrders;
 
 use super::configuration::EngineSpec;
 use super::servers::{AdapterName, Fingerprint, HeldAdapter, Report};
 use super::wants::Want;
 use crate::units::Millis;
 
-/// A report is some hundred milliseconds old; after this pause it shows the last order.
-const REPORT_LAG_MS: Millis = 600;
+/// Delay after which a report includes the last order; reports are some hundred milliseconds old.
+const REPORT_DELAY_MS: Millis = 600;
 
-/// How long an unload is taken to wait for its runs: they end within some seconds.
-const UNLOAD_LIFE_MS: Millis = 5_000;
+/// How long an unload is assumed to wait for running requests, which end within some seconds.
+const UNLOAD_TIMEOUT_MS: Millis = 5_000;
 
-/// Pause between reports that are asked for to see loads and unloads done; they show what was some
+/// Interval between reports requested to follow loads and unloads; a report shows the state of some
 /// hundred milliseconds before.
-const LOOK_PAUSE_MS: Millis = 50;
+const POLL_INTERVAL_MS: Millis = 50;
 
-/// Pause between reports of a server that has an order under way: unloads wait for runs, of some
-/// hundred milliseconds mostly.
-const BUSY_PAUSE_MS: Millis = 200;
+/// Interval between reports of a busy server: unloads wait for running requests, mostly of some
+/// hundred milliseconds.
+const BUSY_POLL_INTERVAL_MS: Millis = 200;
 
-/// Time to bring an adapter from the weight store, until it has been measured.
-const FIRST_FETCH_MS: f64 = 250.0;
+/// Assumed time to fetch an adapter from the weight store, until it is measured.
+const INITIAL_FETCH_MS: f64 = 250.0;
 
-/// Time to bring back an adapter the server had lately, until it has been measured.
-const FIRST_RELOAD_MS: f64 = 25.0;
+/// Assumed time to reload an adapter that the server held recently, until it is measured.
+const INITIAL_RELOAD_MS: f64 = 25.0;
 
-/// Weight of a new measurement of these times.
+/// Weight of a new measurement in the averages of these times.
 const TIME_WEIGHT: f64 = 0.2;
 
-/// Shortest pause between two looks at a load.
-const CHECK_PAUSE_MS: Millis = 8;
+/// Shortest interval between polls of a load.
+const CHECK_INTERVAL_MS: Millis = 8;
 
-/// Part of a load's time so far after which it is looked at again.
-const CHECK_PART: u64 = 12;
+/// Divisor of a load's time so far that gives the interval to its next poll.
+const CHECK_DIVISOR: u64 = 12;
 
-/// An adapter used more lately than this is not replaced by its newer version: requests for
-/// the older one may be on their way, and the server would hold the order until they are done.
+/// Least idle time before an adapter is replaced by its newer version: requests for the older one
+/// may be in flight, and the server would delay the order until they are done.
 const REPLACE_IDLE_MS: Millis = 500;
 
-/// Adapters that load fast, as a multiple of the places: what a server keeps beside them.
-const LATELY_FACTOR: usize = 4;
+/// Number of recently held adapters that are remembered as fast to load, as a multiple of the
+/// slots; servers cache about as many.
+const CACHED_PER_SLOT: usize = 4;
 
-/// What one look for the next order goes by.
+/// Inputs of the choice of the next order.
 pub struct Look<'a> {
-    /// The version of an adapter that the operators named last.
+    /// Returns the newest version of an adapter that the operators published.
     pub named: &'a dyn Fn(&str) -> Option<u64>,
-    /// Whether requests for an adapter run at the server.
+    /// Returns whether requests for an adapter are running at the server.
     pub is_in_use: &'a dyn Fn(AdapterKey) -> bool,
-    /// The time.
+    /// Current time.
     pub now_ms: Millis,
 }
 
-/// What to ask of the server next.
+/// The next message to the server.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Action {
-    /// Ask for its report, and take what it holds from that.
+    /// Request a report and replace the known contents by it.
     Learn,
-    /// Ask for its report, to see which loads and unloads are done.
+    /// Request a report to see which loads and unloads are complete.
     Look,
-    /// Order a load, or look whether it is done by ordering it again.
+    /// Order a load, or poll it by sending the same order again.
     Load {
-        /// The adapter.
+        /// Name of the adapter, as `model/name`, or of a base model.
         adapter: AdapterName,
-        /// The version; the newest where none is given.
+        /// Version to load; the newest one where none is given.
         version: Option<u64>,
-        /// Orders the server must have taken.
+        /// Number of orders that the server must have accepted before.
         expected_count: u64,
     },
-    /// Order an adapter out.
+    /// Order the adapter to be unloaded.
     Unload {
-        /// The adapter.
+        /// Name of the adapter, as `model/name`.
         adapter: AdapterName,
-        /// Orders the server must have taken.
+        /// Number of orders that the server must have accepted before.
         expected_count: u64,
     },
 }
 
 impl Action {
-    /// Orders the server must have taken before, where it is an order.
+    /// Number of orders that the server must have accepted before; none for report requests.
     pub fn expected_count(&self) -> Option<u64> {
         match self {
             Action::Learn | Action::Look => None,
@@ -104,88 +106,88 @@
     }
 }
 
-/// How the server took an order.
+/// The server's answer to an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OrderAnswer {
-    /// It is being done.
+    /// The order was accepted and is in progress.
     Accepted,
-    /// It is done already.
+    /// The order is complete.
     Done,
-    /// Something else is under way, or the count differs.
+    /// Another order is in progress, or the order count differs.
     Conflict,
-    /// It was refused for another reason.
+    /// The order was refused for another reason.
     Refused,
-    /// No answer came; it may be done now or later.
+    /// No answer arrived; the order may have been carried out or may still be.
     NoAnswer,
 }
 
-/// What the weight store allows the holder now; it bounds the loads of base models alone.
+/// The holder's allowance for loads from the weight store, which bounds only loads of base models.
 pub trait ModelAllowance {
-    /// Takes one load, if one is left.
+    /// Takes one load from the allowance, if one is left.
     fn take(&mut self) -> bool;
 }
 
-/// What one server holds, as its holder knows it.
+/// The contents of one server, as its holder knows them.
 #[derive(Debug)]
 pub struct Contents {
     adapter_slots: usize,
     models: BaseModels,
     held: BTreeMap<AdapterKey, Held>,
-    lately: HashMap<AdapterKey, (Option<u64>, Millis)>,
+    recently_held: HashMap<AdapterKey, (Option<u64>, Millis)>,
     order_count: Option<u64>,
     was_learnt: bool,
-    doubts: Doubts,
-    /// Adapters whose unload may wait for their runs, and since when: they take their places until
-    /// a report no longer names them.
+    unconfirmed: UnconfirmedOrders,
+    /// Adapters whose unload may wait for running requests, and when it was ordered: they occupy
+    /// their slots until a report no longer names them.
     unloading: BTreeMap<AdapterKey, Millis>,
-    look_from_ms: Millis,
-    learn_from_ms: Millis,
+    poll_after_ms: Millis,
+    learn_after_ms: Millis,
     fetches: FetchWindow,
     fetch_ms: f64,
     reload_ms: f64,
 }
 
 impl Contents {
-    /// Contents that are to be learnt.
+    /// Creates contents that are unknown until the first report.
     pub fn new(spec: &EngineSpec, now_ms: Millis) -> Self {
         Self {
             adapter_slots: spec.adapter_slots,
             models: BaseModels::new(spec),
             held: BTreeMap::new(),
-            lately: HashMap::new(),
+            recently_held: HashMap::new(),
             order_count: None,
             was_learnt: false,
-            doubts: Doubts::new(),
+            unconfirmed: UnconfirmedOrders::new(),
             unloading: BTreeMap::new(),
-            look_from_ms: now_ms,
-            learn_from_ms: now_ms,
-            fetches: FetchWindow::new(FIRST_FETCH_MS),
-            fetch_ms: FIRST_FETCH_MS,
-            reload_ms: FIRST_RELOAD_MS,
+            poll_after_ms: now_ms,
+            learn_after_ms: now_ms,
+            fetches: FetchWindow::new(INITIAL_FETCH_MS),
+            fetch_ms: INITIAL_FETCH_MS,
+            reload_ms: INITIAL_RELOAD_MS,
         }
     }
 
-    /// All adapters that take a place.
+    /// All adapters that occupy a slot.
     pub fn held(&self) -> impl Iterator<Item = (&AdapterKey, &Held)> {
         self.held.iter()
     }
 
-    /// An adapter that takes a place.
+    /// The adapter with this key, if it occupies a slot.
     pub fn get(&self, key: AdapterKey) -> Option<&Held> {
         self.held.get(&key)
     }
 
     /// Whether the contents are known.
-    pub fn is_learnt(&self) -> bool {
+    pub fn is_known(&self) -> bool {
         self.order_count.is_some()
     }
 
-    /// Whether the contents were known before, if not now.
+    /// Whether the contents have been known at any time.
     pub fn was_learnt(&self) -> bool {
         self.was_learnt
     }
 
-    /// How an adapter of at least this version takes a place.
+    /// Whether the adapter is held in at least this version.
     pub fn holding(&self, key: AdapterKey, version: Option<u64>) -> Holding {
         match self.held.get(&key) {
             None => Holding::None,
@@ -196,41 +198,42 @@
         }
     }
 
-    /// Whether a load of an adapter could begin: there is a place, or one to give.
+    /// Whether the load of an adapter could begin: a slot is free or can be freed.
     pub fn takes_loads(&self, is_in_use: &dyn Fn(AdapterKey) -> bool, now_ms: Millis) -> bool {
-        if !self.is_learnt() || self.models.is_empty() || self.models.is_loading() {
+        if !self.is_known() || self.models.is_empty() || self.models.is_loading() {
             return false;
         }
-        let can_give = |(key, held): (&AdapterKey, &Held)| held.is_idle(now_ms) && !is_in_use(*key);
-        self.has_room(self.models.largest_adapter_mb(), 0) || self.held.iter().any(can_give)
+        let is_evictable =
+            |(key, held): (&AdapterKey, &Held)| held.is_idle(now_ms) && !is_in_use(*key);
+        self.has_room(self.models.largest_adapter_mb(), 0) || self.held.iter().any(is_evictable)
     }
 
-    /// Adapters that may be on their way at the same time.
+    /// Number of adapters that may be loading at the same time.
     pub fn loads_at_once(&self) -> usize {
         self.fetches.at_once()
     }
 
-    /// Expected time until a load that is asked for now is done, behind `awaited` others.
+    /// Expected time until a load requested now is complete, behind `awaited` others.
     pub fn load_wait_ms(&self, awaited: usize) -> f64 {
         let before = self.loading() + awaited;
         let rounds = before as f64 / self.fetches.at_once().max(1) as f64;
         self.fetch_ms * (1.0 + rounds)
     }
 
-    /// Forgets what was believed, as after a gap in holding the claim.
+    /// Marks the contents as unknown, for instance after an interruption of the claim.
     pub fn unlearn(&mut self, now_ms: Millis) {
         self.order_count = None;
-        self.learn_from_ms = now_ms + REPORT_LAG_MS;
+        self.learn_after_ms = now_ms + REPORT_DELAY_MS;
     }
 
-    /// Notes uses of an adapter.
+    /// Records uses of an adapter.
     pub fn note_uses(&mut self, key: AdapterKey, uses: u32, now_ms: Millis) {
         if let Some(held) = self.held.get_mut(&key) {
             held.note_uses(uses, now_ms);
         }
     }
 
-    /// Notes uses of an adapter by the short form of its key.
+    /// Records uses of an adapter given by its fingerprint.
     pub fn note_uses_of(&mut self, fingerprint: Fingerprint, uses: u32, now_ms: Millis) {
         let is_it = |(key, _): &(&AdapterKey, &mut Held)| **key as Fingerprint == fingerprint;
         if let Some((_, held)) = self.held.iter_mut().find(is_it) {
@@ -238,7 +241,7 @@
         }
     }
 
-    /// The next order; `wants` come most wanted first.
+    /// The next message to the server; `wants` are given in descending priority.
     pub fn next_action(
         &self,
         wants: &[Want],
@@ -246,21 +249,21 @@
         allowance: &mut dyn ModelAllowance,
     ) -> Option<Action> {
         let Some(expected_count) = self.order_count else {
-            return (look.now_ms >= self.learn_from_ms).then_some(Action::Learn);
+            return (look.now_ms >= self.learn_after_ms).then_some(Action::Learn);
         };
-        let is_losing = self.doubts.is_losing(look.now_ms);
-        if !self.unloading.is_empty() || (is_losing && self.has_load_due(look.now_ms)) {
-            if look.now_ms >= self.look_from_ms {
+        let loses_messages = self.unconfirmed.loses_messages(look.now_ms);
+        if !self.unloading.is_empty() || (loses_messages && self.has_due_load_poll(look.now_ms)) {
+            if look.now_ms >= self.poll_after_ms {
                 return Some(Action::Look);
             }
             if !self.unloading.is_empty() {
                 return None;
             }
-        } else if let Some(action) = self.check_load(expected_count, look.now_ms) {
+        } else if let Some(action) = self.load_poll(expected_count, look.now_ms) {
             return Some(action);
         }
-        if let Some(doubtful) = self.doubts.at(expected_count, look.now_ms) {
-            return Some(doubtful.clone());
+        if let Some(order) = self.unconfirmed.at(expected_count, look.now_ms) {
+            return Some(order.clone());
         }
         if self.models.is_loading() {
             return None;
@@ -273,21 +276,21 @@
         }
         wants
             .iter()
-            .filter(|want| !want.is_copy || self.fetches.takes_copies())
-            .find_map(|want| self.serve_want(want, expected_count, look))
+            .filter(|want| !want.is_copy || self.fetches.allows_copies())
+            .find_map(|want| self.action_for(want, expected_count, look))
     }
 
-    /// When [`Contents::next_action`] may give something without a new want.
+    /// When [`Contents::next_action`] may next return a message without a new load request.
     pub fn next_look_ms(&self) -> Option<Millis> {
         if self.order_count.is_none() {
-            return Some(self.learn_from_ms);
+            return Some(self.learn_after_ms);
         }
         let loading = self
             .held
             .values()
             .filter(|held| held.state == HeldState::Loading);
-        let adapters = loading.map(|held| held.check_ms.max(self.look_from_ms));
-        let unloading = (!self.unloading.is_empty()).then_some(self.look_from_ms);
+        let adapters = loading.map(|held| held.check_ms.max(self.poll_after_ms));
+        let unloading = (!self.unloading.is_empty()).then_some(self.poll_after_ms);
         let models = self.models.next_look_ms();
         adapters.chain(models).chain(unloading).min()
     }
@@ -307,26 +310,26 @@
         })
     }
 
-    /// Memory that adapters take.
+    /// Memory that adapters occupy, in MB.
     fn adapters_mb(&self) -> f64 {
         let size_mb = |held: &Held| self.models.adapter_mb(model_of(&held.adapter));
         self.held.values().map(size_mb).sum()
     }
 
-    /// Whether one more adapter has a place and memory, beside so many of its size that may come
-    /// late.
-    fn has_room(&self, adapter_mb: f64, late: usize) -> bool {
-        let more_mb = adapter_mb * (late + 1) as f64;
+    /// Whether one more adapter has a slot and memory, beside `delayed_loads` others of its size that may
+    /// still be loaded by delayed orders.
+    fn has_room(&self, adapter_mb: f64, delayed_loads: usize) -> bool {
+        let more_mb = adapter_mb * (delayed_loads + 1) as f64;
         let has_memory = self.adapters_mb() + more_mb <= self.models.free_mb();
-        self.held.len() + late < self.adapter_slots && has_memory
+        self.held.len() + delayed_loads < self.adapter_slots && has_memory
     }
 
-    fn has_load_due(&self, now_ms: Millis) -> bool {
+    fn has_due_load_poll(&self, now_ms: Millis) -> bool {
         let is_due = |held: &Held| held.state == HeldState::Loading && held.check_ms <= now_ms;
         self.models.due(now_ms).is_none() && self.held.values().any(is_due)
     }
 
-    fn check_load(&self, expected_count: u64, now_ms: Millis) -> Option<Action> {
+    fn load_poll(&self, expected_count: u64, now_ms: Millis) -> Option<Action> {
         if let Some(model) = self.models.due(now_ms) {
             return Some(Action::Load {
                 adapter: model.to_string(),
@@ -343,7 +346,7 @@
         })
     }
 
-    fn serve_want(&self, want: &Want, expected_count: u64, look: &Look<'_>) -> Option<Action> {
+    fn action_for(&self, want: &Want, expected_count: u64, look: &Look<'_>) -> Option<Action> {
         let key = adapter_key(&want.adapter);
         let model = model_of(&want.adapter);
         if !self.models.holds(model) || !want.adapter.contains('/') {
@@ -355,9 +358,9 @@
         {
             return None;
         }
-        let late = self.doubts.loads_after(expected_count, look.now_ms);
-        let needs_place =
-            holding == Holding::None && !self.has_room(self.models.adapter_mb(model), late);
+        let delayed_loads = self.unconfirmed.loads_after(expected_count, look.now_ms);
+        let needs_place = holding == Holding::None
+            && !self.has_room(self.models.adapter_mb(model), delayed_loads);
         if needs_place {
             let victim = self.victim(look)?;
             return Some(Action::Unload {
@@ -378,10 +381,10 @@
         self.held.get(&key).is_some_and(is_idle) && !(look.is_in_use)(key)
     }
 
-    /// The adapter that is missed least: one in an old version, or else the least used.
+    /// The adapter to evict: one in an outdated version, or else the least used.
     fn victim(&self, look: &Look<'_>) -> Option<&Held> {
         let is_current = |held: &Held| (look.named)(&held.adapter) <= held.version;
-        let missed_less = |left: &&Held, right: &&Held| {
+        let evicted_before = |left: &&Held, right: &&Held| {
             let by_version = is_current(left).cmp(&is_current(right));
             let uses = |held: &Held| held.uses_at(look.now_ms);
             by_version.then(uses(left).total_cmp(&uses(right)))
@@ -390,12 +393,13 @@
             .iter()
             .filter(|(key, held)| held.is_idle(look.now_ms) && !(look.is_in_use)(**key))
             .map(|(_, held)| held)
-            .min_by(missed_less)
+            .min_by(evicted_before)
     }
 
-    /// Whether the server had this version lately, so that it does not come from the store.
-    pub fn loads_fast(&self, key: AdapterKey, version: Option<u64>) -> bool {
-        self.lately
+    /// Whether the server held this version recently, so that it is not fetched from the weight
+    /// store.
+    pub fn is_cached(&self, key: AdapterKey, version: Option<u64>) -> bool {
+        self.recently_held
             .get(&key)
             .is_some_and(|(had, _)| *had >= version)
     }
@@ -405,7 +409,8 @@
         self.held.values().filter(is_loading).count()
     }
 
-    /// What became of an order whose last answer came after so many sends without one.
+    /// Resolves the outcome of an order whose last answer followed `unanswered` attempts without
+    /// one.
     pub fn settle(
         &mut self,
         action: &Action,
@@ -413,26 +418,26 @@
         unanswered: usize,
         now_ms: Millis,
     ) -> OrderAnswer {
-        let is_look = self.is_look(action);
-        if unanswered > 0 && is_look {
-            self.doubts.note_look_unanswered(action, now_ms);
+        let is_load_poll = self.is_load_poll(action);
+        if unanswered > 0 && is_load_poll {
+            self.unconfirmed.note_poll_unanswered(action, now_ms);
         } else if unanswered > 0 {
-            self.doubts.note_unanswered(action, now_ms);
+            self.unconfirmed.note_unanswered(action, now_ms);
         }
         let is_conflict = answer == OrderAnswer::Conflict && unanswered > 0;
-        if is_conflict && !is_look && self.doubts.shows_taken(action, now_ms) {
-            self.doubts.note_taken(action);
+        if is_conflict && !is_load_poll && self.unconfirmed.proves_accepted(action, now_ms) {
+            self.unconfirmed.note_accepted(action);
             return OrderAnswer::Accepted;
         }
         if matches!(answer, OrderAnswer::Accepted | OrderAnswer::Done) {
-            self.doubts.note_taken(action);
+            self.unconfirmed.note_accepted(action);
         }
-        self.doubts.note_told(answer);
+        self.unconfirmed.note_answer(answer);
         answer
     }
 
-    /// Whether an order only looks whether a load is done.
-    fn is_look(&self, action: &Action) -> bool {
+    /// Whether an order only polls a load that is in progress.
+    fn is_load_poll(&self, action: &Action) -> bool {
         let Action::Load { adapter, .. } = action else {
             return false;
         };
@@ -443,7 +448,7 @@
         held.is_some_and(|held| held.state == HeldState::Loading)
     }
 
-    /// Notes how the server took an order.
+    /// Records the server's answer to an order.
     pub fn note_answer(&mut self, action: &Action, answer: OrderAnswer, now_ms: Millis) {
         match (action, answer) {
             (_, OrderAnswer::NoAnswer | OrderAnswer::Conflict | OrderAnswer::Refused) => {
@@ -467,7 +472,7 @@
             }
             (Action::Unload { adapter, .. }, OrderAnswer::Accepted) => {
                 self.unloading.insert(adapter_key(adapter), now_ms);
-                self.look_from_ms = now_ms + LOOK_PAUSE_MS;
+                self.poll_after_ms = now_ms + POLL_INTERVAL_MS;
                 self.note_unloaded(adapter, now_ms);
             }
             (Action::Unload { adapter, .. }, OrderAnswer::Done) => {
@@ -493,11 +498,11 @@
             && held.state == HeldState::Loading
         {
             let taken_ms = now_ms - held.ordered_ms;
-            held.check_ms = now_ms + CHECK_PAUSE_MS.max(taken_ms / CHECK_PART);
+            held.check_ms = now_ms + CHECK_INTERVAL_MS.max(taken_ms / CHECK_DIVISOR);
             held.seen_loading_ms = now_ms;
             return;
         }
-        let is_fetch = !self.loads_fast(key, version);
+        let is_fetch = !self.is_cached(key, version);
         let expected_ms = if is_fetch {
             self.fetch_ms
         } else {
@@ -540,39 +545,40 @@
             let held = Held::ready(adapter.to_string(), version, now_ms);
             self.held.insert(key, held);
         }
-        self.lately.insert(key, (version, now_ms));
+        self.recently_held.insert(key, (version, now_ms));
     }
 
     fn note_unloaded(&mut self, adapter: &str, now_ms: Millis) {
         let key = adapter_key(adapter);
         if let Some(held) = self.held.remove(&key) {
-            self.lately.insert(key, (held.version, now_ms));
+            self.recently_held.insert(key, (held.version, now_ms));
         }
-        self.forget_old();
+        self.trim_recently_held();
         self.count_order();
     }
 
-    fn forget_old(&mut self) {
-        if self.lately.len() <= self.adapter_slots * LATELY_FACTOR {
+    fn trim_recently_held(&mut self) {
+        if self.recently_held.len() <= self.adapter_slots * CACHED_PER_SLOT {
             return;
         }
         let held = &self.held;
         let gone = |key: &AdapterKey| !held.contains_key(key);
         let oldest = self
-            .lately
+            .recently_held
             .iter()
             .filter(|(key, _)| gone(key))
             .min_by_key(|(_, (_, noted_ms))| *noted_ms)
             .map(|(key, _)| *key);
         if let Some(oldest) = oldest {
-            self.lately.remove(&oldest);
+            self.recently_held.remove(&oldest);
         }
     }
 
-    /// Takes what a report shows of loads and unloads, if one came; the adapters that are there now.
-    /// It may be older than the last order, so that only what was awaited is taken from it.
+    /// Applies the progress of loads and unloads that a report shows, if one arrived; returns the
+    /// adapters that are loaded now. The report may be older than the last order, so only awaited
+    /// changes are taken from it.
     pub fn note_look(&mut self, report: Option<&Report>, now_ms: Millis) -> Vec<AdapterKey> {
-        self.look_from_ms = now_ms + LOOK_PAUSE_MS;
+        self.poll_after_ms = now_ms + POLL_INTERVAL_MS;
         let Some(report) = report else {
             return Vec::new();
         };
@@ -593,8 +599,8 @@
         done
     }
 
-    /// Unloads are done whose adapters a report no longer names. Those of others that should be done
-    /// long since were not taken; whether there are such.
+    /// Ends the unloads of adapters that a report no longer names, and drops those that should have
+    /// completed long ago. Returns whether any was dropped, as such an order was not accepted.
     fn end_unloads(&mut self, report: &Report, now_ms: Millis) -> bool {
         let is_named = |key: &AdapterKey| {
             let mut all = report.adapters.iter().chain(&report.incoming);
@@ -603,22 +609,22 @@
         self.unloading.retain(|key, _| is_named(key));
         let waiting = self.unloading.len();
         self.unloading
-            .retain(|_, since_ms| now_ms < *since_ms + UNLOAD_LIFE_MS);
+            .retain(|_, since_ms| now_ms < *since_ms + UNLOAD_TIMEOUT_MS);
         self.unloading.len() < waiting
     }
 
-    /// Takes the server's report; it must have been asked for after the pause that
+    /// Replaces the known contents by a report, which must have been requested after the delay that
     /// [`Action::Learn`] waits for.
     pub fn note_report(&mut self, report: &Report, now_ms: Millis) {
         self.was_learnt = true;
-        for adapter in self.doubts.note_count(report.order_count) {
+        for adapter in self.unconfirmed.note_count(report.order_count) {
             self.unloading.insert(adapter_key(&adapter), now_ms);
         }
         self.end_unloads(report, now_ms);
         if report.is_busy {
-            // What is under way changes the contents without a further order.
+            // The order in progress will change the contents without a further order.
             self.order_count = None;
-            self.learn_from_ms = now_ms + BUSY_PAUSE_MS;
+            self.learn_after_ms = now_ms + BUSY_POLL_INTERVAL_MS;
         } else {
             self.order_count = Some(report.order_count);
         }
@@ -642,11 +648,13 @@
         self.held = held;
         for known in report.at_hand.iter().chain(&report.adapters) {
             let key = adapter_key(&known.adapter);
-            self.lately.insert(key, (Some(known.version), now_ms));
+            self.recently_held
+                .insert(key, (Some(known.version), now_ms));
         }
     }
 
-    /// Whether a newer version was ordered: no report shows that before the last run is done.
+    /// Whether a newer version was ordered: a report shows that only when the last running request
+    /// on the old one is done.
     fn is_being_replaced(&self, known: &HeldAdapter) -> bool {
         self.held
             .get(&adapter_key(&known.adapter))
@@ -668,7 +676,7 @@
     }
 }
 
-/// The base model of an adapter, or the model itself.
+/// The base model of an adapter; a name without `/` is the model itself.
 fn model_of(adapter: &str) -> &str {
     adapter.split_once('/').map_or(adapter, |(model, _)| model)
 }
--- a/crates/tinbay-core/src/serving/contents/models.rs
+++ b/crates/tinbay-core/src/serving/contents/models.rs
@@ -6,10 +6,10 @@
 use crate::serving::configuration::{EngineSpec, ModelSpec};
 use crate::units::Millis;
 
-/// Pause between two looks at the load of a model, which takes some hundred milliseconds.
-const CHECK_PAUSE_MS: Millis = 60;
+/// Interval between polls of the load of a model, which takes some hundred milliseconds.
+const CHECK_INTERVAL_MS: Millis = 60;
 
-/// A base model that takes memory.
+/// A base model that occupies memory.
 #[derive(Debug, Clone)]
 struct HeldModel {
     state: HeldState,
@@ -25,7 +25,7 @@
 }
 
 impl BaseModels {
-    /// No model is held yet.
+    /// Creates the state without any model.
     pub fn new(spec: &EngineSpec) -> Self {
         Self {
             specs: spec.models.clone(),
@@ -34,24 +34,24 @@
         }
     }
 
-    /// Whether a model takes memory, ready or not.
+    /// Whether a model occupies memory, ready or not.
     pub fn holds(&self, model: &str) -> bool {
         self.held.contains_key(model)
     }
 
-    /// Whether none takes memory.
+    /// Whether no model is held.
     pub fn is_empty(&self) -> bool {
         self.held.is_empty()
     }
 
-    /// Whether one is on its way.
+    /// Whether a model is being loaded.
     pub fn is_loading(&self) -> bool {
         self.held
             .values()
             .any(|model| model.state == HeldState::Loading)
     }
 
-    /// A model on its way that is due to be looked at.
+    /// A loading model whose next poll is due.
     pub fn due(&self, now_ms: Millis) -> Option<&str> {
         let is_due = |(_, model): &(&String, &HeldModel)| {
             model.state == HeldState::Loading && model.check_ms <= now_ms
@@ -60,7 +60,7 @@
         Some(name)
     }
 
-    /// When a model on its way is to be looked at next.
+    /// When the next poll of a loading model is due.
     pub fn next_look_ms(&self) -> Option<Millis> {
         let loading = self
             .held
@@ -69,8 +69,8 @@
         loading.map(|model| model.check_ms).min()
     }
 
-    /// The model to load next: the first wanted one that is missing and fits beside adapters
-    /// of `adapters_mb`, or the first of all into an empty server.
+    /// The model to load next: the first wanted one that is not held and fits beside adapters of
+    /// `adapters_mb`, or the first one configured if the server is empty.
     pub fn missing<'a>(
         &'a self,
         wanted: impl Iterator<Item = &'a str>,
@@ -103,32 +103,32 @@
         self.held.keys().map(weights_mb).sum()
     }
 
-    /// Memory of one adapter of a model.
+    /// Memory of one adapter of a model, in MB.
     pub fn adapter_mb(&self, model: &str) -> f64 {
         self.spec(model).map_or(0.0, |spec| spec.adapter_mb)
     }
 
-    /// Memory of the largest adapter of the models held.
+    /// Memory of the largest adapter of the held models, in MB.
     pub fn largest_adapter_mb(&self) -> f64 {
         let sizes_mb = self.held.keys().map(|model| self.adapter_mb(model));
         sizes_mb.fold(0.0, f64::max)
     }
 
-    /// Memory left for adapters.
+    /// Memory not occupied by models, in MB.
     pub fn free_mb(&self) -> f64 {
         self.memory_mb - self.used_mb()
     }
 
-    /// Notes that a model is on its way; whether that is news.
+    /// Records that a model is being loaded; returns whether it was not held before.
     pub fn note_loading(&mut self, model: &str, now_ms: Millis) -> bool {
         let held = HeldModel {
             state: HeldState::Loading,
-            check_ms: now_ms + CHECK_PAUSE_MS,
+            check_ms: now_ms + CHECK_INTERVAL_MS,
         };
         self.held.insert(model.to_string(), held).is_none()
     }
 
-    /// Notes that a model is there.
+    /// Records that a model is loaded.
     pub fn note_ready(&mut self, model: &str, now_ms: Millis) {
         let held = HeldModel {
             state: HeldState::Ready,
@@ -137,7 +137,7 @@
         self.held.insert(model.to_string(), held);
     }
 
-    /// Takes the models of a report: all of them are there.
+    /// Replaces the held models by those of a report, which lists only loaded ones.
     pub fn note_report(&mut self, models: &[String], now_ms: Millis) {
         self.held.clear();
         for model in models {
--- a/crates/tinbay-core/tests/serving_contents_test.rs
+++ b/crates/tinbay-core/tests/serving_contents_test.rs
@@ -294,9 +294,9 @@
         expected_count: 4,
     };
     contents.note_answer(&unload, OrderAnswer::Done, 500);
-    assert!(contents.loads_fast(adapter_key("m/a"), None));
-    assert!(!contents.loads_fast(adapter_key("m/a"), Some(2)));
-    assert!(!contents.loads_fast(adapter_key("m/b"), None));
+    assert!(contents.is_cached(adapter_key("m/a"), None));
+    assert!(!contents.is_cached(adapter_key("m/a"), Some(2)));
+    assert!(!contents.is_cached(adapter_key("m/b"), None));
 }
 
 /// A server that does as it is told, seen through any wants and lost answers: the holder never
