--- a/crates/tinbay-core/src/serving/budget.rs
+++ b/crates/tinbay-core/src/serving/budget.rs
@@ -1,62 +1,64 @@
-//! The budget of second sends, shared by all boxes without asking each other.
+//! The budget of extra attempts (retries and hedges), kept to by all boxes without coordination.
 //!
-//! Each box spends a share by its own first sends plus its part of the fixed allowance.
+//! Each box may spend a ratio of its own first attempts plus its share of a fixed allowance.
 
 use std::collections::VecDeque;
 
 use crate::units::Millis;
 
-/// Part of what is allowed that is spent, as boxes count in windows that do not line up.
-const SAFE_PART: f64 = 0.6;
+/// Fraction of the allowance that is spent, because the windows in which boxes count do not line
+/// up.
+const WINDOW_SKEW_FACTOR: f64 = 0.6;
 
-/// Part of what is spent that may go to requests whose first server may still answer; the rest is
-/// left for those that failed.
-const HEDGE_PART: f64 = 0.5;
+/// Fraction of the spendable budget that hedges may use, where the first server may still answer;
+/// the rest is kept for retries of failed requests.
+const HEDGE_FRACTION: f64 = 0.5;
 
-/// What is allowed over all boxes in any window.
+/// The allowance over all boxes in any window.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct BudgetTerms {
-    /// Second sends allowed for each request.
+    /// Extra attempts allowed per request.
     pub ratio: f64,
-    /// Second sends allowed besides, over all boxes.
+    /// Extra attempts allowed in addition, over all boxes together.
     pub extra: f64,
-    /// Length of the window.
+    /// Length of the sliding window.
     pub window_ms: Millis,
 }
 
-/// One box's account of first and second sends to one service.
+/// Counts one box's first and extra attempts at one service.
 #[derive(Debug, Default)]
 pub struct SendBudget {
-    firsts: VecDeque<Millis>,
-    seconds: VecDeque<Millis>,
+    first_attempts: VecDeque<Millis>,
+    extra_attempts: VecDeque<Millis>,
 }
 
 impl SendBudget {
-    /// Notes a first send.
+    /// Records a first attempt.
     pub fn note_first(&mut self, now_ms: Millis) {
-        self.firsts.push_back(now_ms);
+        self.first_attempts.push_back(now_ms);
     }
 
-    /// Takes one second send, if the share of this box among `boxes` holds one.
+    /// Takes one retry from the budget if the share of this box among `boxes` allows it.
     pub fn take_second(&mut self, terms: &BudgetTerms, boxes: usize, now_ms: Millis) -> bool {
-        self.take(SAFE_PART, terms, boxes, now_ms)
+        self.take(WINDOW_SKEW_FACTOR, terms, boxes, now_ms)
     }
 
-    /// The same for a request whose first server may still answer: it leaves some for failures.
+    /// Takes one hedge from the budget; hedges may use only a part of it, which leaves the rest for
+    /// retries.
     pub fn take_hedge(&mut self, terms: &BudgetTerms, boxes: usize, now_ms: Millis) -> bool {
-        self.take(SAFE_PART * HEDGE_PART, terms, boxes, now_ms)
+        self.take(WINDOW_SKEW_FACTOR * HEDGE_FRACTION, terms, boxes, now_ms)
     }
 
-    fn take(&mut self, part: f64, terms: &BudgetTerms, boxes: usize, now_ms: Millis) -> bool {
+    fn take(&mut self, fraction: f64, terms: &BudgetTerms, boxes: usize, now_ms: Millis) -> bool {
         let window_start_ms = now_ms.saturating_sub(terms.window_ms);
-        drop_before(&mut self.firsts, window_start_ms);
-        drop_before(&mut self.seconds, window_start_ms);
+        drop_before(&mut self.first_attempts, window_start_ms);
+        drop_before(&mut self.extra_attempts, window_start_ms);
         let own_extra = terms.extra / boxes.max(1) as f64;
-        let allowed = part * (terms.ratio * self.firsts.len() as f64 + own_extra);
-        if self.seconds.len() as f64 + 1.0 > allowed {
+        let allowed = fraction * (terms.ratio * self.first_attempts.len() as f64 + own_extra);
+        if self.extra_attempts.len() as f64 + 1.0 > allowed {
             return false;
         }
-        self.seconds.push_back(now_ms);
+        self.extra_attempts.push_back(now_ms);
         true
     }
 }
--- a/crates/tinbay-core/src/serving/capacity.rs
+++ b/crates/tinbay-core/src/serving/capacity.rs
@@ -1,40 +1,43 @@
-//! Which boxes can do a job for others, by what each one states of itself.
+//! Selects the boxes that do a job for others, by the capacity that each one reports.
 //!
 //! Boxes of one fleet may differ twentyfold in what they can send. Jobs done for others (reading
-//! the store, keeping the limits of client accounts) go to the strong ones; which of these does
-//! a job is drawn by rendezvous, so that all boxes work out the same one without talking.
+//! the store, keeping the limits of client accounts) go to the strong ones; which of these does a
+//! job is selected by rendezvous hashing, so that all boxes arrive at the same one without
+//! communication.
 
 use crate::rendezvous;
 
-/// Part of the strongest box's capacity from which a box counts as strong as well: boxes of one
-/// kind state alike, kinds differ by a factor of ten and more.
-const STRONG_PART: f64 = 0.5;
+/// Fraction of the largest capacity from which a box counts as strong: boxes of one machine type
+/// report similar capacities, and types differ by a factor of ten and more.
+const STRONG_FRACTION: f64 = 0.5;
 
-/// A box and what it can bear.
+/// A box and its reported capacity.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RankedBox<'a> {
-    /// Its name.
+    /// Id of the box.
     pub id: &'a str,
-    /// What it can bear for others; only compared with that of other boxes.
+    /// Capacity for work on behalf of others, in a unit that is only compared between boxes.
     pub capacity: u64,
 }
 
-/// The `count` boxes that do a job, best first: strong ones before all others.
+/// Selects the `count` boxes that do a job, best first; strong boxes come before all others.
 ///
-/// With weak boxes among them, relays on links of 10 Mbit/s sent four fifths of what these carry,
-/// and a change of the configuration took 3 s and more to be in force on 300 boxes; with strong
-/// ones alone it was in time (one day of 300 boxes before 900 servers, the worth it earned rose
-/// from -1.17 to 0.52).
+/// With weak boxes included, relays on links of 10 Mbit/s used four fifths of the link, and a
+/// configuration change took 3 s and more to take effect on 300 boxes; with strong boxes alone it
+/// took effect in time.
 pub fn draw<'a>(job: &str, boxes: &[RankedBox<'a>], count: usize) -> Vec<&'a str> {
-    let most = boxes.iter().map(|ranked| ranked.capacity).max();
-    let bar = (most.unwrap_or_default() as f64 * STRONG_PART) as u64;
-    let is_strong = |ranked: &&RankedBox<'a>| ranked.capacity >= bar;
-    let names = |ranked: &RankedBox<'a>| ranked.id;
+    let largest = boxes.iter().map(|candidate| candidate.capacity).max();
+    let least_strong = (largest.unwrap_or_default() as f64 * STRONG_FRACTION) as u64;
+    let is_strong = |candidate: &&RankedBox<'a>| candidate.capacity >= least_strong;
+    let names = |candidate: &RankedBox<'a>| candidate.id;
     let strong = boxes.iter().filter(is_strong).map(names);
-    let mut drawn = rendezvous::rank(job, strong, count);
-    if drawn.len() < count {
-        let weak = boxes.iter().filter(|ranked| !is_strong(ranked)).map(names);
-        drawn.extend(rendezvous::rank(job, weak, count - drawn.len()));
+    let mut selected = rendezvous::rank(job, strong, count);
+    if selected.len() < count {
+        let weak = boxes
+            .iter()
+            .filter(|candidate| !is_strong(candidate))
+            .map(names);
+        selected.extend(rendezvous::rank(job, weak, count - selected.len()));
     }
-    drawn
+    selected
 }
--- a/crates/tinbay-core/src/serving/claims.rs
+++ b/crates/tinbay-core/src/serving/claims.rs
@@ -1,17 +1,17 @@
-//! Who may order a server: one holder at a time, by a claim in the store.
+//! Claims in the store that let one box at a time send orders to a server.
 //!
-//! Servers need not check who orders them, so safety rests on time. A holder orders only
-//! while its last proof (its own leased entry seen in the store) is young. A taker writes
-//! over a claim only after it has itself seen the holder's entry missing for longer than a
-//! proof lasts, and in one transaction with that entry still missing. Only spans of each
-//! box's own monotonic clock are compared, never times of two boxes.
+//! Servers do not check who sends orders, so safety rests on time. A holder sends orders only while
+//! its last proof (its own leased entry seen in the store) is recent. Another box overwrites a
+//! claim only after it has itself seen the holder's entry missing for longer than a proof lasts,
+//! and in one transaction that requires the entry to be still missing. Only durations on each box's
+//! own monotonic clock are compared, never times of two boxes.
 //!
-//! A store that comes back from a backup has forgotten claims, or shows older ones. A claim says in
-//! which era it was written, and only one of the present era binds by itself. Who held a server goes
-//! on under its last proof and writes its claim again at once; all others wait until every proof of
-//! the former era is over, so that nobody else can have taken it meanwhile. A box that starts and
-//! can't know when the store came back waits as long from its start, unless a mark in the store says
-//! that somebody has waited in this era.
+//! A store restored from a backup has lost claims or shows older ones. A claim names the era in
+//! which it was written, and only claims of the current era bind. The holder of a server continues
+//! under its last proof and rewrites its claim at once; all other boxes wait until every proof of
+//! the former era has expired, so that nobody else can have taken the server meanwhile. A box that
+//! starts and cannot know when the store was restored waits as long from its start, unless a key in
+//! the store says that the wait has already passed in this era.
 
 use std::collections::HashMap;
 
@@ -20,121 +20,123 @@
 use super::position::{Era, Position, Revision};
 use crate::units::Millis;
 
-/// Spans that holders and takers keep.
+/// Durations that holders and boxes that take over claims keep to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ClaimTerms {
     /// How long a proof lasts; longer than usual outages of the store.
     pub proof_life_ms: Millis,
-    /// Time that must lie between orders of two holders to one server.
+    /// Least time between the last order of one holder and the first order of the next.
     pub holder_gap_ms: Millis,
-    /// Time for messages under way and for clocks that run apart.
+    /// Margin for messages in flight and for clock drift.
     pub margin_ms: Millis,
 }
 
 impl ClaimTerms {
-    /// Time after which another holder may order whose proof can't have been renewed meanwhile.
+    /// Time since the holder's entry went missing after which another box may take over: the proof
+    /// cannot have been renewed meanwhile.
     fn takeover_ms(&self) -> Millis {
         self.proof_life_ms + self.holder_gap_ms + self.margin_ms
     }
 }
 
-/// The value of a claim.
+/// A claim as it is written to the store.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimValue {
-    /// The box that may order.
+    /// Box that may send orders.
     pub holder: String,
-    /// Whether it has given its last order.
+    /// Whether the holder has sent its last order.
     pub is_released: bool,
-    /// Era in which it was written.
+    /// Era in which the claim was written.
     #[serde(default)]
     pub era: Era,
 }
 
-/// What a claim is worth in the present era.
+/// Whether a claim is valid in the current era.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Standing {
-    /// Written in this era: it binds.
+    /// Written in the current era, and binding.
     Current,
-    /// Known from the era before; who held the server goes on until its last proof of that era ends.
-    Carried {
-        /// End of the own proof when this box saw the new era; only the holder itself reads it.
+    /// Written in the previous era; the holder may send orders until its last proof of that era
+    /// ends.
+    CarriedOver {
+        /// End of this box's own proof when it saw the new era; only the holder itself uses it.
         until_ms: Millis,
     },
-    /// Read from a store that came back with it; others may have been written since.
-    Leftover,
+    /// Restored from a backup; newer claims may have been lost.
+    Restored,
 }
 
 /// A claim as this box knows it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Claim {
-    /// What it says.
+    /// Holder and release state.
     pub value: ClaimValue,
-    /// Where it was written; the token of its holder's orders follows from it.
+    /// Position at which it was written; the fencing token of the holder's orders follows from it.
     pub position: Position,
-    /// When it was first seen there.
+    /// When this box first saw it at this position.
     pub seen_ms: Millis,
-    /// What it is worth.
+    /// Whether it is valid in the current era.
     pub standing: Standing,
 }
 
-/// What a taker knows of the holder's entry.
+/// What a box that wants to take over knows about the holder's entry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HolderEntry {
-    /// It is in the store.
+    /// The entry is in the store.
     Listed,
-    /// It has been seen missing, without a break in watching, since then.
+    /// The entry has been missing since this time, without an interruption of the watch.
     MissingSince(Millis),
 }
 
-/// Claims by the server's address.
+/// Claims by the address of the server.
 #[derive(Debug, Default)]
 pub struct ClaimTable {
     era: Era,
-    /// When this box first saw the present era; none where the store names no eras.
+    /// When this box first saw the current era; none where the store has no eras.
     era_seen_ms: Option<Millis>,
-    /// Era of which the store says that all proofs of former ones are over.
-    settled: Option<Era>,
+    /// Era for which the store says that all proofs of former eras have expired.
+    settled_era_in_store: Option<Era>,
     by_address: HashMap<String, Claim>,
-    /// Revisions of the claims as they stand in the store now.
-    stored: HashMap<String, Revision>,
+    /// Current revisions of the claims in the store.
+    stored_revisions: HashMap<String, Revision>,
 }
 
 impl ClaimTable {
-    /// Notes the era that the store is in, where it is the first one that this box sees or another
-    /// than was known; `own_proof_end_ms` is the end of the
-    /// proof by which this box orders.
+    /// Starts an era, when the store names its first one or another one than before.
+    /// `own_proof_end_ms` is the end of the proof under which this box sends orders.
     pub fn begin_era(&mut self, era: Era, own_proof_end_ms: Millis, now_ms: Millis) {
         self.era = era;
         self.era_seen_ms = Some(now_ms);
-        self.stored.clear();
+        self.stored_revisions.clear();
         for claim in self.by_address.values_mut() {
             if claim.standing == Standing::Current {
-                claim.standing = Standing::Carried {
+                claim.standing = Standing::CarriedOver {
                     until_ms: own_proof_end_ms,
                 };
             }
         }
     }
 
-    /// Notes that the store says of an era that all proofs of former ones are over.
+    /// Records that, according to the store, all proofs of eras before this one have expired.
     pub fn note_settled(&mut self, era: Era) {
-        self.settled = Some(era);
+        self.settled_era_in_store = Some(era);
     }
 
-    /// The era that the store says is settled.
+    /// The latest era for which the store says that all proofs of former eras have expired.
     pub fn settled_era(&self) -> Option<Era> {
-        self.settled
+        self.settled_era_in_store
     }
 
-    /// Whether all proofs of former eras are over.
+    /// Whether all proofs of former eras have expired.
     pub fn is_settled(&self, terms: &ClaimTerms, now_ms: Millis) -> bool {
         let Some(seen_ms) = self.era_seen_ms else {
             return true;
         };
-        self.settled == Some(self.era) || now_ms >= seen_ms + terms.takeover_ms()
+        self.settled_era_in_store == Some(self.era) || now_ms >= seen_ms + terms.takeover_ms()
     }
 
-    /// Notes a claim as the store shows it; older ones, and those of a former era, are passed over.
+    /// Records a claim read from the store; older revisions and revisions of a former era are
+    /// ignored.
     pub fn note(&mut self, address: &str, value: &[u8], position: Position, now_ms: Millis) {
         let Ok(value) = serde_json::from_slice::<ClaimValue>(value) else {
             return;
@@ -142,22 +144,25 @@
         if position.era != self.era {
             return;
         }
-        let stored = self.stored.entry(address.to_string()).or_default();
-        if *stored >= position.revision && *stored > 0 {
+        let stored_revisions = self
+            .stored_revisions
+            .entry(address.to_string())
+            .or_default();
+        if *stored_revisions >= position.revision && *stored_revisions > 0 {
             return;
         }
-        *stored = position.revision;
+        *stored_revisions = position.revision;
         let is_current = value.era == position.era;
         let known = self.by_address.get(address);
-        let is_known_better = known.is_some_and(|known| known.standing != Standing::Leftover);
+        let is_known_better = known.is_some_and(|known| known.standing != Standing::Restored);
         if !is_current && is_known_better {
-            // The store came back with an older state of what this box has seen.
+            // The backup holds an older state than this box has seen.
             return;
         }
         let standing = if is_current {
             Standing::Current
         } else {
-            Standing::Leftover
+            Standing::Restored
         };
         let claim = Claim {
             value,
@@ -168,46 +173,50 @@
         self.by_address.insert(address.to_string(), claim);
     }
 
-    /// The claim on a server.
+    /// The claim on a server, if one is known.
     pub fn get(&self, address: &str) -> Option<&Claim> {
         self.by_address.get(address)
     }
 
-    /// Where the claim on a server stands in the store now, for a transaction that replaces it.
+    /// Position of the claim in the store, for a transaction that replaces it.
     pub fn stored_position(&self, address: &str) -> Position {
-        let revision = self.stored.get(address).copied().unwrap_or_default();
+        let revision = self
+            .stored_revisions
+            .get(address)
+            .copied()
+            .unwrap_or_default();
         Position::new(self.era, revision)
     }
 
-    /// The present era; none where the store has named none yet.
+    /// The current era; none where the store has not named one yet.
     pub fn era(&self) -> Option<Era> {
         self.era_seen_ms.map(|_| self.era)
     }
 
-    /// When this box first saw the present era.
+    /// When this box first saw the current era.
     pub fn era_seen_ms(&self) -> Option<Millis> {
         self.era_seen_ms
     }
 
-    /// The box that holds the claim on a server and has not released it.
+    /// Box that holds the claim on a server and has not released it.
     pub fn holder_of(&self, address: &str) -> Option<&str> {
         let claim = self.by_address.get(address)?;
         (!claim.value.is_released).then_some(claim.value.holder.as_str())
     }
 
-    /// The token with which `box_id` may order the server, if it holds the claim.
+    /// Fencing token for orders of `box_id` to the server, if it holds the claim.
     pub fn token_of(&self, address: &str, box_id: &str, now_ms: Millis) -> Option<u64> {
         let claim = self.by_address.get(address)?;
         let is_own = claim.value.holder == box_id && !claim.value.is_released;
         let binds = match claim.standing {
             Standing::Current => true,
-            Standing::Carried { until_ms } => now_ms < until_ms,
-            Standing::Leftover => false,
+            Standing::CarriedOver { until_ms } => now_ms < until_ms,
+            Standing::Restored => false,
         };
         (is_own && binds).then(|| claim.position.fencing_token())
     }
 
-    /// Addresses whose claims `box_id` holds in the present era.
+    /// Addresses of the servers whose claims `box_id` holds in the current era.
     pub fn held_by(&self, box_id: &str) -> Vec<String> {
         let is_held = |claim: &Claim| {
             let is_own = claim.value.holder == box_id && !claim.value.is_released;
@@ -220,15 +229,16 @@
             .collect()
     }
 
-    /// Whether `box_id` held a server as the store came back, still does by its last proof, and has
-    /// yet to write its claim again.
+    /// Whether `box_id` held a server when the store was restored, still does under its last proof,
+    /// and has not rewritten its claim yet.
     pub fn is_to_be_renewed(&self, address: &str, box_id: &str, now_ms: Millis) -> bool {
-        let is_carried = |claim: &Claim| matches!(claim.standing, Standing::Carried { .. });
-        self.get(address).is_some_and(is_carried)
+        let is_carried_over =
+            |claim: &Claim| matches!(claim.standing, Standing::CarriedOver { .. });
+        self.get(address).is_some_and(is_carried_over)
             && self.token_of(address, box_id, now_ms).is_some()
     }
 
-    /// Servers whose claims `box_id` has yet to write again.
+    /// Number of servers whose claims `box_id` has not rewritten yet.
     pub fn to_be_renewed(&self, box_id: &str, now_ms: Millis) -> usize {
         let addresses = self.by_address.keys();
         addresses
@@ -236,8 +246,9 @@
             .count()
     }
 
-    /// Whether `box_id` may write over the claim on a server now; the transaction must still expect
-    /// the claim where it stands, and the holder's entry missing where it is another box's.
+    /// Whether `box_id` may overwrite the claim on a server now. The transaction must still require
+    /// the claim to be at its known position and, where another box holds it, that box's entry to
+    /// be missing.
     pub fn may_take(
         &self,
         address: &str,
@@ -274,29 +285,29 @@
     }
 }
 
-/// A box's proof that its own entry stood in the store.
+/// A box's proof that its own entry was in the store.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Proof {
     asked_ms: Option<Millis>,
 }
 
 impl Proof {
-    /// Notes that a question asked then found the entry.
+    /// Extends the proof: a query sent at `asked_ms` found the entry.
     pub fn renew(&mut self, asked_ms: Millis) {
         self.asked_ms = self.asked_ms.max(Some(asked_ms));
     }
 
-    /// Takes the proof back.
+    /// Withdraws the proof, so that no more orders are sent under it.
     pub fn revoke(&mut self) {
         self.asked_ms = None;
     }
 
-    /// Whether orders may be given now.
+    /// Whether orders may be sent now.
     pub fn holds(&self, terms: &ClaimTerms, now_ms: Millis) -> bool {
         now_ms < self.end_ms(terms)
     }
 
-    /// When it ends; 0 where there is none.
+    /// When the proof ends; 0 where there is none.
     pub fn end_ms(&self, terms: &ClaimTerms) -> Millis {
         self.asked_ms
             .map_or(0, |asked_ms| asked_ms + terms.proof_life_ms)
--- a/crates/tinbay-core/src/serving/configuration.rs
+++ b/crates/tinbay-core/src/serving/configuration.rs
@@ -1,11 +1,11 @@
-//! The operators' whole configuration as the direct path reads it.
+//! The operators' complete configuration as the direct path reads it.
 
 use std::collections::HashMap;
 
 use crate::accounts::table::AccountTable;
 use crate::units::Millis;
 
-/// One whole configuration; a higher `version` replaces a lower one.
+/// One complete configuration; a higher `version` replaces a lower one.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Configuration {
     /// Version, rising with each change.
@@ -14,63 +14,64 @@
     pub routes: Vec<Route>,
     /// All services.
     pub services: HashMap<String, Service>,
-    /// What a caller may send.
+    /// Limits on requests and connections of callers.
     pub limits: Limits,
-    /// Client accounts; without any, requests need no key.
+    /// Client accounts; if there are none, requests need no key.
     pub accounts: AccountTable,
 }
 
-/// What decides whether a request may be sent again.
+/// Whether and how requests of a route may be repeated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RouteKind {
-    /// May run more than once.
+    /// Idempotent: may run more than once.
     Safe,
-    /// Runs at most once.
+    /// Not idempotent: runs at most once.
     Unsafe,
-    /// Answers with a stream of events; at most once unless the route is resumable.
+    /// Answers with an event stream; runs at most once unless the route is resumable.
     Streaming,
 }
 
-/// Requests of one host below one path prefix.
+/// Rules for requests to one host below one path prefix.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Route {
     /// Name for logs.
     pub name: String,
-    /// Host the caller names.
+    /// Host that the request names.
     pub host: String,
     /// Prefix of the path, with a slash at both ends.
     pub path_prefix: String,
-    /// What may be repeated.
+    /// Whether requests may be repeated.
     pub kind: RouteKind,
-    /// Longest time a request is held.
+    /// Longest time until a request is answered or fails.
     pub timeout_ms: Millis,
-    /// Time within which an answer earns its full credit.
+    /// Time within which an answer earns full credit.
     pub objective_ms: Millis,
-    /// Longest pause between events of a stream in time; none where there is no stream.
+    /// Longest pause between events at which a stream counts as on time; none on routes without
+    /// streams.
     pub objective_gap_ms: Option<Millis>,
-    /// Rank, 0 first.
+    /// Priority; 0 is the highest.
     pub priority: u8,
-    /// Services and their shares; one with weight 1 where there is no split.
+    /// Target services with their weights; a single one of weight 1 where traffic is not split.
     pub targets: Vec<Target>,
-    /// Most servers one request may be sent to.
+    /// Maximum number of servers that one request may be sent to.
     pub most_attempts: u32,
-    /// Whether a broken stream may go on at another server.
+    /// Whether a broken stream may be resumed at another server.
     pub resumable: bool,
-    /// Whether it may be asked without a key.
+    /// Whether requests need no key.
     pub is_public: bool,
 }
 
-/// Silence after which callers give up any stream, however short its objective.
+/// Silence after which callers abandon any stream, however short its objective.
 const LEAST_STREAM_PATIENCE_MS: Millis = 2_000;
 
-/// Objectives after which callers give up a stream that has not begun.
+/// Multiple of the objective after which callers abandon a stream that has not begun.
 const PATIENCE_OBJECTIVES: Millis = 4;
 
-/// Longest pauses in time after which callers give up a silent stream.
+/// Multiple of the longest allowed pause after which callers abandon a silent stream.
 const PATIENCE_GAPS: Millis = 8;
 
 impl Route {
-    /// How long callers wait for the first piece of a stream; none where there is no stream.
+    /// How long callers wait for the first piece of a stream; none on routes without streams.
     pub fn stream_patience_ms(&self) -> Option<Millis> {
         if self.kind != RouteKind::Streaming {
             return None;
@@ -81,71 +82,71 @@
     }
 }
 
-/// One share of a route.
+/// A service that receives a share of a route's requests.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Target {
-    /// Service that gets this share.
+    /// Name of the service.
     pub service: String,
-    /// Weight among the targets of the route.
+    /// Weight relative to the other targets of the route.
     pub weight: u32,
 }
 
 /// A group of servers that do the same work.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Service {
-    /// Connections each server accepts from all callers together.
+    /// Connections that each server accepts from all callers together.
     pub most_connections: usize,
-    /// What its model engines hold; none for plain services.
+    /// Properties of its model engines; none for plain services.
     pub engine: Option<EngineSpec>,
 }
 
-/// What each model engine of a service has room for.
+/// Properties of each model engine of a service.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EngineSpec {
-    /// Requests in a batch.
+    /// Number of requests in a batch.
     pub batch_slots: usize,
-    /// Adapters held at once.
+    /// Number of adapters that fit at once.
     pub adapter_slots: usize,
-    /// Whether they hand running requests over to each other.
+    /// Whether engines can hand running requests over to each other.
     pub moves_runs: bool,
-    /// Loads a second that the weight store allows over all engines.
+    /// Loads per second that the weight store allows over all engines.
     pub loads_per_s: f64,
-    /// Memory for weights and adapters together.
+    /// Memory for weights and adapters together, in MB.
     pub weights_mb: f64,
     /// Base models that may be loaded.
     pub models: Vec<ModelSpec>,
 }
 
-/// A base model.
+/// A base model and the memory that it needs.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ModelSpec {
     /// Its name.
     pub name: String,
-    /// Memory of its weights.
+    /// Memory of its weights, in MB.
     pub weights_mb: f64,
-    /// Memory of one adapter.
+    /// Memory of one of its adapters, in MB.
     pub adapter_mb: f64,
-    /// Adapters that it has.
+    /// Number of its adapters.
     pub adapters: usize,
 }
 
 impl EngineSpec {
-    /// Adapters of all its models.
+    /// Total number of adapters over all models.
     pub fn adapters(&self) -> usize {
         self.models.iter().map(|model| model.adapters).sum()
     }
 }
 
-/// Bounds on what callers send.
+/// Limits on the requests and connections of callers.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Limits {
-    /// Longest head, in bytes.
+    /// Longest request head, in bytes.
     pub head_bytes: usize,
-    /// Longest body, in bytes.
+    /// Longest request body, in bytes.
     pub body_bytes: usize,
-    /// Longest time until the head is whole.
+    /// Longest time until the request head is complete.
     pub head_timeout_ms: Millis,
-    /// Longest rest of a connection.
+    /// Longest time that a connection may be idle.
     pub idle_timeout_ms: Millis,
 }
 
--- a/crates/tinbay-core/src/serving/fading.rs
+++ b/crates/tinbay-core/src/serving/fading.rs
@@ -1,14 +1,14 @@
-//! Amounts that halve with time.
+//! Values that decay exponentially with time.
 
 use crate::units::Millis;
 
-/// What is left of an amount noted earlier; nothing fades before it was noted.
+/// Returns what is left of a value recorded earlier; before `noted_ms` nothing has decayed.
 pub fn faded(amount: f64, noted_ms: Millis, half_life_ms: f64, now_ms: Millis) -> f64 {
     let age_ms = now_ms.saturating_sub(noted_ms) as f64;
     amount * (-age_ms / half_life_ms).exp2()
 }
 
-/// An amount that halves with time and may grow.
+/// An exponentially decaying value that can be added to.
 #[derive(Debug, Default, Clone, Copy, PartialEq)]
 pub struct Fading {
     amount: f64,
@@ -16,7 +16,7 @@
 }
 
 impl Fading {
-    /// An amount as of now.
+    /// Creates a value as of now.
     pub fn new(amount: f64, now_ms: Millis) -> Self {
         Self {
             amount,
@@ -24,12 +24,12 @@
         }
     }
 
-    /// What is left of it.
+    /// The decayed value at `now_ms`.
     pub fn at(&self, half_life_ms: f64, now_ms: Millis) -> f64 {
         faded(self.amount, self.noted_ms, half_life_ms, now_ms)
     }
 
-    /// Adds to what is left.
+    /// Adds to the decayed value.
     pub fn add(&mut self, amount: f64, half_life_ms: f64, now_ms: Millis) {
         *self = Self::new(self.at(half_life_ms, now_ms) + amount, now_ms);
     }
--- a/crates/tinbay-core/src/serving/homes.rs
+++ b/crates/tinbay-core/src/serving/homes.rs
@@ -1,71 +1,75 @@
-//! Where a request for an adapter should run.
+//! Chooses the server for a request that needs an adapter.
 //!
-//! All boxes rank the servers alike for each adapter (rendezvous hashing), so that it is looked
-//! for and loaded in the same places. The first server's holder says over how many servers of
-//! that order the adapter is spread; among these a request takes the least busy.
+//! All boxes rank the servers alike for each adapter (rendezvous hashing), so that it is looked for
+//! and loaded in the same places. The holder of the first server says over how many servers of that
+//! ranking the adapter is spread; among these a request takes the least busy one.
 
-/// How a server holds an adapter.
+/// Whether and in what state a server holds an adapter.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Presence {
-    /// It can serve.
+    /// Loaded and able to serve.
     Ready,
-    /// It is on its way.
+    /// Being loaded.
     Coming,
-    /// It is not there.
+    /// Not held.
     Absent,
-    /// An older version is there that must not serve any more.
+    /// Held in an older version that must not serve any more.
     Outdated,
 }
 
-/// A server where a request may run; candidates come in the adapter's own order.
+/// A server at which a request may run; candidates are given in the adapter's rendezvous order.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Candidate {
-    /// How it holds the adapter.
+    /// State of the adapter at the server.
     pub presence: Presence,
-    /// How busy it is: requests against its places, time to the first byte against the
-    /// objective, distance.
+    /// How busy the server is, from the requests against its slots, the time to the first byte
+    /// against the objective, and the network distance.
     pub load: f64,
-    /// Whether it can load an adapter: its holder can order, and a place can be freed.
+    /// Whether it can load an adapter: its holder can send orders, and a slot is free or can be
+    /// freed.
     pub takes_loads: bool,
-    /// Expected time of a load there, behind those that are asked for already, as a part of the
+    /// Expected time of a load at the server, behind those already requested, as a fraction of the
     /// objective.
     pub load_wait: f64,
 }
 
-/// What to do with a request; positions are those of the candidates.
+/// What to do with a request. Servers are given by their index among the candidates.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Pick {
-    /// Send it to the server, and have one more load the adapter if one is named.
+    /// Send it to a server, and have another server load the adapter if one is named.
     Send {
-        /// The server.
+        /// Index of the server.
         to: usize,
-        /// The server for one more copy.
+        /// Index of the server that should load one more copy.
         copy: Option<usize>,
     },
-    /// Wait until the server has loaded the adapter.
+    /// Wait until a server has loaded the adapter.
     Load {
-        /// The server.
+        /// Index of the server.
         at: usize,
     },
-    /// No server can serve it.
+    /// No server can serve the request.
     Nowhere,
 }
 
-/// Load that a wait for an adapter on its way is worth: about half of a fetch from the weight
-/// store, of 250 ms, against objectives of 600 to 1,000 ms.
-const COMING_COST: f64 = 0.25;
+/// Cost of waiting for an adapter that is being loaded, in units of load: about half of a fetch of
+/// 250 ms from the weight store, against objectives of 600 to 1,000 ms.
+const LOADING_COST: f64 = 0.25;
 
-/// Load that a place is worth: what a load takes from other adapters, besides its time.
-const PLACE_COST: f64 = 0.2;
+/// Cost of the adapter slot that a load takes from other adapters, in units of load, besides the
+/// time of the load.
+const SLOT_COST: f64 = 0.2;
 
-/// Load by which a server must be less busy than the one before it in the order to load the
-/// adapter instead of it.
-const STEP_COST: f64 = 0.06;
+/// Amount by which a server must be less loaded than the previous one in the ranking for the
+/// adapter to be loaded there instead.
+const ORDER_COST: f64 = 0.06;
 
-/// Load of an outdated version's server: the new version loads only when its runs are done.
+/// Cost of an outdated version in units of load: the new version is loaded only when requests on
+/// the old one are done.
 const OUTDATED_COST: f64 = 0.3;
 
-/// Chooses among candidates in the adapter's own order; it is spread over `copies` servers.
+/// Chooses among candidates in the adapter's rendezvous order, when it is spread over `copies`
+/// servers.
 pub fn pick(candidates: &[Candidate], copies: usize) -> Pick {
     let costs = candidates.iter().enumerate().filter_map(cost);
     let Some((position, _)) = costs.min_by(|left, right| left.1.total_cmp(&right.1)) else {
@@ -81,23 +85,23 @@
 }
 
 fn cost((position, candidate): (usize, &Candidate)) -> Option<(usize, f64)> {
-    let steps = STEP_COST * position as f64;
+    let order_cost = ORDER_COST * position as f64;
     let cost = match candidate.presence {
         Presence::Ready => candidate.load,
-        Presence::Coming => candidate.load + COMING_COST,
+        Presence::Coming => candidate.load + LOADING_COST,
         _ if !candidate.takes_loads => return None,
-        Presence::Absent => candidate.load + candidate.load_wait + PLACE_COST + steps,
+        Presence::Absent => candidate.load + candidate.load_wait + SLOT_COST + order_cost,
         Presence::Outdated => {
-            candidate.load + candidate.load_wait + PLACE_COST + OUTDATED_COST + steps
+            candidate.load + candidate.load_wait + SLOT_COST + OUTDATED_COST + order_cost
         }
     };
     Some((position, cost))
 }
 
-/// The next server that should hold the adapter as well; one at a time, and only while fewer hold
-/// it than it is spread over. That its server is busy with other adapters is no reason: copies
-/// made for that took the places of adapters in use, and half of all loads on a day of trouble
-/// with 195 boxes (5,600 of 11,200, counted in the logs of orders) then served no request.
+/// Returns the next server that should load a copy: one at a time, and only while fewer servers
+/// hold the adapter than it is spread over. That its server is busy with other adapters is no
+/// reason for a copy: such copies displaced adapters in use, and half of all loads (5,600 of 11,200
+/// with 195 boxes and failing servers) served no request.
 fn copy_for(candidates: &[Candidate], copies: usize) -> Option<usize> {
     let is_coming = |candidate: &Candidate| candidate.presence == Presence::Coming;
     let is_ready = |candidate: &&Candidate| candidate.presence == Presence::Ready;
--- a/crates/tinbay-core/src/serving/lateness.rs
+++ b/crates/tinbay-core/src/serving/lateness.rs
@@ -1,32 +1,32 @@
-//! Whether an answer came in time, and if not, by which part of it.
+//! Classifies answers as on time or late, and by which part they were late.
 
 use super::configuration::{Route, RouteKind};
 use super::stream_sight::StreamSight;
 use crate::units::Millis;
 
-/// The times within which an answer is in time.
+/// The times within which an answer counts as on time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AnswerObjective {
-    /// Longest time from the request's arrival to the part that the objective counts to; none where
+    /// Longest time from the arrival of the request to the part named by `counts_to`; none where
     /// any time is allowed.
     pub within_ms: Option<Millis>,
-    /// That part.
+    /// Part of the answer to which `within_ms` applies.
     pub counts_to: ObjectivePart,
     /// Longest pause between two pieces; none where any pause is allowed.
     pub pause_ms: Option<Millis>,
 }
 
-/// The part of an answer up to which its objective counts.
+/// The part of an answer to which its objective applies.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ObjectivePart {
     /// The first piece, as for streams.
     FirstPiece,
-    /// The end, as for plain answers.
+    /// The end, as for answers that are not streamed.
     End,
 }
 
 impl AnswerObjective {
-    /// The objective of answers on `route`; a time of 0 is none.
+    /// The objective of answers on `route`; a time of 0 in the route means no bound.
     pub fn of_route(route: &Route) -> Self {
         let is_stream = route.kind == RouteKind::Streaming;
         let pause_ms = route.objective_gap_ms.filter(|_| is_stream);
@@ -42,19 +42,20 @@
     }
 }
 
-/// When the parts of a whole answer came, from the request's arrival.
+/// Times of the parts of a complete answer, from the arrival of the request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AnswerTimes {
-    /// Its first piece; none where it has no body.
+    /// Time of the first piece; none where the answer has no body.
     pub first_piece_ms: Option<Millis>,
     /// Longest pause between two pieces.
     pub longest_pause_ms: Millis,
-    /// Its end.
+    /// Time of the end.
     pub end_ms: Millis,
 }
 
 impl AnswerTimes {
-    /// The times of an answer to a request that arrived at `arrived_ms` and ended at `ended_ms`.
+    /// The times of an answer to a request that arrived at `arrived_ms` and was answered completely
+    /// by `ended_ms`.
     pub fn of_sight(sight: &StreamSight, arrived_ms: Millis, ended_ms: Millis) -> Self {
         let first_ms = sight.first_ms();
         Self {
@@ -65,23 +66,23 @@
     }
 }
 
-/// Whether a whole answer was late, and by which part of it.
+/// Whether a complete answer was late, and in which part.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Lateness {
-    /// In time.
+    /// On time.
     InTime,
-    /// Its first piece came too late.
+    /// The first piece came too late.
     FirstPiece,
     /// A pause between two pieces was too long.
     Pause,
-    /// Its first piece came too late, and a pause was too long as well.
+    /// The first piece came too late, and a pause was too long.
     FirstPieceAndPause,
-    /// Its first piece came in time, its end did not, and its objective counts to the end.
+    /// The first piece came on time but the end did not, and the objective applies to the end.
     End,
 }
 
 impl Lateness {
-    /// All of them.
+    /// All variants.
     pub const ALL: [Self; 5] = [
         Self::InTime,
         Self::FirstPiece,
@@ -90,11 +91,11 @@
         Self::End,
     ];
 
-    /// Decides how late a whole answer was.
+    /// Classifies a complete answer.
     pub fn judge(times: &AnswerTimes, objective: &AnswerObjective) -> Self {
         let is_over =
             |time_ms: Millis, allowed: Option<Millis>| allowed.is_some_and(|ms| time_ms > ms);
-        // An answer without a body is there with its end.
+        // An answer without a body is treated as having its first piece at its end.
         let first_ms = times.first_piece_ms.unwrap_or(times.end_ms);
         let is_first_late = is_over(first_ms, objective.within_ms);
         let is_pause_long = is_over(times.longest_pause_ms, objective.pause_ms);
@@ -109,7 +110,7 @@
         }
     }
 
-    /// Name for logs and measures.
+    /// Name in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             Self::InTime => "in_time",
@@ -120,7 +121,7 @@
         }
     }
 
-    /// The one that logs call `name`.
+    /// The variant that logs call `name`.
     pub fn from_name(name: &str) -> Option<Self> {
         Self::ALL
             .into_iter()
--- a/crates/tinbay-core/src/serving/mod.rs
+++ b/crates/tinbay-core/src/serving/mod.rs
@@ -1,7 +1,7 @@
-//! Decisions of the direct path: a box sends requests straight to back end servers.
+//! Decisions of the direct path, on which a box sends requests straight to backend servers.
 //!
-//! Like the rest of the core this does no I/O and reads no clock: times come in as
-//! milliseconds of a monotonic clock, decisions go out as values.
+//! Like the rest of the core this does no I/O and reads no clock: times come in as milliseconds of
+//! a monotonic clock, and decisions are returned as values.
 
 pub mod budget;
 pub mod capacity;
--- a/crates/tinbay-core/src/serving/notices.rs
+++ b/crates/tinbay-core/src/serving/notices.rs
@@ -1,28 +1,28 @@
-//! What a server says of itself in the head of any answer, and what of it binds a box.
+//! What servers announce about themselves in the heads of their answers.
 //!
-//! Servers tell it to whoever asks, in answers to requests, orders and questions for reports alike.
-//! It comes sooner than their entries in the store, which may be away, and it is final where an
-//! entry is not: a listing may be old, and an entry may go and come back.
+//! Servers announce it to every caller, in answers to requests, orders and report queries alike. It
+//! arrives sooner than their entries in the store, which may be unavailable, and it is final where
+//! an entry is not: a listing may be old, and an entry may disappear and reappear.
 
 use super::server_limit::{LimitNotice, SaidLimit};
 use crate::units::Millis;
 
-/// What a time in whole milliseconds may be behind the true one. A rest that was counted from such a
-/// time alone ended up to that much early.
-const CLOCK_STEP_MS: Millis = 1;
+/// Rounding error of a time in whole milliseconds. Without it a back-off could end up to that much
+/// too early.
+const ROUNDING_MS: Millis = 1;
 
-/// What a server says of itself in the head of one answer.
+/// What a server announces in the head of one answer.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct AnswerNotice {
-    /// It leaves: it finishes what it has and ends.
+    /// The server is shutting down: it finishes its running requests and exits.
     pub is_leaving: bool,
-    /// It turned this away, and wants nothing from the box that asked for so long.
+    /// The server rejected the request and asks this box to send nothing for this long.
     pub rest_ms: Option<Millis>,
-    /// What it says of its limit; nothing where that can't be told from this answer.
+    /// What the answer says about the server's rate limit; none where the answer does not tell.
     pub limit: Option<LimitNotice>,
 }
 
-/// What one incarnation of a server has said of itself so far.
+/// Everything one incarnation of a server has announced so far.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Said {
     is_leaving: bool,
@@ -31,36 +31,35 @@
 }
 
 impl Said {
-    /// Notes what an answer said that came now. That it leaves or rests is never taken back: a later
-    /// answer may only lengthen a rest, and none makes a server stay that leaves. A limit lasts for as
-    /// long as answers name it.
+    /// Records the notice of an answer received now. A shutdown or a back-off is never withdrawn: a
+    /// later answer may only lengthen the back-off. A limit lasts for as long as answers name it.
     pub fn note(&mut self, notice: AnswerNotice, now_ms: Millis) {
         self.is_leaving |= notice.is_leaving;
         if let Some(rest_ms) = notice.rest_ms.filter(|rest_ms| *rest_ms > 0) {
-            let until_ms = now_ms.saturating_add(rest_ms).saturating_add(CLOCK_STEP_MS);
+            let until_ms = now_ms.saturating_add(rest_ms).saturating_add(ROUNDING_MS);
             self.rest_until_ms = self.rest_until_ms.max(until_ms);
         }
-        if let Some(word) = notice.limit {
-            self.limit.note(word);
+        if let Some(limit) = notice.limit {
+            self.limit.note(limit);
         }
     }
 
-    /// Notes that it leaves, by its entry.
+    /// Records that the server is shutting down according to its entry in the store.
     pub fn note_leaving(&mut self) {
         self.is_leaving = true;
     }
 
-    /// Whether it leaves.
+    /// Whether the server is shutting down.
     pub fn is_leaving(&self) -> bool {
         self.is_leaving
     }
 
-    /// What it said of its limit.
+    /// The rate limit that the server announced.
     pub fn limit(&self) -> &SaidLimit {
         &self.limit
     }
 
-    /// End of the rest that it asked this box for; none where that is over.
+    /// End of the back-off that the server asked this box for; none once it is over.
     pub fn rest_until_ms(&self, now_ms: Millis) -> Option<Millis> {
         (now_ms < self.rest_until_ms).then_some(self.rest_until_ms)
     }
--- a/crates/tinbay-core/src/serving/pacing.rs
+++ b/crates/tinbay-core/src/serving/pacing.rs
@@ -1,40 +1,42 @@
-//! A box's part of the weight store's allowance, dealt ahead so that no load is asked for.
+//! Divides the weight store's load allowance among the holders, so that they need not ask before
+//! each load.
 //!
-//! The allowance bounds the loads of base models that begin within any window; loads of
-//! adapters are not bounded. It is split into whole
-//! quotas, one a holder; a holder counts its own loads over the same sliding window, so the
-//! quotas' sum bounds them all. A quota that grew counts only as far as what another holder
-//! began before it went has left the window.
+//! The allowance bounds the loads of base models that begin within any window; loads of adapters
+//! are not bounded. It is split into integer quotas, one per holder. Each holder counts its own
+//! loads over the same sliding window, so that the sum of the quotas bounds all loads. An increase
+//! of a quota takes effect only when the loads that other holders began under their old quotas have
+//! left the window.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use crate::units::{MS_PER_SECOND, Millis};
 
-/// Loads by which the bound exceeds its rate in any window.
-const BOUND_EXTRA: f64 = 3.0;
+/// Loads allowed in any window in addition to what the rate yields.
+const BURST_LOADS: f64 = 3.0;
 
-/// Time by which loads may reach a server later than another that began after them.
-const TRAVEL_MS: Millis = 250;
+/// Longest delay by which a load may reach a server later than another one that began after it.
+const DELIVERY_SKEW_MS: Millis = 250;
 
 /// The bound on loads from the weight store.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct LoadBound {
-    /// Window in which loads are counted.
+    /// Length of the sliding window in which loads are counted.
     pub window_ms: Millis,
     /// Factor by which the store's rate may be exceeded.
     pub overshoot: f64,
 }
 
 impl LoadBound {
-    /// Loads that may begin within any window, over all holders.
+    /// Number of loads that may begin within any window, over all holders.
     pub fn allowed(&self, loads_per_s: f64) -> usize {
         let window_s = self.window_ms as f64 / MS_PER_SECOND as f64;
-        (loads_per_s * window_s * self.overshoot + BOUND_EXTRA) as usize
+        (loads_per_s * window_s * self.overshoot + BURST_LOADS) as usize
     }
 }
 
-/// Splits `allowed` loads among holders by the engines each holds; the quotas' sum is never
-/// more. What is left over goes to the largest remainders, names breaking ties.
+/// Splits `allowed` loads among holders in proportion to the engines each one holds; the sum of the
+/// quotas never exceeds `allowed`. The remainder goes to the largest fractions, with ties broken by
+/// name.
 pub fn deal(allowed: usize, engines: &BTreeMap<String, usize>) -> BTreeMap<String, usize> {
     let total: usize = engines.values().sum();
     if total == 0 {
@@ -58,24 +60,24 @@
     quotas
 }
 
-/// Account of one holder.
+/// Counts the loads of one holder against its quota.
 #[derive(Debug, Default)]
 pub struct LoadPace {
     begun: VecDeque<Millis>,
-    quotas: VecDeque<QuotaSince>,
+    quotas: VecDeque<QuotaChange>,
 }
 
-/// A quota and when it came into force.
+/// A quota and when it took effect.
 #[derive(Debug, Clone, Copy)]
-struct QuotaSince {
+struct QuotaChange {
     quota: usize,
     since_ms: Millis,
 }
 
 impl LoadPace {
-    /// Takes one load if the quota leaves one in the window that ends now.
+    /// Counts one load if the quota allows another one in the window that ends now.
     pub fn take(&mut self, quota: usize, window_ms: Millis, now_ms: Millis) -> bool {
-        let window_ms = window_ms + TRAVEL_MS;
+        let window_ms = window_ms + DELIVERY_SKEW_MS;
         let start_ms = now_ms.saturating_sub(window_ms);
         while self
             .begun
@@ -84,23 +86,23 @@
         {
             self.begun.pop_front();
         }
-        if self.begun.len() >= self.settled_quota(quota, start_ms, now_ms) {
+        if self.begun.len() >= self.effective_quota(quota, start_ms, now_ms) {
             return false;
         }
         self.begun.push_back(now_ms);
         true
     }
 
-    /// The least quota of the window: what it grew by counts only when all that another holder
-    /// began with it has left the window.
-    fn settled_quota(&mut self, quota: usize, start_ms: Millis, now_ms: Millis) -> usize {
+    /// The least quota within the window: an increase takes effect only when all loads that another
+    /// holder began under its share of it have left the window.
+    fn effective_quota(&mut self, quota: usize, start_ms: Millis, now_ms: Millis) -> usize {
         if self.quotas.back().is_none_or(|last| last.quota != quota) {
-            self.quotas.push_back(QuotaSince {
+            self.quotas.push_back(QuotaChange {
                 quota,
                 since_ms: now_ms,
             });
         }
-        // The first entry that began before the window still held when the window began.
+        // The last quota set before the window was still in effect when the window began.
         while self.quotas.len() > 1 && self.quotas[1].since_ms <= start_ms {
             self.quotas.pop_front();
         }
--- a/crates/tinbay-core/src/serving/position.rs
+++ b/crates/tinbay-core/src/serving/position.rs
@@ -1,8 +1,8 @@
-//! Where something stands in the store: a revision, and the era that gave it out.
+//! Positions in the store: a revision and the era that issued it.
 //!
-//! A store that comes back from a backup gives out revisions again, so that one number may name two
-//! contents. Each return begins an era. Positions have no order of their own: those of two eras can't
-//! be compared, and the compiler lets nobody take the larger of two.
+//! A store restored from a backup issues revisions again, so that one number may name two contents.
+//! Each restore starts an era. Positions have no total order: those of two eras cannot be compared,
+//! so `Position` does not implement `Ord`.
 
 use std::cmp::Ordering;
 
@@ -15,43 +15,43 @@
 /// era, a token is exact where numbers are read as floating point.
 const REVISION_BITS: u32 = 36;
 
-/// How often the store has come back from a backup, counted from any number.
+/// Number of restores of the store from a backup, counted from an arbitrary start.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Era(pub u64);
 
-/// A revision and the era that gave it out.
+/// A revision and the era that issued it.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Position {
-    /// The era.
+    /// Era that issued the revision.
     pub era: Era,
-    /// The revision.
+    /// Revision within the era; 0 is a key that does not exist.
     pub revision: Revision,
 }
 
 impl Position {
-    /// A revision that an era gave out.
+    /// Combines a revision with the era that issued it.
     pub fn new(era: Era, revision: Revision) -> Self {
         Self { era, revision }
     }
 
-    /// The position of a key that is not there.
+    /// The position of a key that does not exist.
     pub fn missing(era: Era) -> Self {
         Self::new(era, 0)
     }
 
-    /// How two positions of one era stand to each other; nothing for two eras.
+    /// Compares two positions of the same era; none for two eras.
     pub fn compare(self, other: Self) -> Option<Ordering> {
         (self.era == other.era).then(|| self.revision.cmp(&other.revision))
     }
 
-    /// Whether this is at the other one or past it, in the same era.
+    /// Whether this position is at or after the other one in the same era.
     pub fn covers(self, other: Self) -> bool {
         self.compare(other).is_some_and(Ordering::is_ge)
     }
 
-    /// The later one of two positions of one era; nothing for two eras.
+    /// The later of two positions of the same era; none for two eras.
     pub fn later_of(self, other: Self) -> Option<Self> {
         match self.compare(other)? {
             Ordering::Less => Some(other),
@@ -59,7 +59,7 @@
         }
     }
 
-    /// A number that rises with every change and every return, for orders to servers.
+    /// A number that increases with every change and every restore, sent with orders to servers.
     pub fn fencing_token(self) -> u64 {
         (self.era.0 << REVISION_BITS) | self.revision
     }
--- a/crates/tinbay-core/src/serving/prompt.rs
+++ b/crates/tinbay-core/src/serving/prompt.rs
@@ -1,50 +1,51 @@
-//! What a request has an engine read.
+//! The prompt of a request, as far as the request describes it.
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// One part of a prompt; requests share parts.
+/// One part of a prompt; different requests may share parts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PromptPart {
-    /// Its id.
+    /// Id of the part's content.
     pub id: u64,
-    /// Its length.
+    /// Length in tokens.
     pub tokens: u32,
 }
 
-/// What several requests have in common: the parts before a prompt's own.
+/// The prompt parts that several requests may share: all but the last part.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct SharedPrefix {
-    /// Names all these parts together.
+    /// Hash over the ids of these parts.
     pub key: u64,
-    /// Their length.
+    /// Total length in tokens.
     pub tokens: u32,
 }
 
-/// How many tokens a request says that it reads and may make together.
+/// Number of tokens that a request declares to read and may generate.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum TokenCount {
-    /// It does not say.
+    /// Not declared.
     #[default]
     NotSaid,
-    /// So many.
+    /// The declared number.
     Said(u64),
-    /// What it says can't be read.
+    /// Declared in a form that cannot be parsed.
     Unreadable,
 }
 
-/// What a request has an engine read; empty where it does not say.
+/// The prompt of a request; empty where the request does not describe it.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Prompt {
-    /// Length of the whole prompt.
+    /// Length of the whole prompt in tokens.
     pub tokens: u32,
-    /// Its parts in order; the last is the request's own.
+    /// Parts in order; the last one belongs to this request alone.
     pub parts: Vec<PromptPart>,
-    /// Tokens read and made, which limits of client accounts count.
+    /// Tokens read and generated, as counted by the limits of client accounts.
     pub count: TokenCount,
 }
 
 impl Prompt {
-    /// What the prompt may have in common with others; none where all of it is its own.
+    /// The part of the prompt that other requests may share; none if the prompt has only its own
+    /// part.
     pub fn shared_prefix(&self) -> Option<SharedPrefix> {
         let (_, shared) = self.parts.split_last()?;
         let tokens = shared.iter().map(|part| part.tokens).sum();
--- a/crates/tinbay-core/src/serving/reading.rs
+++ b/crates/tinbay-core/src/serving/reading.rs
@@ -1,27 +1,27 @@
-//! How much an engine has to read before it can begin a new request.
+//! Prefill rate and backlog of model engines.
 //!
-//! An engine reads prompts in pieces, between the tokens of the requests that run: what others
-//! sent it lately tells how long a new request waits for its first token, long before all its
-//! places are taken.
+//! An engine prefills prompts in chunks, interleaved with the decoding of running requests. The
+//! prompts sent to it lately therefore tell how long a new request waits for its first token, long
+//! before all slots of the engine are taken.
 
 use crate::units::Millis;
 
-/// Tokens a ms that an engine reads, until it has been measured.
-const FIRST_TOKENS_A_MS: f64 = 40.0;
+/// Prefill rate assumed until one is measured.
+const INITIAL_TOKENS_PER_MS: f64 = 40.0;
 
-/// Least and most that is believed.
-const BELIEVABLE_TOKENS_A_MS: std::ops::RangeInclusive<f64> = 2.0..=400.0;
+/// Range to which measured rates are clamped.
+const PLAUSIBLE_TOKENS_PER_MS: std::ops::RangeInclusive<f64> = 2.0..=400.0;
 
-/// Tokens whose reading the pace is measured over; some hundred requests.
-const MEASURED_TOKENS: f64 = 300_000.0;
+/// Number of prompt tokens over which the rate is averaged; some hundred requests.
+const AVERAGED_TOKENS: f64 = 300_000.0;
 
-/// Shortest prompt by which the pace is measured: shorter ones take a step or two.
-const LEAST_MEASURED_TOKENS: u32 = 500;
+/// Shortest prompt from which the rate is measured: shorter ones take only a step or two.
+const MIN_SAMPLE_TOKENS: u32 = 500;
 
-/// Most that an engine may have to read before a request by which its pace is measured.
-const MOST_MEASURED_BACKLOG_MS: f64 = 20.0;
+/// Largest backlog before a request from which the rate is measured.
+const MAX_SAMPLE_BACKLOG_MS: f64 = 20.0;
 
-/// How fast the engines of a service read prompts, parts that they have kept included.
+/// Rate at which the engines of a service prefill prompts, including parts that they have cached.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ReadingPace {
     tokens: f64,
@@ -30,52 +30,53 @@
 
 impl Default for ReadingPace {
     fn default() -> Self {
-        let tokens = MEASURED_TOKENS / 10.0;
+        let tokens = AVERAGED_TOKENS / 10.0;
         Self {
             tokens,
-            time_ms: tokens / FIRST_TOKENS_A_MS,
+            time_ms: tokens / INITIAL_TOKENS_PER_MS,
         }
     }
 }
 
 impl ReadingPace {
-    /// Tokens a ms.
+    /// Prefill rate.
     pub fn tokens_a_ms(&self) -> f64 {
-        let (slowest, fastest) = BELIEVABLE_TOKENS_A_MS.into_inner();
+        let (slowest, fastest) = PLAUSIBLE_TOKENS_PER_MS.into_inner();
         (self.tokens / self.time_ms).clamp(slowest, fastest)
     }
 
-    /// Time to read so many tokens.
+    /// Time to prefill this many tokens.
     pub fn time_ms(&self, tokens: u32) -> f64 {
         f64::from(tokens) / self.tokens_a_ms()
     }
 
-    /// Notes how long a request's first token took at an engine that had so much to read before.
+    /// Records the time to first token of a request that was sent to an engine with this backlog.
     ///
-    /// The backlog is worked out by the pace: one that is too slow would never see an engine
-    /// without backlog and stay as it is, so an answer that is faster than it says always counts.
+    /// The backlog is estimated from the rate: with a rate that is too low no engine would ever
+    /// appear idle and the rate would never be corrected, so an answer that is faster than
+    /// estimated always counts.
     pub fn note_answer(&mut self, tokens: u32, backlog_ms: f64, took_ms: f64) {
-        let was_idle = backlog_ms <= MOST_MEASURED_BACKLOG_MS;
+        let was_idle = backlog_ms <= MAX_SAMPLE_BACKLOG_MS;
         let is_faster = took_ms < self.time_ms(tokens);
-        if tokens >= LEAST_MEASURED_TOKENS && (was_idle || is_faster) {
+        if tokens >= MIN_SAMPLE_TOKENS && (was_idle || is_faster) {
             self.note(tokens, took_ms);
         }
     }
 
-    /// Notes that a request's first token came so long after what was to be read before it.
+    /// Records the time to first token, counted from the end of the backlog before the request.
     pub fn note(&mut self, tokens: u32, took_ms: f64) {
         self.tokens += f64::from(tokens);
-        let (slowest, fastest) = BELIEVABLE_TOKENS_A_MS.into_inner();
+        let (slowest, fastest) = PLAUSIBLE_TOKENS_PER_MS.into_inner();
         let (least_ms, most_ms) = (self.tokens / fastest, self.tokens / slowest);
         self.time_ms = (self.time_ms + took_ms.max(0.0)).clamp(least_ms, most_ms);
-        if self.tokens > MEASURED_TOKENS {
-            self.time_ms *= MEASURED_TOKENS / self.tokens;
-            self.tokens = MEASURED_TOKENS;
+        if self.tokens > AVERAGED_TOKENS {
+            self.time_ms *= AVERAGED_TOKENS / self.tokens;
+            self.tokens = AVERAGED_TOKENS;
         }
     }
 }
 
-/// What an engine has to read, as time; it gets less as time passes.
+/// Prefill work that an engine has queued, as time; it shrinks as time passes.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Backlog {
     left_ms: f64,
@@ -83,7 +84,7 @@
 }
 
 impl Backlog {
-    /// A backlog as of now.
+    /// Creates a backlog as of now.
     pub fn new(left_ms: f64, now_ms: Millis) -> Self {
         Self {
             left_ms,
@@ -91,13 +92,13 @@
         }
     }
 
-    /// What is left to read.
+    /// The remaining backlog in ms.
     pub fn at(&self, now_ms: Millis) -> f64 {
         let passed_ms = now_ms.saturating_sub(self.noted_ms) as f64;
         (self.left_ms - passed_ms).max(0.0)
     }
 
-    /// More is to be read.
+    /// Adds to the remaining backlog.
     pub fn add(&mut self, more_ms: f64, now_ms: Millis) {
         *self = Self::new(self.at(now_ms) + more_ms, now_ms);
     }
--- a/crates/tinbay-core/src/serving/routes.rs
+++ b/crates/tinbay-core/src/serving/routes.rs
@@ -12,7 +12,7 @@
 }
 
 impl RouteTable {
-    /// Sorts the routes of a configuration for look-ups.
+    /// Builds the table from a configuration.
     pub fn new(configuration: &Configuration) -> Self {
         let mut by_host: HashMap<String, Vec<Rc<Route>>> = HashMap::new();
         for route in &configuration.routes {
@@ -28,7 +28,7 @@
         Self { by_host }
     }
 
-    /// The route of `host` whose prefix begins `path` and is the longest.
+    /// The route of `host` with the longest prefix that matches `path`.
     pub fn find(&self, host: &str, path: &str) -> Option<Rc<Route>> {
         let name = without_port(host).to_ascii_lowercase();
         let routes = self.by_host.get(&name)?;
@@ -47,7 +47,7 @@
 }
 
 impl Route {
-    /// The service of a request, chosen by weight with `draw` from 0 up to 1.
+    /// Chooses the service of a request by weight, given a random `draw` in [0, 1).
     pub fn choose_service(&self, draw: f64) -> Option<&str> {
         let total: u32 = self.targets.iter().map(|target| target.weight).sum();
         let mut left = draw * f64::from(total);
--- a/crates/tinbay-core/src/serving/server_limit.rs
+++ b/crates/tinbay-core/src/serving/server_limit.rs
@@ -1,31 +1,34 @@
-//! What a server says of its own limit: how many requests a second it takes from all boxes together.
+//! The rate limit that a server announces: how many requests per second it accepts from all boxes
+//! together.
 //!
-//! A server in need names it in its answers, for as long as they do. Answers overtake each other, and one
-//! without it may have been made before one with it. What is certain of an answer is that it was made after
-//! what it answers was sent, and before it came.
+//! An overloaded server names the limit in its answers for as long as it applies. Answers may
+//! overtake each other, and one without a limit may have been made before one with it. All that is
+//! certain is that an answer was made after its request was sent and before the answer was
+//! received.
 
 use crate::units::Millis;
 
-/// Part of a limit by which it must change to be worth a line and a message: a server may work it out anew
-/// for each answer.
-const NEWS_PART: f64 = 0.1;
+/// Relative change of a limit from which it is logged and sent to other boxes: a server may
+/// recompute it for each answer.
+const SIGNIFICANT_CHANGE: f64 = 0.1;
 
-/// Whether a limit has changed so much since it was last told that others should know.
-pub fn is_news(told: Option<f64>, now: Option<f64>) -> bool {
-    match (told, now) {
-        (Some(told), Some(now)) => (now - told).abs() > NEWS_PART * told,
-        (told, now) => told.is_some() != now.is_some(),
+/// Whether a limit differs enough from the one last reported that it should be reported again.
+pub fn is_news(reported: Option<f64>, now: Option<f64>) -> bool {
+    match (reported, now) {
+        (Some(reported), Some(now)) => (now - reported).abs() > SIGNIFICANT_CHANGE * reported,
+        (reported, now) => reported.is_some() != now.is_some(),
     }
 }
 
-/// What one answer of a server says of its limit.
+/// What one answer says about the server's rate limit.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct LimitNotice {
-    /// Requests a second that it takes from all boxes together; none where it names no limit.
+    /// Requests per second that the server accepts from all boxes together; none where it names no
+    /// limit.
     pub per_s: Option<f64>,
-    /// When what it answers was sent: it was said later.
+    /// When the request was sent: the answer was made later.
     pub said_after_ms: Millis,
-    /// When it came: it was said earlier.
+    /// When the answer was received: it was made earlier.
     pub said_before_ms: Millis,
 }
 
@@ -39,50 +42,52 @@
     }
 }
 
-/// The limit of one incarnation of a server, by all that it has said so far.
+/// The rate limit of one incarnation of a server, from all of its answers so far.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct SaidLimit {
     notice: Option<LimitNotice>,
-    /// Since when a limit has been known without a break.
-    since_ms: Option<Millis>,
-    /// Whether there ever was one.
+    /// Since when a limit has been in effect without interruption.
+    limited_since_ms: Option<Millis>,
+    /// Whether the server has ever named a limit.
     was_limited: bool,
 }
 
 impl SaidLimit {
-    /// Takes a notice. One that was certainly said later replaces what is known; of two that may have been
-    /// said in either order the tighter one holds, until something is sent after it came and answered.
+    /// Applies a notice. One that was certainly made later replaces the known one. Of two that may
+    /// have been made in either order the stricter one applies, until a request sent after its
+    /// receipt is answered.
     pub fn note(&mut self, notice: LimitNotice) {
         if self.notice.is_some_and(|known| !replaces(&notice, &known)) {
             return;
         }
         self.notice = Some(notice);
         self.was_limited |= notice.per_s.is_some();
-        self.since_ms = match notice.per_s {
-            Some(_) => self.since_ms.or(Some(notice.said_before_ms)),
+        self.limited_since_ms = match notice.per_s {
+            Some(_) => self.limited_since_ms.or(Some(notice.said_before_ms)),
             None => None,
         };
     }
 
-    /// Requests a second that the server takes from all boxes together; none where it has no limit.
+    /// Requests per second that the server accepts from all boxes together; none where it has no
+    /// limit.
     pub fn per_s(&self) -> Option<f64> {
         self.notice?.per_s
     }
 
-    /// For how long a limit has been known.
+    /// How long a limit has been in effect.
     pub fn known_for_ms(&self, now_ms: Millis) -> Millis {
-        let since_ms = self.since_ms.unwrap_or(now_ms);
-        now_ms.saturating_sub(since_ms)
+        let limited_since_ms = self.limited_since_ms.unwrap_or(now_ms);
+        now_ms.saturating_sub(limited_since_ms)
     }
 
-    /// What is known, to tell others; none of a server that has never named a limit, so that messages grow
-    /// only where there is something to say.
+    /// The latest notice, to send to other boxes; none if the server has never named a limit, which
+    /// keeps messages small.
     pub fn notice(&self) -> Option<LimitNotice> {
         self.notice.filter(|_| self.was_limited)
     }
 }
 
-/// Whether a notice replaces what is known.
+/// Whether a notice replaces the known one.
 fn replaces(notice: &LimitNotice, known: &LimitNotice) -> bool {
     let is_later = notice.said_after_ms >= known.said_before_ms;
     let is_earlier = known.said_after_ms >= notice.said_before_ms;
--- a/crates/tinbay-core/src/serving/servers.rs
+++ b/crates/tinbay-core/src/serving/servers.rs
@@ -1,25 +1,25 @@
-//! What a server says about itself.
+//! Records and reports that servers publish about themselves.
 
 use std::net::SocketAddr;
 
 use crate::units::Millis;
 
-/// Short name of an incarnation of a server, in memory and in messages.
+/// Short id of an incarnation of a server, in memory and in messages.
 pub type ServerKey = u64;
 
-/// A short form of a server's or an adapter's key in messages. Two that share one are told
-/// apart by the server itself, which refuses what it does not hold.
+/// A short hash of a server's or an adapter's key in messages. A collision is resolved by the
+/// server itself, which rejects requests for what it does not hold.
 pub type Fingerprint = u32;
 
-/// An adapter as `model/name`.
+/// Name of an adapter, as `model/name`.
 pub type AdapterName = String;
 
-/// The state a server announced.
+/// Lifecycle state that a server announced.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ServerState {
-    /// Takes work.
+    /// Accepts requests.
     Ready,
-    /// Finishes what runs and leaves.
+    /// Finishes running requests and then exits.
     Draining,
 }
 
@@ -33,37 +33,37 @@
     }
 }
 
-/// One incarnation of a server.
+/// Entry of one incarnation of a server, which lasts from its start to its exit.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ServerRecord {
-    /// Its name; it may have the same one after a restart.
+    /// Id of the server, which may stay the same over a restart.
     pub id: String,
-    /// When this incarnation of it started, on its own clock; none where it does not say.
+    /// Start time of this incarnation on the server's own clock; none where it does not report one.
     pub born_ms: Option<u64>,
-    /// Service it belongs to.
+    /// Service that the server belongs to.
     pub service: String,
-    /// Where it listens.
+    /// Address at which it listens.
     pub address: SocketAddr,
     /// Availability zone.
     pub zone: String,
-    /// Requests it works on at once.
+    /// Number of requests that it processes at once.
     pub slots: usize,
-    /// Whether it takes work.
+    /// Whether it accepts requests.
     pub state: ServerState,
-    /// Time it has left, when it is taken away at short notice.
+    /// Time until it is terminated; none unless it is withdrawn at short notice.
     pub remaining_ms: Option<Millis>,
-    /// How much longer it is slow from its start.
+    /// Remaining time for which it is slow after its start.
     pub slow_for_ms: Millis,
-    /// Orders it has taken.
+    /// Number of orders that it has accepted.
     pub order_count: u64,
-    /// Base models it holds.
+    /// Base models that it holds.
     pub models: Vec<String>,
-    /// Adapters it holds.
+    /// Adapters that it holds.
     pub adapters: Vec<HeldAdapter>,
 }
 
 impl ServerRecord {
-    /// The record without what it holds, which changes with every order.
+    /// The record without the fields that change with every order.
     pub fn identity(&self) -> Self {
         Self {
             order_count: 0,
@@ -74,30 +74,30 @@
     }
 }
 
-/// An adapter and the version of it that a server holds.
+/// An adapter and its version at a server.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct HeldAdapter {
-    /// The adapter as `model/name`.
+    /// Name of the adapter, as `model/name`.
     pub adapter: AdapterName,
-    /// Its version.
+    /// Version of the adapter.
     pub version: u64,
 }
 
-/// A server's own report, as of some hundred milliseconds before.
+/// A server's report of its contents; some hundred milliseconds old.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Report {
-    /// When the incarnation that reports started, on its own clock; none where it does not say.
+    /// Start time of the reporting incarnation on its own clock; none where it does not report one.
     pub born_ms: Option<u64>,
-    /// Orders it has taken.
+    /// Number of orders that it has accepted.
     pub order_count: u64,
-    /// Whether an order is under way that keeps it from taking others.
+    /// Whether it is busy with an order that keeps it from accepting others.
     pub is_busy: bool,
-    /// Base models it holds.
+    /// Base models that it holds.
     pub models: Vec<String>,
-    /// Adapters it holds.
+    /// Adapters that it holds.
     pub adapters: Vec<HeldAdapter>,
-    /// Adapters on their way to it.
+    /// Adapters that are being loaded.
     pub incoming: Vec<HeldAdapter>,
-    /// Adapters that load fast because the server had them lately.
+    /// Adapters that load fast because the server held them recently and has them cached.
     pub at_hand: Vec<HeldAdapter>,
 }
--- a/crates/tinbay-core/src/serving/stream_sight.rs
+++ b/crates/tinbay-core/src/serving/stream_sight.rs
@@ -1,12 +1,12 @@
-//! What a box sees of one answer on its way: when its pieces came from the server.
+//! Timing of one answer as a box forwards it: when its pieces arrived from the server.
 //!
 //! An answer may be late in two ways that have different causes: its first piece took too long, or
-//! a pause between two pieces did. A pause in turn has two sides: the server sent nothing, or the
-//! caller's side did not ask for what had come.
+//! a pause between two pieces did. A pause in turn has two possible causes: the server sent
+//! nothing, or the caller's side did not read what had arrived.
 
 use crate::units::Millis;
 
-/// The pieces of one answer, as they came from the server.
+/// Timing of the pieces of one answer.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct StreamSight {
     first_ms: Option<Millis>,
@@ -20,7 +20,7 @@
 }
 
 impl StreamSight {
-    /// Notes that a piece came.
+    /// Records the arrival of a piece.
     pub fn note_piece(&mut self, now_ms: Millis) {
         if self.first_ms.is_none() {
             self.first_ms = Some(now_ms);
@@ -29,7 +29,7 @@
             if pause_ms > self.longest_pause_ms {
                 self.longest_pause_ms = pause_ms;
                 self.longest_pause_at = self.pieces;
-                self.longest_pause_untaken_ms = self.untaken_since_last_ms(now_ms);
+                self.longest_pause_untaken_ms = self.unread_since_last_ms(now_ms);
             }
         }
         self.asked_ms = None;
@@ -37,28 +37,28 @@
         self.pieces = self.pieces.saturating_add(1);
     }
 
-    /// Notes that the caller's side asks for the next piece. From the last piece until then it took
-    /// nothing, and whatever had come from the server waited.
+    /// Records that the caller's side asks for the next piece. From the last piece until then it
+    /// read nothing, and data that had arrived from the server waited.
     pub fn note_asked(&mut self, now_ms: Millis) {
         if self.first_ms.is_none() || self.asked_ms.is_some() {
             return;
         }
         self.asked_ms = Some(now_ms);
-        let untaken_ms = self.untaken_since_last_ms(now_ms);
+        let untaken_ms = self.unread_since_last_ms(now_ms);
         self.untaken_ms = self.untaken_ms.saturating_add(untaken_ms);
     }
 
-    /// When the first piece came.
+    /// When the first piece arrived.
     pub fn first_ms(&self) -> Option<Millis> {
         self.first_ms
     }
 
-    /// When the last piece came.
+    /// When the last piece arrived.
     pub fn last_ms(&self) -> Option<Millis> {
         self.first_ms.map(|_| self.last_ms)
     }
 
-    /// Pieces that came.
+    /// Number of pieces that have arrived.
     pub fn pieces(&self) -> u32 {
         self.pieces
     }
@@ -68,31 +68,31 @@
         self.longest_pause_ms
     }
 
-    /// Pieces that had come before the longest pause.
+    /// Number of pieces that had arrived before the longest pause.
     pub fn longest_pause_at(&self) -> u32 {
         self.longest_pause_at
     }
 
-    /// Part of the longest pause in which the caller's side asked for nothing.
+    /// Part of the longest pause in which the caller's side was not reading.
     pub fn longest_pause_untaken_ms(&self) -> Millis {
         self.longest_pause_untaken_ms
     }
 
-    /// Time between the first piece and the last one: the sum of all pauses.
+    /// Time between the first piece and the last one, which is the sum of all pauses.
     pub fn pauses_ms(&self) -> Millis {
         self.first_ms
             .map_or(0, |first_ms| self.last_ms.saturating_sub(first_ms))
     }
 
-    /// Time, up to `now_ms`, in which the caller's side asked for nothing.
+    /// Total time up to `now_ms` in which the caller's side was not reading.
     pub fn untaken_ms(&self, now_ms: Millis) -> Millis {
-        let is_open = self.first_ms.is_some() && self.asked_ms.is_none();
-        let open_ms = if is_open {
-            self.untaken_since_last_ms(now_ms)
+        let is_unread = self.first_ms.is_some() && self.asked_ms.is_none();
+        let current_ms = if is_unread {
+            self.unread_since_last_ms(now_ms)
         } else {
             0
         };
-        self.untaken_ms.saturating_add(open_ms)
+        self.untaken_ms.saturating_add(current_ms)
     }
 
     /// Time since the last piece; none before the first one.
@@ -100,7 +100,7 @@
         self.last_ms().map(|last_ms| now_ms.saturating_sub(last_ms))
     }
 
-    fn untaken_since_last_ms(&self, now_ms: Millis) -> Millis {
+    fn unread_since_last_ms(&self, now_ms: Millis) -> Millis {
         self.asked_ms.unwrap_or(now_ms).saturating_sub(self.last_ms)
     }
 
--- a/crates/tinbay-core/src/serving/trusted_rest.rs
+++ b/crates/tinbay-core/src/serving/trusted_rest.rs
@@ -1,56 +1,58 @@
-//! How long a kept connection may have rested and still take a request that may run only once.
+//! Learns how long a pooled connection may have been idle and still carry a request that may run
+//! only once.
 //!
-//! Load it answers: many boxes before many servers, so that one box and one server meet only every
-//! few seconds. A server may forget a resting connection earlier than it says, and a link may drop
-//! one in silence; the request that finds out is lost, as nobody can tell whether it ran. One
-//! learner serves all connections of a service: what one server forgets, the others may forget.
+//! With many boxes before many servers, one box and one server meet only every few seconds. A
+//! server may close an idle connection earlier than it announces, and a link may drop one silently;
+//! the request that is sent on such a connection is lost, as nobody can tell whether it ran. All
+//! connections of a service share one limit, as servers of a service tend to close idle connections
+//! alike.
 //!
-//! The bound that it keeps: of requests that may run only once and go out on a connection that
-//! rested longer than [`START_MS`], at most two are lost in a thousand reuses, beyond those that
-//! were under way when the first one was lost, of which there are at most [`MOST_AT_STAKE`].
+//! Guarantee: of the requests that may run only once and are sent on a connection that was idle
+//! longer than [`START_MS`], at most two are lost per thousand reuses, besides those already in
+//! flight at the first loss, of which there are at most [`MOST_AT_STAKE`].
 
 use super::servers::ServerKey;
 use crate::units::Millis;
 
-/// Rest that is trusted before anything was learnt.
+/// Initial idle limit.
 pub const START_MS: Millis = 500;
 
-/// Rest that is always trusted: no server forgets between two requests of one burst, so that what
-/// breaks then breaks for other reasons.
+/// Lower bound of the idle limit: no server closes a connection between two requests of one burst,
+/// so failures of connections with less idle time have other causes.
 pub const LEAST_MS: Millis = 100;
 
-/// Longest rest that is ever trusted.
+/// Upper bound of the idle limit.
 pub const MOST_MS: Millis = 8_000;
 
-/// Requests that may run only once and are under way on connections that rested longer than
-/// [`START_MS`], unanswered: as many are lost if all connections go silent at once.
+/// Most unanswered requests that may run only once on connections that were idle longer than
+/// [`START_MS`]: as many are lost if all connections break silently at once.
 pub const MOST_AT_STAKE: usize = 4;
 
-/// Reuses that went well after a loss before longer rests are tried again.
+/// Successful reuses after a loss before the idle limit may grow again.
 pub const REUSES_A_LOSS: u32 = 1_000;
 
-/// Reuses near the trusted rest that went well before it is doubled.
-const WELL_TO_GROW: u32 = 4;
+/// Successful reuses near the idle limit before it is doubled.
+const SUCCESSES_TO_GROW: u32 = 4;
 
-/// Connections of two servers that fall silent within this time did not fall silent for reasons of
-/// one server.
+/// Window within which silent connections of two servers count as a common failure rather than one
+/// of a single server.
 const SILENCE_WINDOW_MS: Millis = 2_000;
 
-/// How a reused connection took a request.
+/// Outcome of a request on a reused connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReuseEnd {
-    /// The head of the answer came.
+    /// The head of the answer arrived.
     Answered,
-    /// It was closed at once, without an answer.
+    /// The connection was closed without an answer.
     Broken,
-    /// It was seen to be closed before anything was sent.
+    /// The connection was found closed before anything was sent.
     FoundClosed,
-    /// Nothing came where an answer was due.
+    /// No answer arrived in time.
     Silent,
 }
 
 impl ReuseEnd {
-    /// Name for logs and measures.
+    /// Name in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             ReuseEnd::Answered => "answered",
@@ -61,28 +63,28 @@
     }
 }
 
-/// What became of one reused connection.
+/// One reuse of an idle connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Reuse {
-    /// Whose connection.
+    /// Server of the connection.
     pub server: ServerKey,
-    /// How long it had rested.
+    /// How long the connection had been idle.
     pub rested_ms: Millis,
-    /// How it took the request.
+    /// Outcome of the request.
     pub end: ReuseEnd,
 }
 
-/// What was learnt of the connections of one service.
+/// Idle limit for the connections of one service.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TrustedRest {
     trusted_ms: Millis,
-    /// Where growth ends until enough reuses went well.
+    /// Bound on growth until enough reuses have succeeded.
     ceiling_ms: Millis,
-    /// Reuses near the trusted rest that went well, since it last changed.
-    well: u32,
-    /// Reuses that went well since the last loss.
-    well_since_loss: u32,
-    at_stake: usize,
+    /// Successful reuses near the limit since it last changed.
+    near_successes: u32,
+    /// Successful reuses since the last loss.
+    successes_since_loss: u32,
+    at_risk: usize,
     silent: Option<(ServerKey, Millis)>,
 }
 
@@ -91,60 +93,61 @@
         Self {
             trusted_ms: START_MS,
             ceiling_ms: MOST_MS,
-            well: 0,
-            well_since_loss: REUSES_A_LOSS,
-            at_stake: 0,
+            near_successes: 0,
+            successes_since_loss: REUSES_A_LOSS,
+            at_risk: 0,
             silent: None,
         }
     }
 }
 
 impl TrustedRest {
-    /// Longest rest that is trusted with a request that may run only once.
+    /// Longest idle time of a connection that may carry a request that may run only once.
     pub fn trusted_ms(&self) -> Millis {
-        if self.at_stake < MOST_AT_STAKE {
+        if self.at_risk < MOST_AT_STAKE {
             self.trusted_ms
         } else {
             self.trusted_ms.min(START_MS)
         }
     }
 
-    /// Notes that a request that may run only once goes out on a connection that rested so long;
-    /// whether it is at stake, and [`TrustedRest::release`] is due when its fate is known.
+    /// Records that a request that may run only once is sent on a connection that was idle for
+    /// `rested_ms`. Returns whether it counts as at risk; if so, [`TrustedRest::release`] must be
+    /// called when its outcome is known.
     pub fn stake(&mut self, rested_ms: Millis) -> bool {
-        let is_at_stake = rested_ms > START_MS;
-        self.at_stake += usize::from(is_at_stake);
-        is_at_stake
+        let is_at_risk = rested_ms > START_MS;
+        self.at_risk += usize::from(is_at_risk);
+        is_at_risk
     }
 
-    /// The fate of a request at stake is known.
+    /// Records that the outcome of a request at risk is known.
     pub fn release(&mut self) {
-        self.at_stake = self.at_stake.saturating_sub(1);
+        self.at_risk = self.at_risk.saturating_sub(1);
     }
 
-    /// Learns from one reused connection; whether less is trusted from now on.
+    /// Adjusts the limit after one reuse; returns whether it was reduced.
     pub fn note(&mut self, reuse: &Reuse, now_ms: Millis) -> bool {
         let before_ms = self.trusted_ms;
         match reuse.end {
-            ReuseEnd::Answered => self.note_well(reuse.rested_ms),
-            ReuseEnd::FoundClosed => self.well = 0,
+            ReuseEnd::Answered => self.note_success(reuse.rested_ms),
+            ReuseEnd::FoundClosed => self.near_successes = 0,
             ReuseEnd::Broken => self.note_loss(reuse.rested_ms),
             ReuseEnd::Silent => self.note_silent(reuse, now_ms),
         }
         self.trusted_ms < before_ms
     }
 
-    fn note_well(&mut self, rested_ms: Millis) {
-        self.well_since_loss = self.well_since_loss.saturating_add(1);
-        if self.well_since_loss >= REUSES_A_LOSS {
+    fn note_success(&mut self, rested_ms: Millis) {
+        self.successes_since_loss = self.successes_since_loss.saturating_add(1);
+        if self.successes_since_loss >= REUSES_A_LOSS {
             self.ceiling_ms = MOST_MS;
         }
         if rested_ms < self.trusted_ms / 2 {
             return;
         }
-        self.well += 1;
-        if self.well >= WELL_TO_GROW {
-            self.well = 0;
+        self.near_successes += 1;
+        if self.near_successes >= SUCCESSES_TO_GROW {
+            self.near_successes = 0;
             self.trusted_ms = (self.trusted_ms * 2).min(self.ceiling_ms);
         }
     }
@@ -153,15 +156,16 @@
         if rested_ms <= LEAST_MS {
             return;
         }
-        let is_first = self.well_since_loss >= REUSES_A_LOSS;
+        let is_first = self.successes_since_loss >= REUSES_A_LOSS;
         let safe_ms = if is_first { rested_ms / 2 } else { LEAST_MS };
         self.trusted_ms = self.trusted_ms.min(safe_ms).max(LEAST_MS);
         self.ceiling_ms = self.trusted_ms;
-        self.well = 0;
-        self.well_since_loss = 0;
+        self.near_successes = 0;
+        self.successes_since_loss = 0;
     }
 
-    /// One server alone may have died; what its connections say of others is nothing.
+    /// A silent connection counts as a loss only if another server's connection fell silent as
+    /// well: a single server may have crashed, which says nothing about the others.
     fn note_silent(&mut self, reuse: &Reuse, now_ms: Millis) {
         let before = self.silent.replace((reuse.server, now_ms));
         let is_shared = before.is_some_and(|(server, silent_ms)| {
--- a/crates/tinbay-core/src/serving/wants.rs
+++ b/crates/tinbay-core/src/serving/wants.rs
@@ -1,7 +1,7 @@
-//! What boxes ask of one server, as its holder keeps it.
+//! Loads that boxes request of one server, as its holder tracks them.
 //!
-//! A want lives as long as it is asked for: boxes ask again while a request waits. So nothing
-//! has to be taken back, and a box that dies leaves nothing behind.
+//! A request expires unless it is repeated: boxes ask again while a caller's request waits. So
+//! nothing has to be cancelled, and a box that crashes leaves nothing behind.
 
 use std::collections::HashMap;
 
@@ -9,17 +9,17 @@
 use super::servers::AdapterName;
 use crate::units::Millis;
 
-/// How long an ask counts; boxes repeat theirs several times in between.
-const ASK_LIFE_MS: Millis = 1_000;
+/// How long a load request is valid; boxes repeat theirs several times within it.
+const REQUEST_EXPIRY_MS: Millis = 1_000;
 
-/// An adapter that requests need, or a model where no adapter is named.
+/// A request to load an adapter, or a base model where no adapter is named.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Want {
-    /// The adapter as `model/name`.
+    /// Name of the adapter, as `model/name`.
     pub adapter: AdapterName,
-    /// The version that was named, if one was.
+    /// Version to load; the newest one where none is given.
     pub version: Option<u64>,
-    /// Whether no request waits for it: it is for one more server of a busy adapter.
+    /// Whether it is an additional copy of a busy adapter, for which no caller's request waits.
     pub is_copy: bool,
 }
 
@@ -30,14 +30,15 @@
     last_ms: Millis,
 }
 
-/// What boxes ask of one server.
+/// Load requests of all boxes for one server.
 #[derive(Debug, Default)]
 pub struct Wants {
     by_adapter: HashMap<AdapterKey, Asked>,
 }
 
 impl Wants {
-    /// Notes an ask; a request that waits counts before a copy of the same adapter.
+    /// Adds a load request, or renews it with the newer version of the two. If any box has a
+    /// request waiting for the adapter, the load no longer counts as a copy.
     pub fn ask(&mut self, want: Want, now_ms: Millis) {
         let key = adapter_key(&want.adapter);
         let Some(asked) = self.by_adapter.get_mut(&key) else {
@@ -54,26 +55,27 @@
         asked.last_ms = now_ms;
     }
 
-    /// The adapter is there.
+    /// Removes an adapter that has been loaded.
     pub fn forget(&mut self, key: AdapterKey) {
         self.by_adapter.remove(&key);
     }
 
-    /// Adapters that requests wait for.
+    /// Number of adapters that callers' requests wait for.
     pub fn awaited(&self) -> usize {
         let is_awaited = |asked: &&Asked| !asked.want.is_copy;
         self.by_adapter.values().filter(is_awaited).count()
     }
 
-    /// Whether nothing is wanted.
+    /// Whether there are no load requests.
     pub fn is_empty(&self) -> bool {
         self.by_adapter.is_empty()
     }
 
-    /// What is wanted now: what requests wait for first, and the longest wanted first.
+    /// Valid load requests: those that callers wait for first, then copies; oldest first within
+    /// each.
     pub fn current(&mut self, now_ms: Millis) -> Vec<Want> {
         self.by_adapter
-            .retain(|_, asked| now_ms < asked.last_ms + ASK_LIFE_MS);
+            .retain(|_, asked| now_ms < asked.last_ms + REQUEST_EXPIRY_MS);
         let mut asked: Vec<&Asked> = self.by_adapter.values().collect();
         asked.sort_by(|left, right| {
             let order = |asked: &Asked| (asked.want.is_copy, asked.first_ms);
