--- a/crates/tinbay-node/src/controllers/answers.rs
+++ b/crates/tinbay-node/src/controllers/answers.rs
@@ -1,4 +1,4 @@
-//! Answers the control messages of other boxes.
+//! Handles control messages from other boxes.
 
 use std::sync::Arc;
 
@@ -7,19 +7,19 @@
 use tinbay_core::units::Revision;
 use tinbay_wire::control::{Envelope, HeardBox, Heartbeat, Message, Reply};
 
-use super::succession::note_succession;
+use super::succession::record_succession;
 use crate::control::Answer;
 use crate::state::Node;
 use crate::util::clock::wall_ms;
 use crate::util::sync::{lock, read, write};
 
-/// Answers for one box.
+/// Handles the control messages that arrive at one box.
 pub struct ControlAnswers {
     node: Arc<Node>,
 }
 
 impl ControlAnswers {
-    /// Answers for `node`.
+    /// Creates the handler of `node`.
     pub fn new(node: &Arc<Node>) -> Self {
         Self {
             node: Arc::clone(node),
@@ -45,7 +45,7 @@
             Reply::Ok
         }
         Message::AskLoad(wish) => {
-            node.loads.wait_here(node, wish).await;
+            node.loads.wait_for_region_grant(node, wish).await;
             Reply::LoadGranted
         }
         Message::EndLoad {
@@ -53,11 +53,11 @@
             model,
             unused,
         } => {
-            node.loads.end_here(&engine, &model, unused);
+            node.loads.end_region_load(&engine, &model, unused);
             Reply::Ok
         }
         Message::Succession(succession) => {
-            note_succession(node, &succession);
+            record_succession(node, &succession);
             Reply::Ok
         }
         Message::HandOver(engine) => {
@@ -83,7 +83,7 @@
     ))
 }
 
-/// What this box last heard from each box of its zone, itself included.
+/// The last heartbeat received from each box of this zone, with a current entry for this box.
 pub fn zone_status(node: &Node) -> Vec<HeardBox> {
     let members = read(&node.members);
     let mut heard = members.heard_in(&node.options.zone, node.clock.now_ms());
--- a/crates/tinbay-node/src/controllers/box_lease.rs
+++ b/crates/tinbay-node/src/controllers/box_lease.rs
@@ -1,7 +1,7 @@
-//! The lease under which a box gives orders to engines that do not check them.
+//! The lease that a box needs to send orders to engines that do not check fencing tokens.
 //!
-//! The lease is a key in the key-value service. The holder counts its life from before it
-//! asked for the renewal, so it knows of the end no later than the service does.
+//! The lease is a key in the key-value service. The holder measures the lifetime from before it sent
+//! the renewal, so it considers the lease expired no later than the service does.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -17,46 +17,46 @@
 use crate::platform::{LeaseId, PlatformError, TxnEnd, Write, keys};
 use crate::state::Node;
 
-/// Life of the lease.
+/// Lifetime of the lease.
 pub const LEASE_TTL_MS: Millis = 5_000;
 
-/// The same as the key-value service takes it.
-const TTL_S: i64 = LEASE_TTL_MS as i64 / 1_000;
+/// [`LEASE_TTL_MS`] in the unit of the key-value service.
+const LEASE_TTL_S: i64 = LEASE_TTL_MS as i64 / 1_000;
 
 /// Time between renewals.
 const PERIOD: Duration = Duration::from_secs(1);
 
-/// The holder holds the lease for over this much before the service does.
-const MARGIN_MS: Millis = 1_000;
+/// The holder considers the lease expired this much earlier than the service does.
+const SAFETY_MARGIN_MS: Millis = 1_000;
 
-/// Until when orders may be given; read right before each.
+/// The time until which orders may be sent; read right before each order.
 #[derive(Debug, Default)]
 pub struct BoxLease {
-    sure_until_ms: AtomicU64,
+    valid_until_ms: AtomicU64,
 }
 
 impl BoxLease {
     /// Whether the lease is certainly held at `now_ms`.
     pub fn is_sure(&self, now_ms: Millis) -> bool {
-        now_ms < self.sure_until_ms.load(Ordering::Acquire)
+        now_ms < self.valid_until_ms.load(Ordering::Acquire)
     }
 
     fn extend(&self, until_ms: Millis) {
-        self.sure_until_ms.store(until_ms, Ordering::Release);
+        self.valid_until_ms.store(until_ms, Ordering::Release);
     }
 }
 
-/// Holds the lease while the box may own engines that check no orders.
+/// Holds the lease while the region has engines that do not check orders.
 pub struct BoxLeaseController {
     node: Arc<Node>,
     lease: Option<LeaseId>,
-    /// State of the fleet for which it was last looked whether a lease is needed.
+    /// Generation of the fleet configuration for which `needed` was computed.
     generation: Option<u64>,
     needed: bool,
 }
 
 impl BoxLeaseController {
-    /// A controller without a lease.
+    /// Creates a controller without a lease.
     pub fn new(node: &Arc<Node>) -> Self {
         Self {
             node: Arc::clone(node),
@@ -66,27 +66,27 @@
         }
     }
 
-    async fn hold(&mut self) {
+    async fn acquire_or_renew(&mut self) {
         if !self.is_needed() {
             return;
         }
         let asked_ms = self.node.clock.now_ms();
         let held = match self.lease {
             Some(lease) => self.renew(lease).await,
-            None => self.begin().await,
+            None => self.acquire().await,
         };
         match held {
             Ok(true) => {
-                let life_ms = LEASE_TTL_MS - MARGIN_MS;
-                self.node.lease.extend(asked_ms + life_ms);
+                let lifetime_ms = LEASE_TTL_MS - SAFETY_MARGIN_MS;
+                self.node.lease.extend(asked_ms + lifetime_ms);
             }
             Ok(false) => self.lease = None,
             Err(error) => log::debug!(target: part::OWNER, "lease not renewed: {error}"),
         }
     }
 
-    /// Whether any engine of the region checks no orders; looked up once a fleet change, since
-    /// there may be thousands.
+    /// Whether any engine of the region does not check orders. Cached until the fleet configuration
+    /// changes, since there may be thousands of engines.
     fn is_needed(&mut self) -> bool {
         let generation = self.node.config.fleet_generation();
         if self.generation != Some(generation) {
@@ -107,8 +107,8 @@
         self.node.kv.keep_lease(lease).await
     }
 
-    async fn begin(&mut self) -> Result<bool, PlatformError> {
-        let lease = self.node.kv.grant_lease(TTL_S).await?;
+    async fn acquire(&mut self) -> Result<bool, PlatformError> {
+        let lease = self.node.kv.grant_lease(LEASE_TTL_S).await?;
         let write = Write::Put {
             key: keys::lease(self.node.id()),
             value: self.node.incarnation.to_string().into_bytes(),
@@ -126,6 +126,6 @@
     }
 
     fn step(&mut self) -> LocalBoxFuture<'_, ()> {
-        self.hold().boxed_local()
+        self.acquire_or_renew().boxed_local()
     }
 }
--- a/crates/tinbay-node/src/controllers/box_list.rs
+++ b/crates/tinbay-node/src/controllers/box_list.rs
@@ -1,4 +1,5 @@
-//! Reads the platform's list of boxes: until the box has joined, then as a keeper.
+//! Polls the platform's list of boxes. Every box does so until it has joined; afterwards only the
+//! keepers of a zone (the boxes that maintain its membership view) do.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,19 +12,19 @@
 use crate::state::Node;
 use crate::util::sync::write;
 
-/// Time between reads.
+/// Time between reads once the box has joined.
 const PERIOD: Duration = Duration::from_secs(1);
 
-/// Time between reads while the box has not joined.
+/// Time between reads before the box has joined.
 const JOINING_PERIOD: Duration = Duration::from_millis(200);
 
-/// Keeps the platform's list.
+/// Copies the platform's list of boxes into the membership state.
 pub struct BoxListController {
     node: Arc<Node>,
 }
 
 impl BoxListController {
-    /// A controller that has read nothing yet.
+    /// Creates a controller that has not read the list yet.
     pub fn new(node: &Arc<Node>) -> Self {
         Self {
             node: Arc::clone(node),
@@ -35,14 +36,14 @@
             return;
         }
         let Ok(listed) = self.node.box_list.read().await else {
-            log::debug!(target: part::MEMBER, "the list of boxes does not answer");
+            log::debug!(target: part::MEMBER, "the box list service did not answer");
             return;
         };
         let alone = listed.iter().all(|entry| entry.id == *self.node.id());
-        let marked = listed.iter().any(|entry| {
+        let marked_leaving = listed.iter().any(|entry| {
             entry.id == *self.node.id() && entry.state == tinbay_core::view::BoxState::Leaving
         });
-        if marked && !self.node.is_leaving() {
+        if marked_leaving && !self.node.is_leaving() {
             self.node.leave();
         }
         write(&self.node.members).set_listed(listed);
--- a/crates/tinbay-node/src/controllers/config_catch_up.rs
+++ b/crates/tinbay-node/src/controllers/config_catch_up.rs
@@ -1,5 +1,5 @@
-//! Catches up with a revision another box has spoken of, by asking boxes, not the
-//! key-value service.
+//! Fetches newer configuration from other boxes, not from the key-value service, once any of them
+//! has mentioned a newer revision.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,26 +15,26 @@
 use crate::state::Node;
 use crate::util::sync::read;
 
-/// How long the controller sleeps when nobody wakes it.
+/// Longest wait for a wake-up. A box that has heard from nobody for this long also asks others.
 const IDLE: Duration = Duration::from_secs(1);
 
-/// Time between steps.
+/// Time between the end of one step and the next wait for a wake-up.
 const PERIOD: Duration = Duration::from_millis(20);
 
-/// How long a whole configuration may take on its way. Later updates are short, and a box that
-/// is frozen must not hold them up: the next one is asked after the usual patience.
-const WHOLE_WITHIN: Duration = Duration::from_secs(5);
+/// Timeout for fetching the whole configuration. Later updates are short and use the ordinary
+/// timeout, so that a frozen box does not delay the request to the next one.
+const FULL_FETCH_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Other boxes asked before the next step.
-const ASKED: usize = 3;
+/// Other boxes asked per step.
+const BOXES_PER_STEP: usize = 3;
 
-/// Fetches configuration from other boxes.
+/// Brings the configuration of this box up to the newest revision that it knows of.
 pub struct CatchUpController {
     node: Arc<Node>,
 }
 
 impl CatchUpController {
-    /// A controller with nothing to fetch.
+    /// Creates a controller with nothing to fetch.
     pub fn new(node: &Arc<Node>) -> Self {
         Self {
             node: Arc::clone(node),
@@ -50,7 +50,7 @@
         }
         let in_force = self.node.config.in_force();
         if in_force > 0 && self.node.has_joined() && self.node.set_ready() {
-            log::info!(target: part::NODE, "ready with revision {in_force}");
+            log::info!(target: part::NODE, "ready with configuration revision {in_force}");
         }
     }
 
@@ -58,20 +58,24 @@
         for peer in self.peers() {
             let since = self.node.config.in_force();
             let message = Message::ConfigSince(since);
-            let within = if since == 0 { WHOLE_WITHIN } else { ASK_WITHIN };
-            let reply = self.node.ask(&peer.control_address, message, within).await;
+            let timeout = if since == 0 {
+                FULL_FETCH_TIMEOUT
+            } else {
+                ASK_WITHIN
+            };
+            let reply = self.node.ask(&peer.control_address, message, timeout).await;
             if let Ok(Reply::Config(update)) = reply {
                 self.node.note_contact();
                 self.node.config.apply_update(&update);
                 if self.node.config.in_force() >= self.node.wanted_revision() {
-                    log::debug!(target: part::CONFIG, "caught up with {}", peer.id);
+                    log::debug!(target: part::CONFIG, "configuration brought up to date from {}", peer.id);
                     return;
                 }
             }
         }
     }
 
-    /// The keepers of the zone first, then any other box.
+    /// Keepers of the zone first, then any other boxes.
     fn peers(&self) -> Vec<BoxRecord> {
         let members = read(&self.node.members);
         let view = members.view();
@@ -80,7 +84,7 @@
         peers
             .into_iter()
             .filter(|peer| peer.id != *self.node.id())
-            .take(ASKED)
+            .take(BOXES_PER_STEP)
             .cloned()
             .collect()
     }
--- a/crates/tinbay-node/src/controllers/config_watch.rs
+++ b/crates/tinbay-node/src/controllers/config_watch.rs
@@ -1,4 +1,5 @@
-//! As a keeper, watches the configuration in the key-value service.
+//! Watches the configuration in the key-value service while this box is a keeper. Other boxes get
+//! configuration from the keepers.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,24 +14,24 @@
 use crate::platform::{Listing, PlatformError, WatchedChange, keys};
 use crate::state::Node;
 
-/// Time between the end of a watch and the next; lengthened at random, so that keepers do
-/// not come back all at once after an outage.
+/// Delay before a watch is restarted, doubled with each failure. The jitter of all controllers keeps
+/// keepers from reconnecting at the same moment after an outage.
 const RETRY: Duration = Duration::from_millis(500);
 
-/// Longest time between tries in a long outage.
-const LONGEST_RETRY: Duration = Duration::from_secs(5);
+/// Upper bound of the delay between attempts during a long outage.
+const MAX_RETRY: Duration = Duration::from_secs(5);
 
-/// A watch that has been silent for this long is checked against the newest revision.
-const SILENT_WATCH: Duration = Duration::from_secs(2);
+/// A watch without events for this long is checked against the newest revision.
+const IDLE_WATCH: Duration = Duration::from_secs(2);
 
-/// Watches the configuration.
+/// Applies configuration changes from the key-value service as they are made.
 pub struct ConfigWatchController {
     node: Arc<Node>,
     failures: u32,
 }
 
 impl ConfigWatchController {
-    /// A controller that watches nothing yet.
+    /// Creates a controller without an active watch.
     pub fn new(node: &Arc<Node>) -> Self {
         Self {
             node: Arc::clone(node),
@@ -47,12 +48,13 @@
             Ok(()) => self.failures = 0,
             Err(error) => {
                 self.failures = self.failures.saturating_add(1);
-                log::debug!(target: part::CONFIG, "watching the configuration ended: {error}");
+                log::debug!(target: part::CONFIG, "configuration watch ended: {error}");
             }
         }
     }
 
-    /// Lists once, then follows the changes until something fails or the duty ends.
+    /// Reads the whole configuration once, then applies changes until an error occurs or this box is
+    /// no longer a keeper.
     async fn list_and_follow(&mut self) -> Result<(), PlatformError> {
         let listing = self.node.kv.list(keys::CONFIG).await?;
         let from = listing.revision;
@@ -62,7 +64,7 @@
         log::info!(target: part::CONFIG, "revision {from} is in force after a full read");
         let mut watch = self.node.kv.watch(keys::CONFIG, from + 1).await?;
         while self.is_keeper() {
-            match tokio::time::timeout(SILENT_WATCH, watch.next()).await {
+            match tokio::time::timeout(IDLE_WATCH, watch.next()).await {
                 Ok(changes) => self.apply(&changes?),
                 Err(_) => self.check_head().await?,
             }
@@ -77,14 +79,15 @@
                 .config
                 .apply(&change.key, change.revision, change.object);
         }
-        // All changes of one transaction arrive together, so the highest is complete.
+        // All changes of a transaction arrive in one batch, so the highest revision is complete.
         if let Some(newest) = changes.iter().map(|change| change.revision).max() {
             self.node.config.advance(newest);
             log::debug!(target: part::CONFIG, "revision {newest} is in force");
         }
     }
 
-    /// Ends a watch that has missed a change, as after a connection that broke unseen.
+    /// Fails if the watch has missed a change, for instance because its connection broke without
+    /// an error.
     async fn check_head(&self) -> Result<(), PlatformError> {
         let head = self.node.kv.get(keys::CONFIG_HEAD).await?;
         self.node.note_contact();
@@ -100,7 +103,7 @@
     }
 }
 
-/// A whole update out of a full listing.
+/// Converts a listing of all stored objects into a full configuration update.
 pub fn whole_update(listing: &Listing) -> ConfigUpdate {
     let changes = listing
         .pairs
@@ -118,7 +121,7 @@
     parse(&change.key, change.revision, change.value.as_deref())
 }
 
-/// An object as stored; one that cannot be read is left out and logged.
+/// Parses a stored object. One that cannot be parsed is logged and skipped.
 fn parse(key: &str, revision: Revision, value: Option<&[u8]>) -> Option<ConfigChange> {
     let name = key.strip_prefix(keys::CONFIG)?;
     let key: ConfigKey = name.parse().ok()?;
@@ -127,7 +130,7 @@
         Some(json) => match serde_json::from_slice::<ConfigObject>(json) {
             Ok(object) => Some(object),
             Err(error) => {
-                log::error!(target: part::CONFIG, "{key} at revision {revision} cannot be read: {error}");
+                log::error!(target: part::CONFIG, "{key} at revision {revision} cannot be parsed: {error}");
                 return None;
             }
         },
@@ -141,7 +144,7 @@
 
 impl Controller for ConfigWatchController {
     fn period(&self) -> Duration {
-        (RETRY * 2_u32.saturating_pow(self.failures.min(4))).min(LONGEST_RETRY)
+        (RETRY * 2_u32.saturating_pow(self.failures.min(4))).min(MAX_RETRY)
     }
 
     fn step(&mut self) -> LocalBoxFuture<'_, ()> {
--- a/crates/tinbay-node/src/controllers/meeting.rs
+++ b/crates/tinbay-node/src/controllers/discovery.rs
@@ -1,4 +1,5 @@
-//! Meets boxes that the platform lists: until one has answered, then those that the view does not hold.
+//! Contacts boxes from the platform's list: any of them until this box has joined, afterwards those
+//! that are missing from the view.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,43 +12,43 @@
 use tinbay_wire::box_list::ListedBox;
 
 use super::Controller;
-use super::beats::Beats;
+use super::heartbeat_client::HeartbeatClient;
 use crate::state::Node;
 use crate::util::sync::{read, write};
 
-/// Listed boxes asked at a time.
-const BOXES_ASKED: usize = 3;
+/// Listed boxes contacted per step.
+const BOXES_PER_STEP: usize = 3;
 
-/// A box that finds nobody for this long goes on alone.
+/// A box that reaches no other box within this time after its start continues alone.
 const ALONE_AFTER_MS: Millis = 3_000;
 
-/// Asks listed boxes until one has answered. After that keepers go on with those not in the view, so
-/// that two halves of a fleet that lost each other meet again.
-pub struct MeetingController {
+/// Contacts listed boxes until one has answered. Afterwards keepers keep contacting listed boxes that
+/// are missing from their view, so that the two sides of a healed network partition merge again.
+pub struct DiscoveryController {
     node: Arc<Node>,
-    beats: Beats,
+    client: HeartbeatClient,
 }
 
-impl MeetingController {
-    /// A controller that has met nobody yet.
+impl DiscoveryController {
+    /// Creates a controller that has not contacted any box yet.
     pub fn new(node: &Arc<Node>) -> Self {
         Self {
             node: Arc::clone(node),
-            beats: Beats::new(node),
+            client: HeartbeatClient::new(node),
         }
     }
 
-    async fn meet(&mut self) {
+    async fn discover(&mut self) {
         if self.node.has_joined() && !self.node.is_keeper() {
             return;
         }
-        let unmet = read(&self.node.members).unmet();
-        let asked: Vec<BoxRecord> = unmet
-            .sample(&mut rand::rng(), BOXES_ASKED)
+        let undiscovered = read(&self.node.members).undiscovered();
+        let contacted: Vec<BoxRecord> = undiscovered
+            .sample(&mut rand::rng(), BOXES_PER_STEP)
             .map(ListedBox::to_record)
             .collect();
-        for answered in self.beats.ask_all(asked).await {
-            let Some(update) = answered.update else {
+        for outcome in self.client.send_all(contacted).await {
+            let Some(update) = outcome.update else {
                 continue;
             };
             let mut members = write(&self.node.members);
@@ -64,12 +65,12 @@
     }
 }
 
-impl Controller for MeetingController {
+impl Controller for DiscoveryController {
     fn period(&self) -> Duration {
         Duration::from_millis(HEARTBEAT_MS)
     }
 
     fn step(&mut self) -> LocalBoxFuture<'_, ()> {
-        self.meet().boxed_local()
+        self.discover().boxed_local()
     }
 }
--- a/crates/tinbay-node/src/controllers/engine_watch.rs
+++ b/crates/tinbay-node/src/controllers/engine_watch.rs
@@ -1,5 +1,5 @@
-//! Looks at the owned engines: whether one restarted empty, and what of earlier owners
-//! still runs.
+//! Polls the owned engines to detect restarts, after which an engine has nothing loaded, and to count
+//! requests of earlier owners that are still running.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,23 +11,23 @@
 use crate::owners::recount;
 use crate::state::Node;
 
-/// Time between looks.
+/// Time between polls.
 const PERIOD: Duration = Duration::from_millis(500);
 
-/// Looks at every owned engine.
+/// Polls the state of every owned engine.
 pub struct EngineWatchController {
     node: Arc<Node>,
 }
 
 impl EngineWatchController {
-    /// A controller that has seen nothing yet.
+    /// Creates a controller that has not polled any engine yet.
     pub fn new(node: &Arc<Node>) -> Self {
         Self {
             node: Arc::clone(node),
         }
     }
 
-    async fn look(&self) {
+    async fn poll_engines(&self) {
         let engines = self.node.owners.all();
         self.node.metrics.engines_owned.set(engines.len() as i64);
         join_all(engines.iter().map(recount)).await;
@@ -40,6 +40,6 @@
     }
 
     fn step(&mut self) -> LocalBoxFuture<'_, ()> {
-        self.look().boxed_local()
+        self.poll_engines().boxed_local()
     }
 }
--- a/crates/tinbay-node/src/controllers/heartbeat.rs
+++ b/crates/tinbay-node/src/controllers/heartbeat.rs
@@ -1,11 +1,12 @@
-//! Heartbeats of every box to the keepers of its zone.
+//! Heartbeats from every box to the keepers of its zone.
 //!
-//! A box hears its view from the first keeper that answers and so agrees with the others
-//! of its zone. A keeper removes boxes of its zone that it has not heard, and any box
-//! removes a keeper that does not answer, so that the next in rank takes its place.
+//! A box adopts the membership view of the first keeper that answers, so all boxes of a zone
+//! converge on the same view. A keeper removes boxes of its zone whose heartbeats stop, and any box
+//! removes a keeper that stops answering, so that the next box in rank becomes a keeper.
 //!
-//! Nothing else is waited for here: a zone or a stranger that does not answer must not hold
-//! up the heartbeats by which the own zone knows that this box lives.
+//! This controller waits only for keepers of its own zone. Other zones and newly discovered boxes
+//! are contacted elsewhere, so that one that does not answer cannot delay the heartbeats by which
+//! this zone knows that the box is alive.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -19,34 +20,34 @@
 use tinbay_wire::control::ViewUpdate;
 
 use super::Controller;
-use super::beats::{Answered, Beats};
+use super::heartbeat_client::{HeartbeatClient, HeartbeatOutcome};
 use crate::logging::part;
 use crate::state::Node;
 use crate::util::sync::{read, write};
 
-/// How long the silence of a removed box is remembered, so that another box's older view does not bring it
-/// back as one just met.
-const SILENCE_KEPT_MS: Millis = 600_000;
+/// How long the time since a removed box was last heard is remembered, so that an older view from
+/// another box does not add it back as newly discovered.
+const SILENCE_RETENTION_MS: Millis = 600_000;
 
-/// Sends heartbeats within the zone and keeps the view.
+/// Sends heartbeats within the zone and maintains the membership view.
 pub struct HeartbeatController {
     node: Arc<Node>,
-    beats: Beats,
-    /// Keepers that answer this box's heartbeats.
+    client: HeartbeatClient,
+    /// When each keeper last answered a heartbeat of this box.
     answers: Silences,
-    /// As a keeper, the boxes whose heartbeats it hears.
+    /// When each box of the zone last sent a heartbeat; used while this box is a keeper.
     heartbeats: Silences,
     keeper_since_ms: Option<Millis>,
-    /// The keeper whose view is followed.
+    /// The keeper whose view this box adopts.
     primary: Option<BoxId>,
 }
 
 impl HeartbeatController {
-    /// A controller that has heard nobody yet.
+    /// Creates a controller that has not heard from any box yet.
     pub fn new(node: &Arc<Node>) -> Self {
         Self {
             node: Arc::clone(node),
-            beats: Beats::new(node),
+            client: HeartbeatClient::new(node),
             answers: Silences::default(),
             heartbeats: Silences::default(),
             keeper_since_ms: None,
@@ -54,7 +55,7 @@
         }
     }
 
-    async fn beat(&mut self) {
+    async fn send_heartbeats(&mut self) {
         let me = self.node.me();
         let keepers: Vec<BoxRecord> = {
             let members = read(&self.node.members);
@@ -66,12 +67,12 @@
                 .collect()
         };
         let is_keeper = keepers.iter().any(|keeper| keeper.id == me.id);
-        self.note_keeper(is_keeper);
-        self.beat_keepers(&me, &keepers).await;
+        self.update_keeper_since(is_keeper);
+        self.send_to_keepers(&me, &keepers).await;
         if is_keeper {
             self.remove_silent(&me);
         }
-        self.forget_long_silent();
+        self.expire_silences();
         let known = read(&self.node.members).view().boxes().count();
         self.node.metrics.boxes.set(known as i64);
     }
@@ -85,7 +86,7 @@
         dead_after_ms(self.zone_boxes(), self.node.options.dead_after_ms)
     }
 
-    fn note_keeper(&mut self, is_keeper: bool) {
+    fn update_keeper_since(&mut self, is_keeper: bool) {
         if !is_keeper {
             self.keeper_since_ms = None;
         } else if self.keeper_since_ms.is_none() {
@@ -93,44 +94,45 @@
         }
     }
 
-    async fn beat_keepers(&mut self, me: &BoxRecord, keepers: &[BoxRecord]) {
+    async fn send_to_keepers(&mut self, me: &BoxRecord, keepers: &[BoxRecord]) {
         let others = keepers.iter().filter(|keeper| keeper.id != me.id).cloned();
-        let answers = self.beats.ask_all(others.collect()).await;
+        let answers = self.client.send_all(others.collect()).await;
         let now_ms = self.node.clock.now_ms();
-        let mut followed = keepers.first().is_some_and(|first| first.id == me.id);
-        for Answered { peer, update } in answers {
+        let mut has_primary = keepers.first().is_some_and(|first| first.id == me.id);
+        for HeartbeatOutcome { peer, update } in answers {
             let Some(update) = update else {
-                self.suspect(&peer);
+                self.remove_if_unresponsive(&peer);
                 continue;
             };
             self.answers.note_heard(&peer.run(), now_ms);
-            if followed {
-                self.beats.note(&peer.id, &update);
+            if has_primary {
+                self.client.record(&peer.id, &update);
                 continue;
             }
-            followed = true;
-            self.follow(&peer, update);
+            has_primary = true;
+            self.adopt_view(&peer, update);
         }
     }
 
-    /// Takes the view of a keeper over; a change of keeper asks for its whole view first.
-    fn follow(&mut self, keeper: &BoxRecord, update: ViewUpdate) {
+    /// Adopts a keeper's view. After a change of keeper, an incremental update is discarded and the
+    /// whole view is requested with the next heartbeat.
+    fn adopt_view(&mut self, keeper: &BoxRecord, update: ViewUpdate) {
         let same = self.primary.as_ref() == Some(&keeper.id);
         self.primary = Some(keeper.id.clone());
         if same || update.whole {
-            self.beats.note(&keeper.id, &update);
+            self.client.record(&keeper.id, &update);
             write(&self.node.members).apply(update);
         } else {
-            self.beats.forget(&keeper.id);
+            self.client.forget(&keeper.id);
         }
     }
 
-    /// Removes a keeper that has not answered for too long.
-    fn suspect(&mut self, keeper: &BoxRecord) {
+    /// Removes a keeper that has not answered for the failure detection time.
+    fn remove_if_unresponsive(&mut self, keeper: &BoxRecord) {
         let now_ms = self.node.clock.now_ms();
         let run = keeper.run();
         if self.answers.silent_ms(&run, now_ms) >= self.dead_after_ms() {
-            // One that is heard again, as after a freeze, gets the whole time to answer.
+            // If it is heard again, for instance after a freeze, its detection time starts anew.
             self.answers.forget(&run.id);
             self.remove(&run);
         }
@@ -139,18 +141,23 @@
     fn remove(&mut self, run: &BoxRun) {
         let id = &run.id;
         if write(&self.node.members).remove_run(run) {
-            log::warn!(target: part::MEMBER, "box {id} is silent and held to be dead");
+            log::warn!(target: part::MEMBER, "box {id} is unresponsive and considered dead");
         }
-        self.beats.forget(id);
+        self.client.forget(id);
     }
 
-    fn forget_long_silent(&mut self) {
-        let oldest_ms = self.node.clock.now_ms().saturating_sub(SILENCE_KEPT_MS);
+    fn expire_silences(&mut self) {
+        let oldest_ms = self
+            .node
+            .clock
+            .now_ms()
+            .saturating_sub(SILENCE_RETENTION_MS);
         self.answers.forget_before(oldest_ms);
         self.heartbeats.forget_before(oldest_ms);
     }
 
-    /// As a keeper, removes boxes of the zone that have not been heard.
+    /// Removes boxes of the zone whose heartbeats have stopped. A new keeper waits for the whole
+    /// detection time first, as it received no heartbeats before.
     fn remove_silent(&mut self, me: &BoxRecord) {
         let Some(keeper_since_ms) = self.keeper_since_ms else {
             return;
@@ -187,6 +194,6 @@
     }
 
     fn step(&mut self) -> LocalBoxFuture<'_, ()> {
-        self.beat().boxed_local()
+        self.send_heartbeats().boxed_local()
     }
 }
--- a/crates/tinbay-node/src/controllers/loads.rs
+++ b/crates/tinbay-node/src/controllers/loads.rs
@@ -1,4 +1,5 @@
-//! Shares the weight store's allowance: one box of the region grants loads for all.
+//! Shares the weight store's allowance for adapter loads. One box of the region, the arbiter, grants
+//! loads to all boxes.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex};
@@ -19,13 +20,13 @@
 use crate::state::Node;
 use crate::util::sync::{lock, read};
 
-/// How long one question for a load stays open before it is asked again.
-const ASK_LOAD_WITHIN: Duration = Duration::from_secs(3);
+/// How long a request for a load grant stays open at the arbiter before it is sent again.
+const GRANT_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Time between looks for loads to grant.
+/// Time between checks for loads to grant.
 const PERIOD: Duration = Duration::from_millis(10);
 
-/// Without a configured weight store loads are hardly held back.
+/// Allowance without a configured weight store, which hardly limits loads.
 const UNLIMITED: Allowance = Allowance {
     loads_per_s: 1_000.0,
     at_once: 64,
@@ -33,13 +34,13 @@
 
 type Target = (EngineId, ModelRef);
 
-/// An arbiter and those who wait for it.
-struct Desk {
+/// A load arbiter with the tasks that wait for its grants.
+struct GrantQueue {
     arbiter: LoadArbiter,
     waiting: HashMap<Target, Vec<oneshot::Sender<()>>>,
 }
 
-impl Default for Desk {
+impl Default for GrantQueue {
     fn default() -> Self {
         Self {
             arbiter: LoadArbiter::new(UNLIMITED),
@@ -48,8 +49,8 @@
     }
 }
 
-impl Desk {
-    fn ask(&mut self, wish: LoadWish) -> oneshot::Receiver<()> {
+impl GrantQueue {
+    fn enqueue(&mut self, wish: LoadWish) -> oneshot::Receiver<()> {
         let (sender, receiver) = oneshot::channel();
         let target = (wish.engine.clone(), wish.model.clone());
         self.waiting.entry(target).or_default().push(sender);
@@ -75,49 +76,50 @@
     }
 }
 
-/// The region's allowance, as far as this box deals with it.
+/// Limits adapter loads to the weight store's allowance.
 #[derive(Default)]
 pub struct Loads {
-    /// For the whole region, when this box is its arbiter.
-    region: Mutex<Desk>,
-    /// For this box alone, when the arbiter cannot be reached.
-    own: Mutex<Desk>,
+    /// Loads of the whole region, used while this box is its arbiter.
+    region: Mutex<GrantQueue>,
+    /// Loads of this box alone, used while the arbiter cannot be reached.
+    local: Mutex<GrantQueue>,
 }
 
 impl Loads {
-    /// Waits until a load is permitted.
+    /// Waits until a load is granted.
     pub async fn ask(&self, node: &Node, wish: LoadWish) {
         loop {
             let Some(arbiter) = find_arbiter(node) else {
-                return self.ask_own(node, wish).await;
+                return self.wait_for_local_grant(node, wish).await;
             };
             if arbiter.id == *node.id() {
-                return self.wait_here(node, wish).await;
+                return self.wait_for_region_grant(node, wish).await;
             }
             let message = Message::AskLoad(wish.clone());
             let reply = node
-                .ask(&arbiter.control_address, message, ASK_LOAD_WITHIN)
+                .ask(&arbiter.control_address, message, GRANT_TIMEOUT)
                 .await;
             match reply {
                 Ok(Reply::LoadGranted) => return,
-                // Either a long queue or a silent box; the view will tell which.
+                // The arbiter has either a long queue or failed. If it failed, the view names another
+                // one once it has been removed.
                 Err(ControlError::TimedOut) => {}
-                _ => return self.ask_own(node, wish).await,
+                _ => return self.wait_for_local_grant(node, wish).await,
             }
         }
     }
 
-    /// Waits for a grant of the arbiter that this box is.
-    pub async fn wait_here(&self, node: &Node, mut wish: LoadWish) {
+    /// Waits for a grant from the region's queue while this box is the arbiter.
+    pub async fn wait_for_region_grant(&self, node: &Node, mut wish: LoadWish) {
         wish.since_ms = node.clock.now_ms();
-        let granted = lock(&self.region).ask(wish);
+        let granted = lock(&self.region).enqueue(wish);
         self.grant(node);
         let _ = granted.await;
     }
 
-    /// Says that a load has ended or was not needed.
+    /// Reports to the arbiter that a load has ended, or that its grant was not used.
     pub async fn end(&self, node: &Node, engine: &EngineId, model: &ModelRef, unused: bool) {
-        lock(&self.own).end(engine, model, unused);
+        lock(&self.local).end(engine, model, unused);
         match find_arbiter(node) {
             Some(arbiter) if arbiter.id != *node.id() => {
                 let message = Message::EndLoad {
@@ -125,31 +127,32 @@
                     model: model.clone(),
                     unused,
                 };
-                // A permit whose end is lost runs out by itself.
+                // If this message is lost, the permit expires at the arbiter.
                 let _ = node.ask_soon(&arbiter.control_address, message).await;
             }
-            _ => self.end_here(engine, model, unused),
+            _ => self.end_region_load(engine, model, unused),
         }
     }
 
-    /// Ends a load of the arbiter that this box is.
-    pub fn end_here(&self, engine: &EngineId, model: &ModelRef, unused: bool) {
+    /// Ends a load in the region's queue while this box is the arbiter.
+    pub fn end_region_load(&self, engine: &EngineId, model: &ModelRef, unused: bool) {
         lock(&self.region).end(engine, model, unused);
     }
 
-    /// Without the arbiter a box uses no more than its share.
-    async fn ask_own(&self, node: &Node, mut wish: LoadWish) {
-        log::debug!(target: part::LOADS, "no arbiter for {} on {}, own share is used", wish.model, wish.engine);
+    /// Waits for a grant from this box's share of the allowance, as there is no reachable arbiter.
+    async fn wait_for_local_grant(&self, node: &Node, mut wish: LoadWish) {
+        log::debug!(target: part::LOADS, "no load arbiter for {} on {}, using the share of this box", wish.model, wish.engine);
         wish.since_ms = node.clock.now_ms();
-        let granted = lock(&self.own).ask(wish);
+        let granted = lock(&self.local).enqueue(wish);
         self.grant(node);
         let _ = granted.await;
     }
 
-    /// Grants what the allowance permits now; costs next to nothing while nobody waits.
+    /// Grants the loads that the allowance permits now. Returns early while nothing waits, as it runs
+    /// every [`PERIOD`].
     fn grant(&self, node: &Node) {
         let anyone_waits =
-            !lock(&self.region).waiting.is_empty() || !lock(&self.own).waiting.is_empty();
+            !lock(&self.region).waiting.is_empty() || !lock(&self.local).waiting.is_empty();
         if !anyone_waits {
             return;
         }
@@ -167,9 +170,9 @@
             loads_per_s: allowance.loads_per_s / boxes.max(1) as f64,
             at_once: (allowance.at_once / boxes.max(1) as u32).max(1),
         };
-        let mut own = lock(&self.own);
-        own.arbiter.set_allowance(share);
-        own.grant(now_ms);
+        let mut local = lock(&self.local);
+        local.arbiter.set_allowance(share);
+        local.grant(now_ms);
     }
 }
 
@@ -189,13 +192,13 @@
     }
 }
 
-/// Grants loads as the allowance permits.
+/// Periodically grants waiting loads, as the allowance refills over time.
 pub struct LoadGrantController {
     node: Arc<Node>,
 }
 
 impl LoadGrantController {
-    /// A controller for this box's two desks.
+    /// Creates a controller for the region's and the local queue of `node`.
     pub fn new(node: &Arc<Node>) -> Self {
         Self {
             node: Arc::clone(node),
--- a/crates/tinbay-node/src/controllers/members.rs
+++ b/crates/tinbay-node/src/controllers/members.rs
@@ -1,4 +1,4 @@
-//! The boxes this box knows, and how it passes its view on.
+//! The boxes known to this box, and the incremental updates that pass its view on to others.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Mutex;
@@ -14,9 +14,10 @@
 use crate::logging::part;
 use crate::util::sync::lock;
 
-/// Removals remembered for boxes that catch up; one that is further behind gets the whole view.
-const KEPT_REMOVALS: usize = 4_096;
+/// Number of removals kept for incremental updates. A box that is further behind gets the whole view.
+const MAX_KEPT_REMOVALS: usize = 4_096;
 
+/// The last heartbeat received from a box.
 #[derive(Debug, Clone, Copy)]
 struct Heard {
     incarnation: Incarnation,
@@ -24,34 +25,37 @@
     at_ms: Millis,
 }
 
-/// The owner of an engine as worked out from one version of the view.
+/// The owner of an engine, computed from one version of the view.
 #[derive(Debug)]
-struct KnownOwner {
+struct CachedOwner {
     version: u64,
     zone: ZoneId,
     owner: Option<BoxId>,
 }
 
-/// What this box knows of others.
+/// Membership state of this box: its view, when each box was last heard, and the platform's list.
 #[derive(Debug)]
 pub struct Members {
     me: BoxId,
     incarnation: u64,
     view: View,
     version: u64,
+    /// Version of the view in which each box last changed.
     changed: HashMap<BoxId, u64>,
+    /// Removed boxes by the version of the view that removed them.
     removed: BTreeMap<u64, BoxId>,
+    /// The newest version whose removal is no longer kept.
     oldest_removal: u64,
     heard: HashMap<BoxId, Heard>,
     listed: Vec<ListedBox>,
     joined: bool,
-    /// Ranking the boxes of a zone for each request would grow with the fleet.
-    owners: Mutex<HashMap<EngineId, KnownOwner>>,
+    /// Cached because the cost of ranking boxes for each request would grow with the fleet.
+    owners: Mutex<HashMap<EngineId, CachedOwner>>,
     changes: watch::Sender<u64>,
 }
 
 impl Members {
-    /// A view that holds only this box.
+    /// Creates a state whose view contains only this box.
     pub fn new(me: BoxRecord) -> Self {
         let mut members = Self {
             me: me.id.clone(),
@@ -71,17 +75,17 @@
         members
     }
 
-    /// The view.
+    /// The current membership view of this box.
     pub fn view(&self) -> &View {
         &self.view
     }
 
-    /// Rises with every change of the view.
+    /// Version of the view, increased by every change.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// Tells of every change of the view.
+    /// Subscribes to changes of the view; the value is its version.
     pub fn changes(&self) -> watch::Receiver<u64> {
         self.changes.subscribe()
     }
@@ -92,38 +96,38 @@
         keepers.iter().any(|keeper| keeper.id == self.me)
     }
 
-    /// The box that should own an engine; worked out once a change of the view.
+    /// The box that should own an engine, computed at most once per version of the view.
     pub fn owner_of(&self, spec: &EngineSpec) -> Option<&BoxRecord> {
         let mut owners = lock(&self.owners);
-        let known = owners.get(&spec.name);
-        let owner = match known.filter(|k| k.version == self.version && k.zone == spec.zone) {
-            Some(known) => known.owner.clone(),
+        let cached = owners.get(&spec.name);
+        let owner = match cached.filter(|c| c.version == self.version && c.zone == spec.zone) {
+            Some(cached) => cached.owner.clone(),
             None => {
-                let heirs = self.view.succession(&spec.name, &spec.zone, &spec.region);
-                let owner = heirs.first().map(|heir| heir.id.clone());
-                let known = KnownOwner {
+                let ranked = self.view.succession(&spec.name, &spec.zone, &spec.region);
+                let owner = ranked.first().map(|record| record.id.clone());
+                let cached = CachedOwner {
                     version: self.version,
                     zone: spec.zone.clone(),
                     owner: owner.clone(),
                 };
-                owners.insert(spec.name.clone(), known);
+                owners.insert(spec.name.clone(), cached);
                 owner
             }
         };
         self.view.get(&owner?)
     }
 
-    /// Whether the box has met the others or found that there are none.
+    /// Whether this box has reached another box or established that there are none.
     pub fn has_joined(&self) -> bool {
         self.joined
     }
 
-    /// Declares the box to have joined.
+    /// Marks this box as joined.
     pub fn set_joined(&mut self) {
         self.joined = true;
     }
 
-    /// Takes a record in.
+    /// Merges a record into the view and returns whether the view changed.
     pub fn merge(&mut self, record: BoxRecord) -> bool {
         let id = record.id.clone();
         let (incarnation, state) = (record.incarnation, record.state);
@@ -135,7 +139,7 @@
         changed
     }
 
-    /// Takes a run of a box to be live, on its own word that it owns an engine.
+    /// Marks a run of a box as live because it has announced that it owns an engine.
     pub fn mark_live(&mut self, id: &BoxId, incarnation: Incarnation) {
         if self.view.mark_live(id, incarnation) {
             log::debug!(target: part::MEMBER, "view: run {incarnation} of {id} is live, as it owns an engine");
@@ -143,17 +147,17 @@
         }
     }
 
-    /// Removes a box held to be dead. This box itself is never removed.
+    /// Removes a box that is considered dead. This box itself is never removed.
     pub fn remove(&mut self, id: &BoxId) -> bool {
         if *id == self.me || !self.view.remove(id) {
             return false;
         }
-        log::debug!(target: part::MEMBER, "view: {id} is gone");
+        log::debug!(target: part::MEMBER, "view: {id} removed");
         self.raise_version();
         self.changed.remove(id);
         self.heard.remove(id);
         self.removed.insert(self.version, id.clone());
-        while self.removed.len() > KEPT_REMOVALS {
+        while self.removed.len() > MAX_KEPT_REMOVALS {
             if let Some((version, _)) = self.removed.pop_first() {
                 self.oldest_removal = version;
             }
@@ -161,12 +165,12 @@
         true
     }
 
-    /// Removes a run of a box held to be dead, unless the box has started again meanwhile.
+    /// Removes a run of a box that is considered dead, unless the box has restarted since.
     pub fn remove_run(&mut self, run: &BoxRun) -> bool {
         self.view.has_run(run) && self.remove(&run.id)
     }
 
-    /// Notes that a run of a box was heard.
+    /// Records a heartbeat from a run of a box, with the configuration revision it has in force.
     pub fn note_heard(&mut self, run: &BoxRun, revision: Revision, now_ms: Millis) {
         let heard = Heard {
             incarnation: run.incarnation,
@@ -176,13 +180,13 @@
         self.heard.insert(run.id.clone(), heard);
     }
 
-    /// When a run of a box was last heard.
+    /// When the last heartbeat of a run of a box arrived; `None` if there was none.
     pub fn heard_ms(&self, run: &BoxRun) -> Option<Millis> {
         let heard = self.heard.get(&run.id)?;
         (heard.incarnation == run.incarnation).then_some(heard.at_ms)
     }
 
-    /// What was last heard from each box of a zone.
+    /// The last heartbeat from each box of a zone; boxes without one are left out.
     pub fn heard_in(&self, zone: &ZoneId, now_ms: Millis) -> Vec<HeardBox> {
         self.view
             .boxes()
@@ -198,7 +202,7 @@
             .collect()
     }
 
-    /// Keeps the platform's list; boxes it marks as leaving are taken at its word.
+    /// Stores the platform's list and marks the boxes that it reports as leaving in the view.
     pub fn set_listed(&mut self, listed: Vec<ListedBox>) {
         for entry in &listed {
             let leaving = entry.state == BoxState::Leaving;
@@ -209,8 +213,8 @@
         self.listed = listed;
     }
 
-    /// Listed boxes that are still to be met.
-    pub fn unmet(&self) -> Vec<ListedBox> {
+    /// Listed boxes that this box has not contacted yet.
+    pub fn undiscovered(&self) -> Vec<ListedBox> {
         self.listed
             .iter()
             .filter(|entry| entry.id != self.me && self.view.is_unmet(&entry.id, self.joined))
@@ -218,7 +222,8 @@
             .collect()
     }
 
-    /// What a box that has `version` of this view still needs.
+    /// The changes of this view since `version`, which the receiver has from the run `incarnation` of
+    /// this box. The whole view if that run has ended or its removals are no longer kept.
     pub fn update_since(&self, version: u64, incarnation: u64, revision: Revision) -> ViewUpdate {
         let whole = incarnation != self.incarnation || version < self.oldest_removal;
         let since = if whole { 0 } else { version };
@@ -246,10 +251,10 @@
         }
     }
 
-    /// Takes the view of this zone's keeper over.
+    /// Applies the view of a keeper of this zone.
     pub fn apply(&mut self, update: ViewUpdate) {
         if update.whole {
-            self.remove_unnamed(&update.present, |_| true);
+            self.remove_absent(&update.present, |_| true);
         }
         for id in &update.gone {
             if !update.present.iter().any(|record| record.id == *id) {
@@ -261,15 +266,15 @@
         }
     }
 
-    /// Takes over what a keeper of another zone says about that zone.
+    /// Applies the part of a keeper's view that concerns its own zone, which is not the zone of this box.
     ///
-    /// A whole view names no box as gone: those that it leaves out are, unless the keeper itself has yet to
-    /// meet its zone.
+    /// A whole view does not list removed boxes; boxes that it does not contain are removed. It is not
+    /// used that way while the keeper is still starting, as it may not know its zone yet.
     pub fn apply_zone(&mut self, zone: &ZoneId, keeper: &BoxId, update: ViewUpdate) {
-        let has_met =
+        let has_started =
             |record: &BoxRecord| record.id == *keeper && record.state != BoxState::Starting;
-        if update.whole && update.present.iter().any(has_met) {
-            self.remove_unnamed(&update.present, |record| record.zone == *zone);
+        if update.whole && update.present.iter().any(has_started) {
+            self.remove_absent(&update.present, |record| record.zone == *zone);
         }
         let in_zone =
             |view: &View, id: &BoxId| view.get(id).is_some_and(|record| record.zone == *zone);
@@ -298,16 +303,16 @@
         }
     }
 
-    /// Removes boxes of those concerned that a whole view does not name.
-    fn remove_unnamed(&mut self, present: &[BoxRecord], concerns: impl Fn(&BoxRecord) -> bool) {
-        let unnamed: Vec<BoxId> = self
+    /// Removes the boxes that satisfy `in_scope` but are absent from a whole view.
+    fn remove_absent(&mut self, present: &[BoxRecord], in_scope: impl Fn(&BoxRecord) -> bool) {
+        let absent: Vec<BoxId> = self
             .view
             .boxes()
-            .filter(|known| concerns(known))
+            .filter(|known| in_scope(known))
             .filter(|known| !present.iter().any(|record| record.id == known.id))
             .map(|record| record.id.clone())
             .collect();
-        for id in unnamed {
+        for id in absent {
             self.remove(&id);
         }
     }
--- a/crates/tinbay-node/src/controllers/mod.rs
+++ b/crates/tinbay-node/src/controllers/mod.rs
@@ -1,18 +1,18 @@
-//! Controllers: each keeps one part of the box's state as it should be.
+//! Controllers: periodic reconciliation loops, each responsible for one part of the box's state.
 //!
-//! All run on the control thread. A controller's step looks at the state and mends it;
-//! nothing depends on a step having seen every change in between.
+//! All controllers run on the control thread. Each step compares the current state with the desired
+//! state and corrects the difference, so no step depends on having seen every intermediate change.
 
 mod answers;
-mod beats;
 mod box_lease;
 mod box_list;
 mod config_catch_up;
 mod config_watch;
+mod discovery;
 mod engine_watch;
 mod heartbeat;
+mod heartbeat_client;
 mod loads;
-mod meeting;
 mod members;
 mod ownership;
 mod policies;
@@ -25,9 +25,9 @@
 pub use box_lease::BoxLease;
 pub use loads::Loads;
 pub use members::Members;
-pub use ownership::TAKE_OVER_MS;
+pub use ownership::OWNERSHIP_PERIOD_MS;
 pub use policies::PolicyCache;
-pub use succession::FORMER_LEASE_MS;
+pub use succession::FORMER_OWNER_LEASE_MS;
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -36,24 +36,24 @@
 
 use crate::state::Node;
 
-/// Share by which a period is lengthened at random, so that boxes do not act in step.
+/// Largest fraction by which a period is randomly lengthened, so that boxes do not act in lockstep.
 const JITTER: f64 = 0.2;
 
-/// Keeps one part of the state as it should be.
+/// A periodic task that reconciles one part of the box's state.
 pub trait Controller {
-    /// Time between the end of a step and the next.
+    /// Time between the end of one step and the start of the next, before jitter.
     fn period(&self) -> Duration;
 
-    /// Looks and mends.
+    /// Runs one reconciliation step.
     fn step(&mut self) -> LocalBoxFuture<'_, ()>;
 }
 
-/// Starts every controller on this thread.
+/// Spawns all controllers on the current thread.
 pub fn start_controllers(node: &Arc<Node>) {
     let controllers: Vec<Box<dyn Controller>> = vec![
         Box::new(heartbeat::HeartbeatController::new(node)),
         Box::new(zone_heartbeat::ZoneHeartbeatController::new(node)),
-        Box::new(meeting::MeetingController::new(node)),
+        Box::new(discovery::DiscoveryController::new(node)),
         Box::new(box_list::BoxListController::new(node)),
         Box::new(config_watch::ConfigWatchController::new(node)),
         Box::new(config_catch_up::CatchUpController::new(node)),
@@ -76,7 +76,7 @@
     }
 }
 
-/// A span lengthened at random.
-pub fn jittered(span: Duration) -> Duration {
-    span.mul_f64(1.0 + JITTER * rand::random::<f64>())
+/// Lengthens `duration` by a random fraction of up to [`JITTER`].
+pub fn jittered(duration: Duration) -> Duration {
+    duration.mul_f64(1.0 + JITTER * rand::random::<f64>())
 }
--- a/crates/tinbay-node/src/controllers/ownership.rs
+++ b/crates/tinbay-node/src/controllers/ownership.rs
@@ -1,4 +1,4 @@
-//! Takes over the engines that this box should own by its view.
+//! Takes over the engines that this box should own according to its membership view.
 
 use std::collections::{HashMap, HashSet};
 use std::sync::{Arc, Mutex};
@@ -17,58 +17,60 @@
 use crate::state::Node;
 use crate::util::sync::{lock, read};
 
-/// Time between looks, within which the next owner of an engine begins to take it over.
-pub const TAKE_OVER_MS: Millis = 200;
+/// Time between reconciliations. The next owner of an engine starts its takeover within this time
+/// after a change of the view.
+pub const OWNERSHIP_PERIOD_MS: Millis = 200;
 
-/// Time until the second try for an engine; doubles with each further one.
+/// Delay before the second attempt for an engine; doubles with each further one.
 const RETRY_MS: Millis = 250;
 
-/// Longest time between tries, so that engines that are down cost little.
-const LONGEST_RETRY_MS: Millis = 8_000;
+/// Upper bound of the delay between attempts, which keeps the cost of engines that are down low.
+const MAX_RETRY_MS: Millis = 8_000;
 
-/// How long the view stays as it is before successions follow it, so that a series of joins costs one
-/// write an engine.
-const SETTLED_MS: Millis = 1_000;
+/// How long the view must be unchanged before successions are extended to match it, so that a series
+/// of joins costs one write per engine.
+const VIEW_SETTLE_MS: Millis = 1_000;
 
 #[derive(Debug, Default)]
 struct Attempt {
     running: bool,
     failures: u32,
     next_ms: Millis,
+    /// The succession that a failed attempt has written, reused by the next one.
     claimed: Option<Succession>,
 }
 
 type Attempts = Arc<Mutex<HashMap<EngineId, Attempt>>>;
 
-/// What the desired engines were worked out from.
+/// Version of the view and generation of the fleet configuration that desired engines derive from.
 type Basis = (u64, u64);
 
-/// An engine that this box should own by its view.
-struct Desired {
+/// An engine that this box should own according to its view.
+struct DesiredEngine {
     spec: EngineSpec,
-    /// This box, the next one, and others of the engine's zone that stand behind it. Boxes of other zones
-    /// fill places that the zone leaves open; which of them do changes whenever a zone is cut off.
-    heirs: Vec<BoxId>,
+    /// This box, the next in rank, and further successors from the engine's zone. Boxes of other zones
+    /// are left out beyond the second place: they only fill places that the zone leaves open, and
+    /// which of them do so changes whenever a zone is cut off.
+    successors: Vec<BoxId>,
 }
 
-/// Takes over what this box should own, gives up what no longer exists.
+/// Takes over engines that this box should own and gives up those that no longer exist.
 pub struct OwnershipController {
     node: Arc<Node>,
-    /// Takeovers.
-    attempts: Attempts,
-    /// Extensions of successions; apart, so that one that fails holds up no takeover.
+    takeovers: Attempts,
+    /// Extensions of successions, tracked apart so that a failed one does not delay a takeover.
     extensions: Attempts,
     basis: Option<Basis>,
     basis_since_ms: Millis,
-    desired: Vec<Desired>,
+    desired: Vec<DesiredEngine>,
 }
 
 impl OwnershipController {
-    /// A controller that owns nothing yet.
+    /// Creates a controller that has not taken over any engine yet.
     pub fn new(node: &Arc<Node>) -> Self {
         Self {
             node: Arc::clone(node),
-            attempts: Attempts::default(),
+            takeovers: Attempts::default(),
             extensions: Attempts::default(),
             basis: None,
             basis_since_ms: 0,
@@ -85,44 +87,44 @@
             let engine = &desired.spec.name;
             if self.node.owners.get(engine).is_none() {
                 self.try_take_over(&desired.spec);
-            } else if self.has_unnamed_heirs(desired) {
+            } else if self.has_unnamed_successors(desired) {
                 self.try_extend(desired);
             }
         }
     }
 
     fn try_take_over(&self, spec: &EngineSpec) {
-        if self.may_try(&self.attempts, &spec.name) {
+        if self.begin_attempt(&self.takeovers, &spec.name) {
             ntex::rt::spawn(attempt_take_over(
                 Arc::clone(&self.node),
-                Arc::clone(&self.attempts),
+                Arc::clone(&self.takeovers),
                 spec.clone(),
             ));
         }
     }
 
-    fn try_extend(&self, desired: &Desired) {
-        if self.may_try(&self.extensions, &desired.spec.name) {
+    fn try_extend(&self, desired: &DesiredEngine) {
+        if self.begin_attempt(&self.extensions, &desired.spec.name) {
             ntex::rt::spawn(attempt_extend(
                 Arc::clone(&self.node),
                 Arc::clone(&self.extensions),
                 desired.spec.name.clone(),
-                desired.heirs.clone(),
+                desired.successors.clone(),
             ));
         }
     }
 
-    /// Whether boxes stand behind this one that its engine's succession does not name.
-    fn has_unnamed_heirs(&self, desired: &Desired) -> bool {
-        if self.node.clock.now_ms() < self.basis_since_ms + SETTLED_MS {
+    /// Whether the settled view ranks successors that the engine's stored succession does not name.
+    fn has_unnamed_successors(&self, desired: &DesiredEngine) -> bool {
+        if self.node.clock.now_ms() < self.basis_since_ms + VIEW_SETTLE_MS {
             return false;
         }
         let successions = lock(&self.node.successions);
         let known = successions.get(&desired.spec.name);
-        known.is_some_and(|known| !known.missing(&desired.heirs).is_empty())
+        known.is_some_and(|known| !known.missing(&desired.successors).is_empty())
     }
 
-    /// Works the desired engines out again when the view or the fleet has changed.
+    /// Recomputes the desired engines when the view or the fleet configuration has changed.
     fn refresh_desired(&mut self) {
         let members = read(&self.node.members);
         let basis = (members.version(), self.node.config.fleet_generation());
@@ -133,27 +135,27 @@
         self.basis_since_ms = self.node.clock.now_ms();
         let me = self.node.id();
         let engines = self.node.config.engines();
-        self.drop_deleted(&engines);
+        self.give_up_changed(&engines);
         self.desired = engines
             .into_iter()
             .filter(|spec| spec.region == self.node.options.region)
             .filter_map(|spec| {
-                let heirs = members
+                let ranked = members
                     .view()
                     .succession(&spec.name, &spec.zone, &spec.region);
-                let heirs: Vec<BoxId> = heirs
+                let successors: Vec<BoxId> = ranked
                     .into_iter()
                     .enumerate()
-                    .filter(|(place, heir)| *place <= 1 || heir.zone == spec.zone)
-                    .map(|(_, heir)| heir.id.clone())
+                    .filter(|(place, record)| *place <= 1 || record.zone == spec.zone)
+                    .map(|(_, record)| record.id.clone())
                     .collect();
-                (heirs.first() == Some(me)).then_some(Desired { spec, heirs })
+                (successors.first() == Some(me)).then_some(DesiredEngine { spec, successors })
             })
             .collect();
     }
 
-    /// Gives up engines that are not configured any more or were configured anew.
-    fn drop_deleted(&self, engines: &[EngineSpec]) {
+    /// Gives up engines whose configuration was deleted or changed.
+    fn give_up_changed(&self, engines: &[EngineSpec]) {
         let current: HashSet<&EngineId> = engines.iter().map(|spec| &spec.name).collect();
         for owned in self.node.owners.all() {
             let spec = owned.spec();
@@ -164,7 +166,8 @@
         }
     }
 
-    fn may_try(&self, attempts: &Attempts, engine: &EngineId) -> bool {
+    /// Marks an attempt as running; `false` if one is running already or is not due yet.
+    fn begin_attempt(&self, attempts: &Attempts, engine: &EngineId) -> bool {
         let now_ms = self.node.clock.now_ms();
         let mut attempts = lock(attempts);
         let attempt = attempts.entry(engine.clone()).or_default();
@@ -182,22 +185,27 @@
         .and_then(|attempt| attempt.claimed.take());
     let outcome = take_over(&node, &spec, claimed).await;
     if let Err((_, error)) = &outcome {
-        log::debug!(target: part::OWNER, "{} not taken over: {error}", spec.name);
+        log::debug!(target: part::OWNER, "takeover of {} failed: {error}", spec.name);
     }
     let failed = outcome.err().map(|(claimed, _)| claimed);
     end_attempt(&node, &attempts, &spec.name, failed);
 }
 
-async fn attempt_extend(node: Arc<Node>, attempts: Attempts, engine: EngineId, heirs: Vec<BoxId>) {
-    let outcome = extend_succession(&node, &engine, &heirs).await;
+async fn attempt_extend(
+    node: Arc<Node>,
+    attempts: Attempts,
+    engine: EngineId,
+    successors: Vec<BoxId>,
+) {
+    let outcome = extend_succession(&node, &engine, &successors).await;
     if let Err(error) = &outcome {
-        log::debug!(target: part::OWNER, "succession of {engine} not extended: {error}");
+        log::debug!(target: part::OWNER, "extending the succession of {engine} failed: {error}");
     }
     let failed = outcome.is_err().then_some(None);
     end_attempt(&node, &attempts, &engine, failed);
 }
 
-/// Notes when the next attempt may follow one that failed, and what it has claimed.
+/// Ends an attempt. After a failure, schedules the next one and keeps the succession it has written.
 fn end_attempt(
     node: &Node,
     attempts: &Attempts,
@@ -213,13 +221,13 @@
     };
     let wait_ms = RETRY_MS << attempt.failures.min(6);
     attempt.failures += 1;
-    attempt.next_ms = node.clock.now_ms() + wait_ms.min(LONGEST_RETRY_MS);
+    attempt.next_ms = node.clock.now_ms() + wait_ms.min(MAX_RETRY_MS);
     attempt.claimed = claimed;
 }
 
 impl Controller for OwnershipController {
     fn period(&self) -> Duration {
-        Duration::from_millis(TAKE_OVER_MS)
+        Duration::from_millis(OWNERSHIP_PERIOD_MS)
     }
 
     fn step(&mut self) -> LocalBoxFuture<'_, ()> {
--- a/crates/tinbay-node/src/controllers/policies.rs
+++ b/crates/tinbay-node/src/controllers/policies.rs
@@ -1,4 +1,4 @@
-//! Compiled policies, with the last good one of each name.
+//! Cache of compiled policies. A policy that fails to compile leaves its last valid version in use.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex};
@@ -11,22 +11,24 @@
 use crate::metrics::Metrics;
 use crate::util::sync::lock;
 
-/// The policy of classes that name none, where it exists.
+/// Name of the policy that applies to classes without a policy of their own, if it is configured.
 const DEFAULT_POLICY: &str = "default";
 
-struct Compiled {
+struct CachedPolicy {
+    /// Configuration revision that was last compiled, whether or not that succeeded.
     revision: Revision,
     policy: Option<Arc<Policy>>,
 }
 
-/// Policies by name, compiled when first used after a change.
+/// Policies by name, compiled on first use after a change.
 #[derive(Default)]
 pub struct PolicyCache {
-    compiled: Mutex<HashMap<String, Compiled>>,
+    compiled: Mutex<HashMap<String, CachedPolicy>>,
 }
 
 impl PolicyCache {
-    /// How a request is to be treated. A program that fails leaves it to the class.
+    /// Decides how a request is treated. If the policy's program fails, the class defaults in
+    /// `request.base` apply.
     pub fn treat(
         &self,
         config: &ConfigStore,
@@ -45,7 +47,7 @@
         })
     }
 
-    /// The scheduler settings of the default policy.
+    /// The scheduler settings of the default policy, or the built-in ones if there is none.
     pub fn settings(&self, config: &ConfigStore) -> PolicySettings {
         self.get(config, DEFAULT_POLICY)
             .map(|policy| policy.settings())
@@ -58,19 +60,19 @@
             return None;
         };
         let mut compiled = lock(&self.compiled);
-        let held = compiled.entry(name.to_owned()).or_insert(Compiled {
+        let cached = compiled.entry(name.to_owned()).or_insert(CachedPolicy {
             revision: 0,
             policy: None,
         });
-        if held.revision != entry.revision {
-            held.revision = entry.revision;
+        if cached.revision != entry.revision {
+            cached.revision = entry.revision;
             match Policy::compile(&spec.program) {
-                Ok(policy) => held.policy = Some(Arc::new(policy)),
+                Ok(policy) => cached.policy = Some(Arc::new(policy)),
                 Err(error) => {
-                    log::error!(target: part::CONFIG, "policy {name} does not compile, the last good one stays: {error}");
+                    log::error!(target: part::CONFIG, "policy {name} does not compile, keeping its last valid version: {error}");
                 }
             }
         }
-        held.policy.clone()
+        cached.policy.clone()
     }
 }
--- a/crates/tinbay-node/src/controllers/succession.rs
+++ b/crates/tinbay-node/src/controllers/succession.rs
@@ -1,4 +1,5 @@
-//! Takes engines over, by epoch or, while the key-value service is out, by succession.
+//! Takeover of engines: under a new epoch or, during an outage of the key-value service, by rank in
+//! the last succession (the ordered list of boxes that may own the engine in an epoch).
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -21,42 +22,43 @@
 use crate::state::Node;
 use crate::util::sync::{lock, read, write};
 
-/// After a former owner's lease has lapsed, time for an order it sent just before to arrive.
-const LAPSE_GRACE_MS: Millis = 2_000;
+/// Wait after the expiry of a former owner's lease, so that an order it sent just before has arrived.
+const LEASE_EXPIRY_GRACE_MS: Millis = 2_000;
 
-/// Boxes that a takeover names at most; others are added once they stand behind the owner.
-const NAMED_AT_TAKEOVER: usize = 8;
+/// Upper bound of the boxes named at a takeover. More are added as they become successors.
+const MAX_NAMED_AT_TAKEOVER: usize = 8;
 
-/// How long the lease of a lost owner keeps others from an engine that checks no orders.
-pub const FORMER_LEASE_MS: Millis = LEASE_TTL_MS + LAPSE_GRACE_MS;
+/// How long the lease of a failed owner blocks takeovers of an engine that does not check orders.
+pub const FORMER_OWNER_LEASE_MS: Millis = LEASE_TTL_MS + LEASE_EXPIRY_GRACE_MS;
 
-/// Why an engine was not taken over; the next step tries again.
+/// Why a takeover failed; a later attempt may succeed.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum TakeoverError {
-    /// The key-value service gave no answer.
+    /// The key-value service failed or did not answer.
     #[error("key-value service: {0}")]
     Platform(#[from] PlatformError),
-    /// Another box took it in the same moment.
-    #[error("another box was first")]
+    /// Another box has changed the stored succession concurrently.
+    #[error("another box took over first")]
     Raced,
-    /// The former owner may still give orders to an engine that does not check them.
+    /// The former owner may still send orders to an engine that does not check them.
     #[error("the former owner {0} still holds its lease")]
     StillLeased(BoxId),
-    /// In an outage nobody can make sure that the former owner of such an engine is silent.
-    #[error("the engine checks no orders and the key-value service is out")]
+    /// Without the key-value service, nothing proves that the former owner has stopped sending orders.
+    #[error("the engine does not check orders and the key-value service is unavailable")]
     UncheckedInOutage,
     /// Neither this box nor those asked know a succession.
-    #[error("no succession is known while the key-value service is out")]
+    #[error("no succession is known and the key-value service is unavailable")]
     NoSuccession,
-    /// Only boxes of the last succession may take over in an outage.
-    #[error("the succession {0:?} does not name this box while the key-value service is out")]
+    /// Only boxes of the last succession may take over during an outage.
+    #[error("the succession {0:?} does not name this box and the key-value service is unavailable")]
     NotInSuccession(Vec<BoxId>),
-    /// The engine gave no answer.
+    /// The engine refused a request or did not answer.
     #[error("{0}")]
     Engine(#[from] EngineError),
 }
 
-/// Takes an engine over. `claimed` is the record written by an earlier try, if any.
+/// Takes over an engine. `claimed` is the succession written by an earlier attempt, if any; on
+/// failure, the succession to reuse in the next attempt is returned with the error.
 pub async fn take_over(
     node: &Arc<Node>,
     spec: &EngineSpec,
@@ -69,13 +71,13 @@
     let Some(place) = succession.place_of(node.id()) else {
         return Err((None, TakeoverError::Raced));
     };
-    match assume(node, spec, succession.epoch, place).await {
+    match begin_ownership(node, spec, succession.epoch, place).await {
         Ok(()) => {
-            note_succession(node, &succession);
+            record_succession(node, &succession);
             announce(node, &succession).await;
             Ok(succession)
         }
-        // Someone with a later epoch was there: what is known here is worth nothing any more.
+        // An owner with a later epoch has fenced the engine, so the succession known here is obsolete.
         Err(error @ EngineError::Refused(EngineRefusal::StaleFence)) => {
             lock(&node.successions).remove(&spec.name);
             Err((None, error.into()))
@@ -84,7 +86,8 @@
     }
 }
 
-/// Writes the next epoch or, in an outage, finds this box's place in the last one.
+/// Writes a succession with the next epoch or, during an outage, finds the last one that names this
+/// box.
 async fn claim(node: &Arc<Node>, spec: &EngineSpec) -> Result<Succession, TakeoverError> {
     match node.kv.get(&keys::owner(&spec.name)).await {
         Ok(pair) => {
@@ -94,7 +97,7 @@
             raise_epoch(node, spec, previous, revision).await
         }
         Err(_) if !spec.checks_orders => Err(TakeoverError::UncheckedInOutage),
-        Err(_) => last_succession(node, spec).await,
+        Err(_) => find_last_succession(node, spec).await,
     }
 }
 
@@ -107,24 +110,24 @@
     if !spec.checks_orders
         && let Some(previous) = &previous
     {
-        silence_former_owner(node, previous).await?;
+        ensure_former_owner_stopped(node, previous).await?;
     }
     let succession = Succession {
         engine: spec.name.clone(),
         epoch: previous.as_ref().map_or(1, |previous| previous.epoch + 1),
-        boxes: heirs(node, spec, previous.as_ref()),
+        boxes: rank_successors(node, spec, previous.as_ref()),
         incarnation: node.incarnation,
     };
     write_succession(node, &succession, revision).await?;
     Ok(succession)
 }
 
-/// Names boxes that have come to stand behind this one since it took an engine over, so that they can
-/// succeed in an outage.
+/// Adds boxes that have become successors since this box took over an engine, so that they can take
+/// it over during an outage.
 pub async fn extend_succession(
     node: &Arc<Node>,
     engine: &EngineId,
-    heirs: &[BoxId],
+    successors: &[BoxId],
 ) -> Result<(), TakeoverError> {
     let pair = node.kv.get(&keys::owner(engine)).await?;
     let pair = pair.ok_or(TakeoverError::Raced)?;
@@ -132,16 +135,16 @@
     let epoch = node.owners.get(engine).map(|owned| owned.fence().epoch);
     let stored = stored.filter(|stored| Some(stored.epoch) == epoch);
     let mut succession = stored.ok_or(TakeoverError::Raced)?;
-    let missing = succession.missing(heirs);
+    let missing = succession.missing(successors);
     if !missing.is_empty() {
         succession.boxes.extend(missing);
         write_succession(node, &succession, pair.revision).await?;
         log::info!(
             target: part::OWNER,
-            "{engine} may be taken over by {:?} in an outage", succession.boxes,
+            "{engine} may be taken over by {:?} during an outage", succession.boxes,
         );
     }
-    note_succession(node, &succession);
+    record_succession(node, &succession);
     announce(node, &succession).await;
     Ok(())
 }
@@ -166,7 +169,7 @@
     match node.kv.txn(&guards, &writes).await {
         Ok(TxnEnd::Done(_)) => Ok(()),
         Ok(TxnEnd::GuardFailed) => Err(TakeoverError::Raced),
-        // The write may have taken effect; what is stored now tells.
+        // The write may have taken effect, so compare it with the value that is stored now.
         Err(PlatformError::ReplyLost) => match node.kv.get(&key).await? {
             Some(pair) if pair.value == value => Ok(()),
             _ => Err(TakeoverError::Raced),
@@ -175,55 +178,59 @@
     }
 }
 
-/// This box first, then those behind it by the view, then those that may stand there soon: boxes that start,
-/// and boxes of the previous succession, which may start again.
-fn heirs(node: &Node, spec: &EngineSpec, previous: Option<&Succession>) -> Vec<BoxId> {
+/// This box first, then its successors by the view, then boxes that may soon be successors: starting
+/// boxes, and boxes of the previous succession, which may restart.
+fn rank_successors(node: &Node, spec: &EngineSpec, previous: Option<&Succession>) -> Vec<BoxId> {
     let members = read(&node.members);
     let view = members.view();
     let ranked = view.succession(&spec.name, &spec.zone, &spec.region);
     let starting = view
         .boxes()
         .filter(|record| record.state == BoxState::Starting && record.zone == spec.zone);
-    let ranked = ranked.into_iter().chain(starting).map(|heir| &heir.id);
+    let candidates = ranked.into_iter().chain(starting).map(|record| &record.id);
     let previous = previous.iter().flat_map(|previous| &previous.boxes);
     let mut boxes = vec![node.id().clone()];
-    for id in ranked.chain(previous) {
-        if boxes.len() < NAMED_AT_TAKEOVER && !boxes.contains(id) {
+    for id in candidates.chain(previous) {
+        if boxes.len() < MAX_NAMED_AT_TAKEOVER && !boxes.contains(id) {
             boxes.push(id.clone());
         }
     }
     boxes
 }
 
-/// The last succession, with a place for this box: its own record, or what those behind the engine know.
-async fn last_succession(node: &Arc<Node>, spec: &EngineSpec) -> Result<Succession, TakeoverError> {
+/// The last succession that names this box, from its own records or those of the engine's other
+/// candidates.
+async fn find_last_succession(
+    node: &Arc<Node>,
+    spec: &EngineSpec,
+) -> Result<Succession, TakeoverError> {
     let known = lock(&node.successions).get(&spec.name).cloned();
     if let Some(known) = known.filter(|known| known.place_of(node.id()).is_some()) {
         return Ok(known);
     }
-    let told = ask_succession(node, spec).await;
-    let told = told.ok_or(TakeoverError::NoSuccession)?;
-    match told.place_of(node.id()) {
-        Some(_) => Ok(told),
-        None => Err(TakeoverError::NotInSuccession(told.boxes)),
+    let received = query_succession(node, spec).await;
+    let received = received.ok_or(TakeoverError::NoSuccession)?;
+    match received.place_of(node.id()) {
+        Some(_) => Ok(received),
+        None => Err(TakeoverError::NotInSuccession(received.boxes)),
     }
 }
 
-/// The newest succession that other boxes behind an engine know.
-async fn ask_succession(node: &Arc<Node>, spec: &EngineSpec) -> Option<Succession> {
+/// Asks the engine's other candidates for the newest succession that they know.
+async fn query_succession(node: &Arc<Node>, spec: &EngineSpec) -> Option<Succession> {
     let others: Vec<BoxRecord> = {
         let members = read(&node.members);
-        let heirs = members
+        let ranked = members
             .view()
             .succession(&spec.name, &spec.zone, &spec.region);
-        let others = heirs.into_iter().filter(|heir| heir.id != *node.id());
+        let others = ranked.into_iter().filter(|record| record.id != *node.id());
         others.cloned().collect()
     };
-    let asks = others.iter().map(|other| {
+    let queries = others.iter().map(|other| {
         let message = Message::SuccessionOf(spec.name.clone());
         node.ask_soon(&other.control_address, message)
     });
-    join_all(asks)
+    join_all(queries)
         .await
         .into_iter()
         .filter_map(|reply| match reply {
@@ -236,16 +243,20 @@
         })
 }
 
-/// Makes sure that the former owner of an engine that checks no orders gives none any more.
-async fn silence_former_owner(node: &Node, previous: &Succession) -> Result<(), TakeoverError> {
+/// Makes sure that the former owner of an engine that does not check orders sends no more of them:
+/// either it hands the engine over, or its lease has expired.
+async fn ensure_former_owner_stopped(
+    node: &Node,
+    previous: &Succession,
+) -> Result<(), TakeoverError> {
     let Some(owner) = previous.boxes.first() else {
         return Ok(());
     };
     if owner == node.id() {
-        // This process never owned the engine, so the former one of this box has ended.
+        // The owner was an earlier process of this box, which has ended.
         return Ok(());
     }
-    if hands_over(node, owner, previous).await {
+    if request_handover(node, owner, previous).await {
         return Ok(());
     }
     let lease = node.kv.get(&keys::lease(owner)).await?;
@@ -253,11 +264,12 @@
     if held {
         return Err(TakeoverError::StillLeased(owner.clone()));
     }
-    tokio::time::sleep(Duration::from_millis(LAPSE_GRACE_MS)).await;
+    tokio::time::sleep(Duration::from_millis(LEASE_EXPIRY_GRACE_MS)).await;
     Ok(())
 }
 
-async fn hands_over(node: &Node, owner: &BoxId, previous: &Succession) -> bool {
+/// Asks the former owner to give up the engine; `false` if that run of it does not confirm.
+async fn request_handover(node: &Node, owner: &BoxId, previous: &Succession) -> bool {
     let record: Option<BoxRecord> = read(&node.members).view().get(owner).cloned();
     let Some(record) = record else {
         return false;
@@ -270,8 +282,8 @@
     matches!(reply, Ok(Reply::Ok))
 }
 
-/// Raises the engine's fence, learns what it holds and begins to decide for it.
-async fn assume(
+/// Raises the engine's fencing token, reads its state and starts scheduling for it.
+async fn begin_ownership(
     node: &Arc<Node>,
     spec: &EngineSpec,
     epoch: u64,
@@ -296,15 +308,16 @@
     node.metrics.engines_owned.set(node.owners.count() as i64);
     log::info!(
         target: part::OWNER,
-        "owner of {} by epoch {} rank {}, {} adapters loaded",
+        "took over {} with epoch {} rank {}, {} adapters loaded",
         spec.name, fence.epoch, fence.rank, state.loaded.len(),
     );
     Ok(())
 }
 
-/// Tells the heirs, so that they can succeed in an outage, and through them the former owner.
+/// Sends a succession to the boxes that it names, so that they can take over during an outage, and to
+/// leaving boxes, one of which may be the former owner.
 async fn announce(node: &Node, succession: &Succession) {
-    let heirs: Vec<BoxRecord> = {
+    let recipients: Vec<BoxRecord> = {
         let members = read(&node.members);
         let view = members.view();
         let leaving = view
@@ -319,16 +332,17 @@
             .cloned()
             .collect()
     };
-    let told = heirs.iter().map(|heir| {
+    let sends = recipients.iter().map(|recipient| {
         let message = Message::Succession(succession.clone());
-        node.ask_soon(&heir.control_address, message)
+        node.ask_soon(&recipient.control_address, message)
     });
-    // A box that misses this learns from the engine's refusal.
-    join_all(told).await;
+    // A former owner that misses this message learns of the change when the engine refuses its orders.
+    join_all(sends).await;
 }
 
-/// Keeps a succession and gives the engine up if it names a later owner.
-pub fn note_succession(node: &Node, succession: &Succession) {
+/// Stores a succession if it is newer than the known one, and gives up the engine if it has a later
+/// epoch than this box's ownership.
+pub fn record_succession(node: &Node, succession: &Succession) {
     let mut successions = lock(&node.successions);
     let known = successions.get(&succession.engine);
     if known.is_some_and(|known| !succession.is_newer_than(known)) {
@@ -337,12 +351,13 @@
     successions.insert(succession.engine.clone(), succession.clone());
     drop(successions);
     if let Some(owner) = succession.boxes.first() {
-        // Heard before its next heartbeat: without it this box would take the engine back at once.
+        // The announcement arrives before the owner's next heartbeat. If the owner still counted as
+        // starting, this box would take the engine back at once.
         write(&node.members).mark_live(owner, succession.incarnation);
     }
     let owned = node.owners.get(&succession.engine);
     if owned.is_some_and(|owned| owned.fence().epoch < succession.epoch) {
-        log::info!(target: part::OWNER, "{} goes to {:?}", succession.engine, succession.boxes.first());
+        log::info!(target: part::OWNER, "{} taken over by {:?}", succession.engine, succession.boxes.first());
         node.give_up(&succession.engine);
     }
 }
--- a/crates/tinbay-node/src/controllers/ticker.rs
+++ b/crates/tinbay-node/src/controllers/ticker.rs
@@ -1,4 +1,4 @@
-//! Tells the owned engines that time has passed.
+//! Drives the time-dependent scheduling of owned engines, such as request deadlines.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,13 +10,13 @@
 use super::Controller;
 use crate::state::Node;
 
-/// Time between ticks: how late a refusal for a passed deadline may be.
+/// Time between ticks, which bounds how late a request is refused after its deadline.
 const PERIOD: Duration = Duration::from_millis(20);
 
-/// Ticks between looks at the policy's settings: half a second.
-const TICKS_PER_SETTINGS: u32 = 25;
+/// Ticks between checks of the default policy's settings, about half a second.
+const TICKS_PER_SETTINGS_CHECK: u32 = 25;
 
-/// Ticks every owned engine.
+/// Sends a tick to every owned engine and passes changed scheduler settings on.
 pub struct TickController {
     node: Arc<Node>,
     settings: OwnerSettings,
@@ -24,7 +24,7 @@
 }
 
 impl TickController {
-    /// A controller with the default settings.
+    /// Creates a controller with the default scheduler settings.
     pub fn new(node: &Arc<Node>) -> Self {
         Self {
             node: Arc::clone(node),
@@ -34,7 +34,7 @@
     }
 
     fn tick(&mut self) {
-        if self.ticks.is_multiple_of(TICKS_PER_SETTINGS) {
+        if self.ticks.is_multiple_of(TICKS_PER_SETTINGS_CHECK) {
             self.refresh_settings();
         }
         self.ticks = self.ticks.wrapping_add(1);
--- a/crates/tinbay-node/src/controllers/zone_heartbeat.rs
+++ b/crates/tinbay-node/src/controllers/zone_heartbeat.rs
@@ -1,4 +1,5 @@
-//! Heartbeats between zones: each keeper to one keeper of every other zone, all at once.
+//! Heartbeats between zones: each keeper contacts one keeper of every other zone, all zones
+//! concurrently.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
@@ -12,56 +13,59 @@
 use tinbay_wire::control::ViewUpdate;
 
 use super::Controller;
-use super::beats::{Beats, Known, beat};
+use super::heartbeat_client::{HeartbeatClient, ViewPosition, send_heartbeat};
 use crate::logging::part;
 use crate::state::Node;
 use crate::util::sync::{read, write};
 
-/// A zone none of whose keepers has answered for this long is held to be cut off.
-const ZONE_SILENT_MS: Millis = 10_000;
+/// A zone is considered cut off when none of its keepers has answered for this long.
+const ZONE_DEAD_AFTER_MS: Millis = 10_000;
 
-/// As a keeper, hears of other zones.
+/// Learns about the boxes of other zones while this box is a keeper.
 pub struct ZoneHeartbeatController {
     node: Arc<Node>,
-    beats: Beats,
+    client: HeartbeatClient,
     answered_ms: HashMap<ZoneId, Millis>,
     /// The keeper of each zone that answered last.
-    answering: HashMap<ZoneId, BoxId>,
+    responsive_keepers: HashMap<ZoneId, BoxId>,
 }
 
-/// What the first keeper of a zone that answered told.
+/// The answer of the first keeper of a zone that responded, if any did.
 struct ZoneAnswer {
     zone: ZoneId,
-    told: Option<(BoxRecord, ViewUpdate)>,
+    answer: Option<(BoxRecord, ViewUpdate)>,
 }
 
 impl ZoneHeartbeatController {
-    /// A controller that has heard of no zone yet.
+    /// Creates a controller that has not contacted any zone yet.
     pub fn new(node: &Arc<Node>) -> Self {
         Self {
             node: Arc::clone(node),
-            beats: Beats::new(node),
+            client: HeartbeatClient::new(node),
             answered_ms: HashMap::new(),
-            answering: HashMap::new(),
+            responsive_keepers: HashMap::new(),
         }
     }
 
-    async fn beat_zones(&mut self) {
+    async fn contact_zones(&mut self) {
         let zones = self.keepers_of_other_zones();
-        let asks = zones.into_iter().map(|(zone, mut keepers)| {
-            // A frozen keeper would hold up every round by the wait for its answer.
-            let answering = self.answering.get(&zone);
-            keepers.sort_by_key(|keeper| Some(&keeper.id) != answering);
-            let known = keepers.iter().map(|keeper| self.beats.known(&keeper.id));
-            let asked = keepers.iter().cloned().zip(known).collect();
-            ask_zone(Arc::clone(&self.node), zone, asked)
+        let contacts = zones.into_iter().map(|(zone, mut keepers)| {
+            // The keeper that answered last goes first: waiting for a frozen one to time out would
+            // delay every step.
+            let last_responsive = self.responsive_keepers.get(&zone);
+            keepers.sort_by_key(|keeper| Some(&keeper.id) != last_responsive);
+            let positions = keepers
+                .iter()
+                .map(|keeper| self.client.position(&keeper.id));
+            let candidates = keepers.iter().cloned().zip(positions).collect();
+            contact_zone(Arc::clone(&self.node), zone, candidates)
         });
-        for answer in join_all(asks).await {
-            self.take(answer);
+        for answer in join_all(contacts).await {
+            self.apply_answer(answer);
         }
     }
 
-    /// Nobody unless this box is a keeper itself.
+    /// The keepers of each other zone; empty unless this box is a keeper itself.
     fn keepers_of_other_zones(&self) -> BTreeMap<ZoneId, Vec<BoxRecord>> {
         let own = &self.node.options.zone;
         let members = read(&self.node.members);
@@ -80,34 +84,38 @@
             .collect()
     }
 
-    fn take(&mut self, answer: ZoneAnswer) {
+    fn apply_answer(&mut self, answer: ZoneAnswer) {
         let now_ms = self.node.clock.now_ms();
         let zone = answer.zone;
-        if let Some((keeper, update)) = answer.told {
-            self.beats.note(&keeper.id, &update);
+        if let Some((keeper, update)) = answer.answer {
+            self.client.record(&keeper.id, &update);
             self.answered_ms.insert(zone.clone(), now_ms);
             write(&self.node.members).apply_zone(&zone, &keeper.id, update);
-            self.answering.insert(zone, keeper.id);
+            self.responsive_keepers.insert(zone, keeper.id);
             return;
         }
         let since_ms = *self.answered_ms.entry(zone.clone()).or_insert(now_ms);
-        if now_ms.saturating_sub(since_ms) >= ZONE_SILENT_MS {
+        if now_ms.saturating_sub(since_ms) >= ZONE_DEAD_AFTER_MS {
             self.answered_ms.remove(&zone);
             write(&self.node.members).remove_zone(&zone);
-            log::warn!(target: part::MEMBER, "zone {zone} is silent and held to be cut off");
+            log::warn!(target: part::MEMBER, "zone {zone} is unresponsive and considered cut off");
         }
     }
 }
 
-/// Asks the keepers of a zone in turn until one answers.
-async fn ask_zone(node: Arc<Node>, zone: ZoneId, keepers: Vec<(BoxRecord, Known)>) -> ZoneAnswer {
-    for (keeper, known) in keepers {
-        if let Some(update) = beat(&node, &keeper, known).await {
-            let told = Some((keeper, update));
-            return ZoneAnswer { zone, told };
+/// Contacts the keepers of a zone in turn until one answers.
+async fn contact_zone(
+    node: Arc<Node>,
+    zone: ZoneId,
+    keepers: Vec<(BoxRecord, ViewPosition)>,
+) -> ZoneAnswer {
+    for (keeper, position) in keepers {
+        if let Some(update) = send_heartbeat(&node, &keeper, position).await {
+            let answer = Some((keeper, update));
+            return ZoneAnswer { zone, answer };
         }
     }
-    ZoneAnswer { zone, told: None }
+    ZoneAnswer { zone, answer: None }
 }
 
 impl Controller for ZoneHeartbeatController {
@@ -118,6 +126,6 @@
     }
 
     fn step(&mut self) -> LocalBoxFuture<'_, ()> {
-        self.beat_zones().boxed_local()
+        self.contact_zones().boxed_local()
     }
 }
--- a/crates/tinbay-node/src/entry/attempts.rs
+++ b/crates/tinbay-node/src/entry/attempts.rs
@@ -13,7 +13,7 @@
 use super::job::Job;
 use super::stream::{AnswerStream, ChunkError, RunInfo};
 use super::{local, remote, vacancy};
-use crate::controllers::TAKE_OVER_MS;
+use crate::controllers::OWNERSHIP_PERIOD_MS;
 use crate::filters::Failure;
 use crate::logging::part;
 use crate::state::Node;
@@ -52,7 +52,7 @@
     /// Nothing ran, as the engine has no owner that answers.
     pub fn owner_lost(loss: OwnerLoss) -> Self {
         let failure = Failure::NotOwner {
-            retry_after_ms: TAKE_OVER_MS,
+            retry_after_ms: OWNERSHIP_PERIOD_MS,
         };
         Self {
             owner_loss: Some(loss),
--- a/crates/tinbay-node/src/entry/forwarded.rs
+++ b/crates/tinbay-node/src/entry/forwarded.rs
@@ -14,7 +14,7 @@
 use super::local;
 use super::progress::InProgress;
 use super::stream::AnswerStream;
-use crate::controllers::TAKE_OVER_MS;
+use crate::controllers::OWNERSHIP_PERIOD_MS;
 use crate::filters::Failure;
 use crate::state::Node;
 
@@ -39,7 +39,7 @@
     let forward: ForwardRequest = read_json(payload.into_inner(), limit_bytes).await?;
     if forward.owner_run.is_some_and(|run| run != node.incarnation) {
         return Err(Failure::NotOwner {
-            retry_after_ms: TAKE_OVER_MS,
+            retry_after_ms: OWNERSHIP_PERIOD_MS,
         });
     }
     if !node.reach_revision(forward.revision).await {
--- a/crates/tinbay-node/src/entry/vacancy.rs
+++ b/crates/tinbay-node/src/entry/vacancy.rs
@@ -8,7 +8,7 @@
 use tinbay_core::view::{BoxRun, dead_after_ms, heartbeat_period_ms};
 use tokio::sync::watch;
 
-use crate::controllers::{FORMER_LEASE_MS, TAKE_OVER_MS, jittered};
+use crate::controllers::{FORMER_OWNER_LEASE_MS, OWNERSHIP_PERIOD_MS, jittered};
 use crate::filters::Failure;
 use crate::state::Node;
 use crate::util::sync::{lock, read};
@@ -74,9 +74,13 @@
     let zone = spec.as_ref().map(|spec| &spec.zone);
     let boxes = zone.map_or(0, |zone| read(&node.members).view().count_in(zone));
     let checks_orders = spec.as_ref().is_none_or(|spec| spec.checks_orders);
-    let lease_ms = if checks_orders { 0 } else { FORMER_LEASE_MS };
+    let lease_ms = if checks_orders {
+        0
+    } else {
+        FORMER_OWNER_LEASE_MS
+    };
     VacancyTerms {
         detect_ms: dead_after_ms(boxes, node.options.dead_after_ms) + lease_ms,
-        take_over_ms: heartbeat_period_ms(boxes) + TAKE_OVER_MS,
+        take_over_ms: heartbeat_period_ms(boxes) + OWNERSHIP_PERIOD_MS,
     }
 }
