--- a/crates/tinbay-node/src/controllers/engine_watch.rs
+++ b/crates/tinbay-node/src/controllers/engine_watch.rs
@@ -8,7 +8,7 @@
 use futures_util::future::{LocalBoxFuture, join_all};
 
 use super::Controller;
-use crate::owners::recount;
+use crate::owners::observe_engine;
 use crate::state::Node;
 
 /// Time between polls.
@@ -30,7 +30,7 @@
     async fn poll_engines(&self) {
         let engines = self.node.owners.all();
         self.node.metrics.engines_owned.set(engines.len() as i64);
-        join_all(engines.iter().map(recount)).await;
+        join_all(engines.iter().map(observe_engine)).await;
     }
 }
 
--- a/crates/tinbay-node/src/entry/local.rs
+++ b/crates/tinbay-node/src/entry/local.rs
@@ -16,7 +16,7 @@
 use crate::engines::{EngineApi, EngineError, HttpEngine};
 use crate::filters::Failure;
 use crate::logging::part;
-use crate::owners::{OwnedEngine, Verdict, recount};
+use crate::owners::{OwnedEngine, QueueOutcome, observe_engine};
 use crate::state::Node;
 use crate::util::sync::{lock, read};
 
@@ -101,7 +101,7 @@
         if !queue_again {
             return Err(error.attempt);
         }
-        recount(owned).await;
+        observe_engine(owned).await;
     }
 }
 
@@ -128,8 +128,8 @@
         start_by_ms: job.start_by_ms,
     };
     let mut guard = match owned.submit(ask, &call.request).await {
-        Verdict::Run(guard) => guard,
-        Verdict::Refused {
+        QueueOutcome::Run(guard) => guard,
+        QueueOutcome::Refused {
             reason,
             retry_after_ms,
         } => {
@@ -140,7 +140,7 @@
         }
     };
     let api = HttpEngine::new(&owned.spec().address);
-    guard.note_sent();
+    guard.mark_sent();
     let error = match api.complete(owned.order(), call, HEAD_WITHIN).await {
         Ok(reader) => {
             let info = run_info(node, owned, job, guard.stall_ms);
@@ -153,7 +153,7 @@
         EngineError::Unreachable | EngineError::NoAnswer => None,
     };
     if error != EngineError::NoAnswer {
-        guard.note_ended();
+        guard.mark_ended();
     }
     Err(SendError {
         attempt: draw_consequences(node, owned, call, error),
--- a/crates/tinbay-node/src/entry/stream.rs
+++ b/crates/tinbay-node/src/entry/stream.rs
@@ -93,7 +93,7 @@
     /// Gives the place in the batch back: the engine has ended the run.
     fn end_run(&mut self) {
         if let Some(mut guard) = self.guard.take() {
-            guard.note_ended();
+            guard.mark_ended();
         }
     }
 
--- a/crates/tinbay-node/src/owners/mod.rs
+++ b/crates/tinbay-node/src/owners/mod.rs
@@ -1,10 +1,10 @@
-//! The engines this box owns: each a shard under its own lock.
+//! The engines that this box owns and schedules, each under its own lock.
 
 mod orders;
 mod owned;
 
-pub use orders::{recount, run_orders};
-pub use owned::{OrderJob, OwnedEngine, RunGuard, Verdict};
+pub use orders::{observe_engine, run_orders};
+pub use owned::{OrderJob, OwnedEngine, QueueOutcome, RunGuard};
 
 use std::collections::HashMap;
 use std::sync::{Arc, RwLock};
@@ -13,34 +13,34 @@
 
 use crate::util::sync::{read, write};
 
-/// Every engine this box owns.
+/// The engines that this box owns, by name.
 #[derive(Default)]
 pub struct Owners {
     engines: RwLock<HashMap<EngineId, Arc<OwnedEngine>>>,
 }
 
 impl Owners {
-    /// The shard of an engine, if this box owns it.
+    /// An engine by name, if this box owns it.
     pub fn get(&self, engine: &EngineId) -> Option<Arc<OwnedEngine>> {
         read(&self.engines).get(engine).cloned()
     }
 
-    /// Every owned engine.
+    /// A snapshot of all owned engines.
     pub fn all(&self) -> Vec<Arc<OwnedEngine>> {
         read(&self.engines).values().cloned().collect()
     }
 
-    /// Adds an engine.
+    /// Adds an engine after a takeover.
     pub fn insert(&self, owned: Arc<OwnedEngine>) {
         write(&self.engines).insert(owned.spec().name.clone(), owned);
     }
 
-    /// Removes an engine; its requests that run go on.
+    /// Removes an engine; its running requests continue.
     pub fn remove(&self, engine: &EngineId) -> Option<Arc<OwnedEngine>> {
         write(&self.engines).remove(engine)
     }
 
-    /// How many engines are owned.
+    /// Number of owned engines.
     pub fn count(&self) -> usize {
         read(&self.engines).len()
     }
--- a/crates/tinbay-node/src/owners/orders.rs
+++ b/crates/tinbay-node/src/owners/orders.rs
@@ -1,4 +1,4 @@
-//! Carries out the scheduler's commands that need I/O.
+//! Executes those commands of the scheduler that need I/O.
 
 use std::sync::Arc;
 
@@ -16,20 +16,20 @@
 use crate::state::Node;
 use crate::util::guarded::while_allowed;
 
-/// Kind of an order, as the measures show it.
+/// Metric label of load orders.
 const LOAD: &str = "load";
-/// Kind of an order, as the measures show it.
+/// Metric label of unload orders.
 const UNLOAD: &str = "unload";
 
-/// Carries out commands as they come; runs on the control thread.
+/// Executes commands concurrently as they arrive; runs on the control thread.
 pub async fn run_orders(node: Arc<Node>, mut jobs: mpsc::UnboundedReceiver<OrderJob>) {
     while let Some(job) = jobs.recv().await {
         let node = Arc::clone(&node);
-        ntex::rt::spawn(async move { carry_out(&node, job).await });
+        ntex::rt::spawn(async move { execute(&node, job).await });
     }
 }
 
-async fn carry_out(node: &Arc<Node>, job: OrderJob) {
+async fn execute(node: &Arc<Node>, job: OrderJob) {
     let engine = job.engine;
     match job.command {
         Command::AskLoad {
@@ -71,7 +71,7 @@
 }
 
 async fn load(node: &Arc<Node>, engine: &Arc<OwnedEngine>, model: ModelRef) {
-    let Some(weights) = weights_of(node, &model) else {
+    let Some(weights) = find_weights(node, &model) else {
         engine.handle(Event::LoadFailed(model));
         return;
     };
@@ -81,13 +81,13 @@
         engine.handle(Event::LoadFailed(model));
         return relearn(engine).await;
     };
-    count(node, LOAD, outcome.is_ok());
+    count_order(node, LOAD, outcome.is_ok());
     match outcome {
         Ok(_) => engine.handle(Event::Loaded(model)),
         Err(error) => {
             log::warn!(target: part::OWNER, "loading {model} on {} failed: {error}", engine.spec().name);
             engine.handle(Event::LoadFailed(model));
-            settle(node, engine, error).await;
+            handle_order_error(node, engine, error).await;
         }
     }
 }
@@ -99,40 +99,40 @@
         engine.handle(Event::UnloadFailed(model));
         return relearn(engine).await;
     };
-    count(node, UNLOAD, outcome.is_ok());
+    count_order(node, UNLOAD, outcome.is_ok());
     match outcome {
         Ok(_) => engine.handle(Event::Unloaded(model)),
         Err(error) => {
             log::warn!(target: part::OWNER, "unloading {model} from {} failed: {error}", engine.spec().name);
             engine.handle(Event::UnloadFailed(model));
-            settle(node, engine, error).await;
+            handle_order_error(node, engine, error).await;
         }
     }
 }
 
-/// Draws the consequences of a refusal for the ownership itself.
-pub async fn settle(node: &Arc<Node>, engine: &Arc<OwnedEngine>, error: EngineError) {
+/// Updates the ownership and the known state of an engine after an order has failed.
+pub async fn handle_order_error(node: &Arc<Node>, engine: &Arc<OwnedEngine>, error: EngineError) {
     match error {
         EngineError::Refused(EngineRefusal::StaleFence) => {
-            log::info!(target: part::OWNER, "{} has another owner now", engine.spec().name);
+            log::info!(target: part::OWNER, "{} is owned by another box now", engine.spec().name);
             node.give_up(&engine.spec().name);
         }
-        EngineError::Refused(EngineRefusal::Serving) => recount(engine).await,
+        EngineError::Refused(EngineRefusal::Serving) => observe_engine(engine).await,
         EngineError::Refused(_) | EngineError::NoAnswer => relearn(engine).await,
         EngineError::Unreachable => {}
     }
 }
 
-/// Asks the engine what it runs: something may run that nobody here follows. What is known of its slots stays,
-/// the pause before the next order among it.
-pub async fn recount(engine: &Arc<OwnedEngine>) {
+/// Polls the engine for its running requests, some of which may not be tracked by this box. The known
+/// state of its slots is kept, including the delay before the next order.
+pub async fn observe_engine(engine: &Arc<OwnedEngine>) {
     let asked_ms = engine.now_ms();
     if let Ok(state) = HttpEngine::new(&engine.spec().address).state().await {
         engine.observe(&state, asked_ms);
     }
 }
 
-/// Asks the engine what it holds, since what is known has proved wrong.
+/// Replaces the known state by the one that the engine reports, as it has proved wrong.
 async fn relearn(engine: &Arc<OwnedEngine>) {
     let asked_ms = engine.now_ms();
     if let Ok(state) = HttpEngine::new(&engine.spec().address).state().await {
@@ -140,14 +140,15 @@
     }
 }
 
-fn weights_of(node: &Node, model: &ModelRef) -> Option<String> {
+/// The location of a model's weights, if its version is configured.
+fn find_weights(node: &Node, model: &ModelRef) -> Option<String> {
     match node.config.get(&ConfigKey::version(model))?.object {
         ConfigObject::Version(version) => Some(version.weights),
         _ => None,
     }
 }
 
-fn count(node: &Node, kind: &str, done: bool) {
+fn count_order(node: &Node, kind: &str, done: bool) {
     let outcome = if done { "done" } else { "failed" };
     node.metrics
         .orders
--- a/crates/tinbay-node/src/owners/owned.rs
+++ b/crates/tinbay-node/src/owners/owned.rs
@@ -1,4 +1,4 @@
-//! One owned engine: the scheduler and the requests that wait for it.
+//! One owned engine: its scheduler, the requests queued for it and those sent to it.
 
 use std::collections::{HashMap, HashSet};
 use std::sync::{Arc, Mutex};
@@ -18,28 +18,28 @@
 use crate::util::clock::Clock;
 use crate::util::sync::lock;
 
-/// A command of the scheduler that needs I/O; carried out on the control thread.
+/// A scheduler command that needs I/O, to be executed on the control thread.
 pub struct OrderJob {
-    /// The engine concerned.
+    /// The engine that the command concerns.
     pub engine: Arc<OwnedEngine>,
-    /// What to do.
+    /// The command to execute.
     pub command: Command,
 }
 
-/// What becomes of a request that waited.
-pub enum Verdict {
-    /// Run it now; the guard is held until it has left the engine.
+/// What the scheduler decided for a queued request.
+pub enum QueueOutcome {
+    /// Run it now; the guard is held until the request has left the engine.
     Run(RunGuard),
-    /// It does not run here.
+    /// The request does not run here.
     Refused {
-        /// Why.
+        /// Why the scheduler refused it.
         reason: Refusal,
-        /// When asking again makes sense.
+        /// Delay after which a retry may succeed.
         retry_after_ms: Millis,
     },
 }
 
-/// One owned engine.
+/// An engine owned by this box, with its scheduler.
 pub struct OwnedEngine {
     spec: EngineSpec,
     clock: Clock,
@@ -49,24 +49,25 @@
 
 struct OwnedState {
     scheduler: EngineOwner,
-    waiters: HashMap<RequestId, oneshot::Sender<Verdict>>,
-    /// Requests that wait here or were sent to the engine and not yet seen to end.
-    requests: HashMap<RequestId, NamedRequest>,
-    /// Runs that nobody here follows, until a report that was asked for later.
+    waiters: HashMap<RequestId, oneshot::Sender<QueueOutcome>>,
+    /// Requests that are queued here, or were sent to the engine and have not ended as far as known.
+    requests: HashMap<RequestId, TrackedRequest>,
+    /// Runs that this box has stopped tracking, kept until a state report requested after that.
     detached: Vec<DetachedRun>,
     order: Order,
     released: bool,
 }
 
-/// A request by its name at the engine.
-struct NamedRequest {
+/// A queued or running request.
+struct TrackedRequest {
+    /// The name under which the engine reports it.
     name: String,
     model: ModelRef,
-    /// A run of an earlier attempt may have the same name while this one waits.
+    /// While `false`, a run of the same name at the engine belongs to an earlier attempt.
     is_dispatched: bool,
 }
 
-/// A run whose end nobody here will see.
+/// A run whose end this box will not be notified of.
 struct DetachedRun {
     name: String,
     model: ModelRef,
@@ -74,12 +75,13 @@
 }
 
 impl OwnedState {
-    /// What the engine holds, and which of its requests nobody here follows.
+    /// The engine's loaded models, and the models of its runs that this box does not track.
     ///
-    /// A report says nothing of a run that was detached after it was asked for: the run may have begun later.
+    /// A run that was detached after the report was requested at `asked_ms` counts as running even if
+    /// it is not reported, as it may have begun after the report was made.
     fn contents(&mut self, engine_state: &EngineState, asked_ms: Millis) -> EngineContents {
         self.detached.retain(|run| run.detached_ms >= asked_ms);
-        let followed: HashSet<&str> = self
+        let tracked: HashSet<&str> = self
             .requests
             .values()
             .filter(|request| request.is_dispatched)
@@ -90,10 +92,10 @@
             .iter()
             .map(|running| running.request.as_str())
             .collect();
-        let unfollowed = engine_state
+        let untracked = engine_state
             .running
             .iter()
-            .filter(|running| !followed.contains(running.request.as_str()))
+            .filter(|running| !tracked.contains(running.request.as_str()))
             .map(|running| &running.model);
         let unreported = self
             .detached
@@ -102,29 +104,29 @@
             .map(|run| &run.model);
         EngineContents {
             loaded: engine_state.loaded.clone(),
-            inherited: unfollowed.chain(unreported).cloned().collect(),
+            inherited: untracked.chain(unreported).cloned().collect(),
         }
     }
 }
 
-/// A place in the engine's batch. Dropping it gives the place back; a request that was sent and not seen to
-/// end keeps it until the engine reports that it runs no more.
+/// A reserved place in the engine's batch, released on drop. If the request was sent and its end is
+/// not known, the place stays taken until the engine no longer reports the request as running.
 pub struct RunGuard {
     engine: Arc<OwnedEngine>,
     id: RequestId,
     may_run: bool,
-    /// How long the request waited for its adapter to be loaded.
+    /// How long the request waited for its adapter to load.
     pub stall_ms: Millis,
 }
 
 impl RunGuard {
-    /// Notes that the request goes to the engine now.
-    pub fn note_sent(&mut self) {
+    /// Marks the request as sent, so that it may be running at the engine.
+    pub fn mark_sent(&mut self) {
         self.may_run = true;
     }
 
-    /// Notes that the engine has ended the request, or has not begun it.
-    pub fn note_ended(&mut self) {
+    /// Marks the request as ended, or as not started by the engine.
+    pub fn mark_ended(&mut self) {
         self.may_run = false;
     }
 }
@@ -134,13 +136,13 @@
         if self.may_run {
             self.engine.detach(self.id);
         } else {
-            self.engine.forget_name(self.id);
+            self.engine.untrack(self.id);
             self.engine.handle(Event::Finished(self.id));
         }
     }
 }
 
-/// A request in the queue. Dropping it takes the request out.
+/// A queued request, removed from the queue on drop.
 struct WaitGuard<'a> {
     engine: &'a Arc<OwnedEngine>,
     id: RequestId,
@@ -148,12 +150,13 @@
 
 impl Drop for WaitGuard<'_> {
     fn drop(&mut self) {
-        self.engine.forget_waiter(self.id);
+        self.engine.cancel_if_waiting(self.id);
     }
 }
 
 impl OwnedEngine {
-    /// An engine just taken over, with what it said it holds.
+    /// Creates the owner's state of an engine that was just taken over. Its contents are unknown until
+    /// [`learn`](Self::learn) is called.
     pub fn new(
         spec: EngineSpec,
         settings: OwnerSettings,
@@ -180,24 +183,24 @@
         })
     }
 
-    /// The engine as configured.
+    /// The engine's configuration.
     pub fn spec(&self) -> &EngineSpec {
         &self.spec
     }
 
-    /// Now, as reports of the engine are asked for.
+    /// The current time on the clock to which `asked_ms` of state reports refers.
     pub fn now_ms(&self) -> Millis {
         self.clock.now_ms()
     }
 
-    /// The right under which orders are given.
+    /// The fencing token and the engine's incarnation that accompany each order.
     pub fn order(&self) -> Order {
         lock(&self.state).order
     }
 
-    /// Queues a request and waits for its verdict; `name` is its name at the engine.
-    pub async fn submit(self: &Arc<Self>, ask: Ask, name: &str) -> Verdict {
-        let refused = Verdict::Refused {
+    /// Queues a request and waits until it may run or is refused; `name` is its name at the engine.
+    pub async fn submit(self: &Arc<Self>, ask: Ask, name: &str) -> QueueOutcome {
+        let refused = QueueOutcome::Refused {
             reason: Refusal::NotOwner,
             retry_after_ms: 0,
         };
@@ -209,7 +212,7 @@
                 return refused;
             }
             state.waiters.insert(id, sender);
-            let request = NamedRequest {
+            let request = TrackedRequest {
                 name: name.to_owned(),
                 model: ask.model.clone(),
                 is_dispatched: false,
@@ -219,43 +222,45 @@
         let waiting = WaitGuard { engine: self, id };
         self.handle(Event::Submit(ask));
         if self.is_released() {
-            // Released between the check and the submit: nothing else would flush the queue.
+            // The engine was released between the check and the submit; nothing else would flush the queue.
             self.handle(Event::Released);
         }
-        let verdict = receiver.await.unwrap_or(refused);
+        let outcome = receiver.await.unwrap_or(refused);
         drop(waiting);
-        verdict
+        outcome
     }
 
-    /// Takes an event and carries out what follows.
+    /// Passes an event to the scheduler and executes the resulting commands.
     pub fn handle(self: &Arc<Self>, event: Event) {
-        self.handle_made(|_| event);
+        self.handle_with(|_| event);
     }
 
-    /// Takes an event that depends on the state, with nothing in between.
-    fn handle_made(self: &Arc<Self>, make: impl FnOnce(&mut OwnedState) -> Event) {
+    /// Like [`handle`](Self::handle), with an event that is made from the state under the same lock.
+    fn handle_with(self: &Arc<Self>, make: impl FnOnce(&mut OwnedState) -> Event) {
         let now_ms = self.clock.now_ms();
         let mut deliveries = Vec::new();
         {
             let mut state = lock(&self.state);
             let event = make(&mut state);
             for command in state.scheduler.handle(now_ms, event) {
-                self.sort(&mut state, command, &mut deliveries);
+                self.route_command(&mut state, command, &mut deliveries);
             }
         }
-        // Outside the lock: a verdict nobody takes is dropped here, which is an event again.
-        for (waiter, verdict) in deliveries {
-            let _ = waiter.send(verdict);
+        // Outside the lock: an outcome without a receiver is dropped here, and its guard handles an event.
+        for (waiter, outcome) in deliveries {
+            let _ = waiter.send(outcome);
         }
     }
 
-    fn sort(
+    /// Adds the outcome of a request to `deliveries`, or sends a command that needs I/O to the control
+    /// thread.
+    fn route_command(
         self: &Arc<Self>,
         state: &mut OwnedState,
         command: Command,
-        deliveries: &mut Vec<(oneshot::Sender<Verdict>, Verdict)>,
+        deliveries: &mut Vec<(oneshot::Sender<QueueOutcome>, QueueOutcome)>,
     ) {
-        let (id, verdict) = match command {
+        let (id, outcome) = match command {
             Command::Dispatch { id, stall_ms } => {
                 if let Some(request) = state.requests.get_mut(&id) {
                     request.is_dispatched = true;
@@ -267,7 +272,7 @@
                     may_run: false,
                     stall_ms,
                 };
-                (id, Verdict::Run(guard))
+                (id, QueueOutcome::Run(guard))
             }
             Command::Refuse {
                 id,
@@ -275,11 +280,11 @@
                 retry_after_ms,
             } => {
                 state.requests.remove(&id);
-                let verdict = Verdict::Refused {
+                let outcome = QueueOutcome::Refused {
                     reason,
                     retry_after_ms,
                 };
-                (id, verdict)
+                (id, outcome)
             }
             command => {
                 let engine = Arc::clone(self);
@@ -288,27 +293,27 @@
             }
         };
         let waiter = state.waiters.remove(&id);
-        // Without a waiter the caller has gone; a closed channel hands the verdict to drop.
+        // Without a waiter the caller has gone; sending on a closed channel drops the outcome.
         let waiter = waiter.unwrap_or_else(|| oneshot::channel().0);
-        deliveries.push((waiter, verdict));
+        deliveries.push((waiter, outcome));
     }
 
-    fn forget_waiter(self: &Arc<Self>, id: RequestId) {
+    fn cancel_if_waiting(self: &Arc<Self>, id: RequestId) {
         let waiter = lock(&self.state).waiters.remove(&id);
         if waiter.is_some() {
-            self.forget_name(id);
+            self.untrack(id);
             self.handle(Event::Cancel(id));
         }
     }
 
-    fn forget_name(&self, id: RequestId) {
+    fn untrack(&self, id: RequestId) {
         lock(&self.state).requests.remove(&id);
     }
 
-    /// Follows a run no longer that the engine may go on with.
+    /// Stops tracking a run that may continue at the engine.
     fn detach(self: &Arc<Self>, id: RequestId) {
         let detached_ms = self.clock.now_ms();
-        self.handle_made(|state| {
+        self.handle_with(|state| {
             if let Some(request) = state.requests.remove(&id) {
                 state.detached.push(DetachedRun {
                     name: request.name,
@@ -320,9 +325,10 @@
         });
     }
 
-    /// Takes in what the engine says it holds, after a takeover or a restart; it was asked at `asked_ms`.
+    /// Replaces the known state by a report that was requested at `asked_ms`, after a takeover, a
+    /// restart of the engine, or a failed order.
     pub fn learn(self: &Arc<Self>, engine_state: &EngineState, asked_ms: Millis) {
-        self.handle_made(|state| {
+        self.handle_with(|state| {
             if state.order.incarnation != engine_state.incarnation {
                 state.order.incarnation = engine_state.incarnation;
                 state.detached.clear();
@@ -331,19 +337,20 @@
         });
     }
 
-    /// Compares a report of the engine with what is known; it was asked for at `asked_ms`.
+    /// Updates the known state from a report that was requested at `asked_ms`. Unlike
+    /// [`learn`](Self::learn), it keeps the state of the engine's slots unless the engine has restarted.
     pub fn observe(self: &Arc<Self>, engine_state: &EngineState, asked_ms: Millis) {
         if engine_state.incarnation != self.order().incarnation {
             self.learn(engine_state, asked_ms);
             return;
         }
-        self.handle_made(|state| match engine_state.leaving {
+        self.handle_with(|state| match engine_state.leaving {
             true => Event::EngineLeaves,
             false => Event::Observed(state.contents(engine_state, asked_ms)),
         });
     }
 
-    /// Gives the engine up: what waits is refused as not run, what runs goes on.
+    /// Gives up the engine: queued requests are refused as not run, running requests continue.
     pub fn release(self: &Arc<Self>) {
         lock(&self.state).released = true;
         self.handle(Event::Released);
@@ -359,18 +366,18 @@
         lock(&self.state).scheduler.set_settings(settings);
     }
 
-    /// How long a new request of a rank would wait.
+    /// Estimated wait of a new request with this rank.
     pub fn expected_wait_ms(&self, rank: u8) -> Millis {
         let now_ms = self.clock.now_ms();
         lock(&self.state).scheduler.expected_wait_ms(now_ms, rank)
     }
 
-    /// The fence under which it is owned.
+    /// The fencing token under which this box owns the engine.
     pub fn fence(&self) -> Fence {
         self.order().fence
     }
 
-    /// The engine as operators see it.
+    /// The engine's status for the admin API.
     pub fn status(&self, owner: &BoxId) -> EngineStatus {
         let state = lock(&self.state);
         EngineStatus {
--- a/crates/tinbay-node/tests/owned_test.rs
+++ b/crates/tinbay-node/tests/owned_test.rs
@@ -9,7 +9,7 @@
 use tinbay_core::engine::{Ask, Command, Event, OwnerSettings};
 use tinbay_core::fence::{Fence, Order};
 use tinbay_core::ids::{EngineId, ModelRef, RequestId, ZoneId};
-use tinbay_node::owners::{OrderJob, OwnedEngine, Verdict};
+use tinbay_node::owners::{OrderJob, OwnedEngine, QueueOutcome};
 use tinbay_node::util::clock::Clock;
 use tinbay_wire::engine::{EngineState, RunningRequest};
 use tokio::sync::mpsc::{self, UnboundedReceiver};
@@ -81,11 +81,11 @@
     let (owned, mut jobs) = owned();
     owned.learn(&report(&[]), 0);
     let asked_ms = owned.now_ms();
-    let verdict = owned.submit(ask(&owned, 1, model(0)), "run-1").await;
-    let Verdict::Run(mut guard) = verdict else {
+    let outcome = owned.submit(ask(&owned, 1, model(0)), "run-1").await;
+    let QueueOutcome::Run(mut guard) = outcome else {
         panic!("the engine has room");
     };
-    guard.note_sent();
+    guard.mark_sent();
     drop(guard);
     owned.observe(&report(&[]), asked_ms);
     let mut other = pin!(owned.submit(ask(&owned, 2, model(1)), "run-2"));
@@ -109,6 +109,6 @@
     owned.observe(&report(&[]), owned.now_ms());
     assert!(matches!(
         poll!(again.as_mut()),
-        Poll::Ready(Verdict::Run(_))
+        Poll::Ready(QueueOutcome::Run(_))
     ));
 }
