--- a/crates/tinbay-node/src/entry/answer.rs
+++ b/crates/tinbay-node/src/entry/answer.rs
@@ -1,4 +1,4 @@
-//! Gives an answer to a caller: whole, or as server-sent events.
+//! Sends an answer to a caller, either complete or as a stream of server-sent events.
 
 use ntex::util::Bytes;
 use ntex::web::HttpResponse;
@@ -29,7 +29,7 @@
     finish_reason: Option<&'static str>,
 }
 
-/// Reason at the end of a whole answer.
+/// `finish_reason` of a complete answer.
 const STOP: &str = "stop";
 
 fn head(info: &RunInfo, request_id: &str) -> ntex::http::ResponseBuilder {
@@ -57,11 +57,11 @@
     event(&serde_json::to_string(&answer).unwrap_or_default())
 }
 
-/// Collects the whole answer.
+/// Collects the complete answer before responding.
 ///
 /// # Errors
-/// When the rest of a broken answer cannot be had.
-pub async fn whole(
+/// The failure for the caller, when a broken stream cannot be resumed.
+pub async fn collect(
     mut attempts: Attempts,
     first: Chunk,
     name: &str,
@@ -91,8 +91,8 @@
     Ok(head(info, request_id).json(&answer))
 }
 
-/// Streams the answer. `on_end` is told whether it was whole.
-pub fn streamed(
+/// Streams the answer. `on_end` receives the failure that ended it early, if any.
+pub fn stream(
     mut attempts: Attempts,
     first: &Chunk,
     name: &str,
@@ -106,12 +106,12 @@
     ntex::rt::spawn(async move {
         let mut next = Ok(first);
         let end = loop {
-            let piece = match next {
-                Ok(piece) => piece,
+            let event = match next {
+                Ok(event) => event,
                 Err(failure) => break Err(failure),
             };
-            if body.send(piece).await.is_err() {
-                // The caller has gone; its answer stays at the engine for a resume.
+            if body.send(event).await.is_err() {
+                // The caller has disconnected. The engine keeps the answer, so it can be resumed.
                 break Ok(());
             }
             if attempts.is_complete() {
--- a/crates/tinbay-node/src/entry/attempts.rs
+++ b/crates/tinbay-node/src/entry/attempts.rs
@@ -1,4 +1,4 @@
-//! Runs a request: attempt after attempt, engine after engine, within deadline and budget.
+//! Runs a request on one engine after another, within its deadline and the retry budget of its class.
 
 use std::sync::Arc;
 
@@ -19,28 +19,28 @@
 use crate::state::Node;
 use crate::util::sync::{lock, read};
 
-/// Attempts at one request, resumes included.
+/// Upper bound of the attempts of one request, including resumes.
 const MAX_ATTEMPTS: u32 = 4;
 
-/// How long an answer may stand still while the next owner of its engine is awaited.
-pub const RESUME_WITHIN_MS: Millis = 15_000;
+/// How long an interrupted answer waits for the next owner of its engine.
+pub const RESUME_TIMEOUT_MS: Millis = 15_000;
 
-/// Wait noted for an engine that is leaving, so that the next requests try others first.
-const AVOIDED_WAIT_MS: Millis = 600_000;
+/// Expected wait reported to the router for a leaving engine, so that later requests try others first.
+const LEAVING_ENGINE_WAIT_MS: Millis = 600_000;
 
-/// How an attempt ended without an answer.
+/// Why an attempt ended without an answer.
 #[derive(Debug, Clone)]
 pub struct AttemptError {
-    /// Whether anything ran.
+    /// Whether the request ran.
     pub end: AttemptEnd,
-    /// What the caller is told if no other attempt helps.
+    /// The failure for the caller if there is no further attempt.
     pub failure: Failure,
-    /// Set where no owner of the engine was found, so that nobody has refused the request.
+    /// Set if no owner of the engine was reached, in which case the engine has not refused the request.
     pub owner_loss: Option<OwnerLoss>,
 }
 
 impl AttemptError {
-    /// Nothing ran.
+    /// The request did not run.
     pub fn not_run(failure: Failure) -> Self {
         Self {
             end: AttemptEnd::NotRun,
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Nothing ran, as the engine has no owner that answers.
+    /// The request did not run, as no owner of the engine was reached.
     pub fn owner_lost(loss: OwnerLoss) -> Self {
         let failure = Failure::NotOwner {
             retry_after_ms: OWNERSHIP_PERIOD_MS,
@@ -60,7 +60,7 @@
         }
     }
 
-    /// It may have run.
+    /// The request may have run.
     pub fn unknown() -> Self {
         Self {
             end: AttemptEnd::Unknown,
@@ -70,23 +70,23 @@
     }
 }
 
-/// An attempt that was cut off before its first chunk: its run may be under way.
-struct Cut {
+/// An attempt that was interrupted before its first chunk and whose run may continue at the engine.
+struct Interrupted {
     engine: EngineId,
     /// The owner through which it was sent.
     owner: Option<BoxRun>,
     /// Until when its run is looked for.
     until_ms: Millis,
-    /// Asks for it that an owner has answered.
-    asks: u32,
+    /// Failed attempts to resume it that reached an owner.
+    resumes: u32,
 }
 
-/// A request's answer over all its attempts.
+/// A request's answer, assembled from all its attempts.
 pub struct Attempts {
     node: Arc<Node>,
     job: Job,
     assembler: Assembler,
-    /// Number of the last attempt; tells its chunks from those of earlier ones.
+    /// Number of the last attempt, which distinguishes its chunks from those of earlier ones.
     attempt: u32,
     /// Attempts that reached an owner and may have put load on an engine.
     tries: u32,
@@ -94,23 +94,23 @@
     refused: Vec<EngineId>,
     /// Engines found without an owner since the last wait for one.
     vacant: Vec<EngineId>,
-    /// Waits for an owner so far.
+    /// Number of waits for an owner so far.
     waits: u32,
-    /// Tells of changes of the view; kept from the first wait on, so that none is missed.
+    /// Notifies of changes of the view; kept from the first wait on, so that none is missed.
     changes: Option<watch::Receiver<u64>>,
     ends: AttemptEnds,
-    /// The owner last asked; none where the view had none.
-    asked: Option<BoxRun>,
-    /// Set while the request's own run is looked for in place of beginning another one.
-    cut: Option<Cut>,
-    /// Where the stream was last resumed.
+    /// The owner contacted last; `None` if the view had none.
+    contacted: Option<BoxRun>,
+    /// Set while the run of an interrupted attempt is looked for, before another run may start.
+    interrupted: Option<Interrupted>,
+    /// Position at which the stream was last resumed.
     resumed_at: Option<u64>,
     stream: Option<AnswerStream>,
     info: Option<RunInfo>,
 }
 
 impl Attempts {
-    /// A request not tried yet.
+    /// Creates the state of a request that has not been attempted yet.
     pub fn new(node: &Arc<Node>, job: Job) -> Self {
         let position = job.resume_from.unwrap_or(0);
         let assembler = Assembler::new(job.name.clone(), job.model.clone(), position);
@@ -125,51 +125,51 @@
             waits: 0,
             changes: None,
             ends: AttemptEnds::default(),
-            asked: None,
-            cut: None,
+            contacted: None,
+            interrupted: None,
             resumed_at: None,
             stream: None,
             info: None,
         }
     }
 
-    /// Where and how it runs; known once the first chunk is there.
+    /// Where and how the request runs; `None` before the first chunk.
     pub fn info(&self) -> Option<&RunInfo> {
         self.info.as_ref()
     }
 
-    /// Runs until the first chunk of the answer is there.
+    /// Makes attempts until one returns the first chunk of the answer.
     ///
     /// # Errors
-    /// The failure for the caller, when no attempt is left.
+    /// The failure for the caller, when no further attempt is possible.
     pub async fn first_chunk(&mut self) -> Result<Chunk, Failure> {
         self.node.earn_retry(&self.job.class);
         loop {
-            let engine = match &self.cut {
-                Some(cut) => cut.engine.clone(),
+            let engine = match &self.interrupted {
+                Some(interrupted) => interrupted.engine.clone(),
                 None => self.next_engine()?,
             };
             let error = match self.try_engine(&engine).await {
                 Ok(chunk) => return Ok(chunk),
                 Err(error) => error,
             };
-            self.note_error(&engine, &error);
+            self.record_error(&engine, &error);
             if let Some(loss) = error.owner_loss {
-                let passed = self.pass_vacancy(&engine, loss).await;
-                passed.map_err(|failure| self.final_failure(failure))?;
+                let handled = self.handle_owner_loss(&engine, loss).await;
+                handled.map_err(|failure| self.final_failure(failure))?;
                 continue;
             }
-            if let Err(reason) = self.take_retry(engine, &error).await {
+            if let Err(reason) = self.plan_next_attempt(engine, &error).await {
                 self.log_last_attempt(&error, reason);
                 return Err(self.final_failure(error.failure));
             }
         }
     }
 
-    /// The next chunk; a broken stream is resumed where it broke.
+    /// The next chunk; a broken stream is resumed at the position where it broke.
     ///
     /// # Errors
-    /// The failure for the caller, when the rest cannot be had.
+    /// The failure for the caller, when the stream cannot be resumed.
     pub async fn next_chunk(&mut self) -> Result<Chunk, Failure> {
         loop {
             let error = match &mut self.stream {
@@ -187,19 +187,20 @@
         }
     }
 
-    /// Reads to the end of a stream nobody waits for any more.
+    /// Reads an abandoned stream to its end.
     pub async fn drain(&mut self) {
         if let Some(stream) = &mut self.stream {
             stream.drain().await;
         }
     }
 
-    /// Whether the whole answer has been passed on.
+    /// Whether the last chunk of the answer has been returned.
     pub fn is_complete(&self) -> bool {
         self.assembler.is_complete()
     }
 
-    /// The best engine that has not refused the request; the best one once all have.
+    /// The best engine that has not refused the request. Once all have, refusals are cleared and the best
+    /// one is tried again.
     fn next_engine(&mut self) -> Result<EngineId, Failure> {
         let job = &self.job;
         let engines = ranked_engines(&self.node, &job.model, &job.base_model, job.urgent);
@@ -212,10 +213,10 @@
         }))
     }
 
-    fn note_error(&mut self, engine: &EngineId, error: &AttemptError) {
+    fn record_error(&mut self, engine: &EngineId, error: &AttemptError) {
         self.ends.note(error.end);
         if error.failure == Failure::EngineLeaves {
-            self.note_wait(engine, AVOIDED_WAIT_MS);
+            self.note_wait(engine, LEAVING_ENGINE_WAIT_MS);
         }
         log::debug!(
             target: part::ENTRY,
@@ -225,21 +226,26 @@
         if let Some(loss) = error.owner_loss {
             log::debug!(
                 target: part::ENTRY,
-                "{} asked run {:?} as the owner of {engine}: {loss:?}",
-                self.job.request_id, self.asked,
+                "{} contacted run {:?} as the owner of {engine}: {loss:?}",
+                self.job.request_id, self.contacted,
             );
         }
     }
 
-    /// Goes on to another engine, where that is worth a load, or waits for the next owner.
-    async fn pass_vacancy(&mut self, engine: &EngineId, loss: OwnerLoss) -> Result<(), Failure> {
+    /// Continues with the next owner if the view names one already, or with another engine if that costs
+    /// less than the expected wait for an owner. Otherwise waits for the next owner.
+    async fn handle_owner_loss(
+        &mut self,
+        engine: &EngineId,
+        loss: OwnerLoss,
+    ) -> Result<(), Failure> {
         if self.has_next_owner(engine) {
             return Ok(());
         }
-        let wait_ms = vacancy::note_lost(&self.node, engine, self.asked.as_ref(), loss);
+        let wait_ms = vacancy::record_owner_loss(&self.node, engine, self.contacted.as_ref(), loss);
         self.note_wait(engine, wait_ms);
-        if let Some(cut) = &self.cut {
-            let until_ms = cut.until_ms;
+        if let Some(interrupted) = &self.interrupted {
+            let until_ms = interrupted.until_ms;
             return self.await_owner(engine, until_ms).await;
         }
         self.vacant.push(engine.clone());
@@ -252,9 +258,9 @@
         self.await_owner(&next, until_ms).await
     }
 
-    /// Whether the view has named another owner since the last ask, which can be asked at once.
+    /// Whether the view names another owner than the one contacted last, which can be contacted at once.
     fn has_next_owner(&self, engine: &EngineId) -> bool {
-        owner_of(&self.node, engine).is_some_and(|owner| Some(owner.run()) != self.asked)
+        owner_of(&self.node, engine).is_some_and(|owner| Some(owner.run()) != self.contacted)
     }
 
     async fn await_owner(&mut self, engine: &EngineId, until_ms: Millis) -> Result<(), Failure> {
@@ -267,8 +273,8 @@
         if let Err(failure) = &waited {
             log::info!(
                 target: part::ENTRY,
-                "{} {} waits no longer for an owner of {engine}, {} ms before its end: {failure}, the next one is \
-                 expected in {} ms",
+                "{} {} stops waiting for an owner of {engine}, {} ms before its deadline: {failure}, the next one \
+                 is expected in {} ms",
                 self.job.request_id, self.job.model,
                 until_ms.saturating_sub(node.clock.now_ms()),
                 failure.retry_after_ms().unwrap_or_default(),
@@ -278,7 +284,7 @@
     }
 
     async fn try_engine(&mut self, engine: &EngineId) -> Result<Chunk, AttemptError> {
-        let resume_from = match self.cut {
+        let resume_from = match self.interrupted {
             Some(_) => Some(self.assembler.next_position()),
             None => self.job.resume_from,
         };
@@ -287,7 +293,7 @@
             .next(&mut self.assembler)
             .await
             .map_err(|error| match error {
-                // The ask to resume did nothing.
+                // The request to resume did not start a run.
                 ChunkError::Broken if resume_from.is_some() => {
                     AttemptError::not_run(Failure::BackendFailed { not_run: true })
                 }
@@ -298,15 +304,15 @@
                     owner_loss: None,
                 },
             })?;
-        if self.cut.take().is_some() {
-            log::info!(target: part::ENTRY, "{} found its run on {engine}", self.job.request_id);
+        if self.interrupted.take().is_some() {
+            log::info!(target: part::ENTRY, "{} resumed its interrupted run on {engine}", self.job.request_id);
         }
         self.info = Some(stream.info.clone());
         self.stream = Some(stream);
         Ok(chunk)
     }
 
-    /// Starts an attempt or a resume on an engine, here or at its owner.
+    /// Starts an attempt or a resume on an engine, directly or through the box that owns it.
     async fn open(
         &mut self,
         engine: &EngineId,
@@ -315,7 +321,7 @@
         self.attempt += 1;
         self.assembler.start_attempt(self.attempt);
         let owner = owner_of(&self.node, engine);
-        self.asked = owner.as_ref().map(BoxRecord::run);
+        self.contacted = owner.as_ref().map(BoxRecord::run);
         let owner = owner.ok_or_else(|| AttemptError::owner_lost(OwnerLoss::TakingOver))?;
         let stream = if owner.id == *self.node.id() {
             local::run(&self.node, &self.job, engine, self.attempt, resume_from).await?
@@ -343,25 +349,30 @@
         };
         let position = self.assembler.next_position();
         if self.resumed_at == Some(position) {
-            vacancy::pause(self.tries).await;
+            vacancy::delay_resume(self.tries).await;
         }
         self.resumed_at = Some(position);
-        let until_ms = self.node.clock.now_ms() + RESUME_WITHIN_MS;
+        let until_ms = self.node.clock.now_ms() + RESUME_TIMEOUT_MS;
         while self.tries < MAX_ATTEMPTS {
             let error = match self.open(&info.engine, Some(position)).await {
                 Ok(stream) => {
-                    log::info!(target: part::ENTRY, "{} resumed at {position}", self.job.request_id);
+                    log::info!(target: part::ENTRY, "{} resumed at position {position}", self.job.request_id);
                     self.tries += 1;
                     self.stream = Some(stream);
                     return Ok(());
                 }
                 Err(error) => error,
             };
-            log::debug!(target: part::ENTRY, "{} not resumed: {}", self.job.request_id, error.failure);
+            log::debug!(target: part::ENTRY, "{} could not be resumed: {}", self.job.request_id, error.failure);
             match error.owner_loss {
                 Some(_) if self.has_next_owner(&info.engine) => {}
                 Some(loss) => {
-                    vacancy::note_lost(&self.node, &info.engine, self.asked.as_ref(), loss);
+                    vacancy::record_owner_loss(
+                        &self.node,
+                        &info.engine,
+                        self.contacted.as_ref(),
+                        loss,
+                    );
                     if self.await_owner(&info.engine, until_ms).await.is_err() {
                         break;
                     }
@@ -372,39 +383,43 @@
         }
         log::info!(
             target: part::ENTRY,
-            "{} is not resumed at {position} after {} of {MAX_ATTEMPTS} tries",
+            "{} could not be resumed at position {position} after {} of {MAX_ATTEMPTS} tries",
             self.job.request_id, self.tries,
         );
-        Err(self.without_second_run(Failure::CannotResume))
+        Err(self.without_rerun_hint(Failure::CannotResume))
     }
 
-    /// Decides what follows an attempt that reached an owner.
+    /// Prepares the next attempt after one that reached an owner, or returns why there is none.
     ///
-    /// Asks to resume are free of the retry budget: nothing runs twice by them.
-    async fn take_retry(&mut self, engine: EngineId, error: &AttemptError) -> Result<(), NoRetry> {
+    /// Attempts to resume do not count against the retry budget, since they start no second run.
+    async fn plan_next_attempt(
+        &mut self,
+        engine: EngineId,
+        error: &AttemptError,
+    ) -> Result<(), NoRetry> {
         if error.end == AttemptEnd::Answered {
             return Err(NoRetry::AnswerBegun);
         }
         let is_gone = error.failure == Failure::CannotResume;
-        if let Some(mut cut) = self.cut.take() {
+        if let Some(mut interrupted) = self.interrupted.take() {
             if is_gone {
-                return self.take_second_run(&cut);
+                return self.allow_second_run(&interrupted);
             }
-            cut.asks += 1;
-            if cut.asks >= MAX_ATTEMPTS {
+            interrupted.resumes += 1;
+            if interrupted.resumes >= MAX_ATTEMPTS {
                 return Err(NoRetry::AttemptsUsed);
             }
-            vacancy::pause(cut.asks - 1).await;
-            self.cut = Some(cut);
+            vacancy::delay_resume(interrupted.resumes - 1).await;
+            self.interrupted = Some(interrupted);
             return Ok(());
         }
         self.tries += 1;
         if error.end == AttemptEnd::Unknown {
-            self.cut = Some(Cut {
+            self.interrupted = Some(Interrupted {
                 engine,
-                owner: self.asked.clone(),
-                until_ms: self.node.clock.now_ms() + RESUME_WITHIN_MS,
-                asks: 0,
+                owner: self.contacted.clone(),
+                until_ms: self.node.clock.now_ms() + RESUME_TIMEOUT_MS,
+                resumes: 0,
             });
             return Ok(());
         }
@@ -421,13 +436,14 @@
         }
     }
 
-    /// Lets a request run anew whose first run was cut off and is not at the engine.
+    /// Allows another run of a request whose interrupted run the engine does not know.
     ///
-    /// Where its owner was lost, the requests that it had not sent on yet come back all at once; for the
-    /// engine this is their first run.
-    fn take_second_run(&mut self, cut: &Cut) -> Result<(), NoRetry> {
+    /// If the owner has changed since, neither the attempt nor the retry budget is charged: all requests
+    /// that the former owner had not sent to the engine return at once, and for the engine this is their
+    /// first run.
+    fn allow_second_run(&mut self, interrupted: &Interrupted) -> Result<(), NoRetry> {
         self.check_retry(AttemptEnd::Unknown)?;
-        if self.asked != cut.owner {
+        if self.contacted != interrupted.owner {
             self.tries -= 1;
             return Ok(());
         }
@@ -459,31 +475,32 @@
         }
     }
 
-    /// Tells which bound ended the attempts, and how far the request was from the others.
+    /// Logs which limit ended the attempts, and how close the request was to the others.
     fn log_last_attempt(&self, error: &AttemptError, reason: NoRetry) {
         let job = &self.job;
         let left_ms = job.start_by_ms.saturating_sub(self.node.clock.now_ms());
         log::info!(
             target: part::ENTRY,
-            "{} {} is not tried again: {reason}; try {} of {MAX_ATTEMPTS} ended {:?} ({}), {left_ms} ms \
+            "{} {} is not retried: {reason}; try {} of {MAX_ATTEMPTS} ended {:?} ({}), {left_ms} ms \
              left to start, {:.1} retries left for class {}",
             job.request_id, job.model, self.tries, error.end, error.failure,
             self.node.retry_balance(&job.class), job.class,
         );
     }
 
-    /// What the last attempt ended with says nothing of an earlier one that may have run, unless it got that
-    /// one's answer.
+    /// The failure for the caller after the last attempt. If an earlier attempt may have run, the outcome
+    /// is unknown, unless the last one received a (wrong) answer.
     fn final_failure(&self, failure: Failure) -> Failure {
         let is_answer = matches!(failure, Failure::WrongAnswer(_));
         if is_answer || self.ends.are_all_not_run() {
-            return self.without_second_run(failure);
+            return self.without_rerun_hint(failure);
         }
         Failure::OutcomeUnknown
     }
 
-    /// 'Cannot resume' has callers ask for the whole answer anew, so it is not told of work that runs once.
-    fn without_second_run(&self, failure: Failure) -> Failure {
+    /// Replaces [`Failure::CannotResume`] for requests that must not run twice, since callers respond to it
+    /// by requesting the whole answer again.
+    fn without_rerun_hint(&self, failure: Failure) -> Failure {
         match failure {
             Failure::CannotResume if !self.job.repeatable => Failure::OutcomeUnknown,
             failure => failure,
@@ -497,7 +514,7 @@
     }
 }
 
-/// The engines to try for a model, best first.
+/// The engines that can serve a model, in the order in which to try them.
 pub fn ranked_engines(
     node: &Node,
     model: &ModelRef,
@@ -517,7 +534,7 @@
     router.order(&ranking, urgent, node.clock.now_ms())
 }
 
-/// The box that owns an engine by this box's view.
+/// The box that owns an engine according to this box's view.
 pub fn owner_of(node: &Node, engine: &EngineId) -> Option<BoxRecord> {
     let spec = node.config.engine(engine.as_str())?;
     let members = read(&node.members);
--- a/crates/tinbay-node/src/entry/completions.rs
+++ b/crates/tinbay-node/src/entry/completions.rs
@@ -9,7 +9,7 @@
 use tinbay_wire::completion::CompletionRequest;
 
 use super::answer;
-use super::attempts::{Attempts, RESUME_WITHIN_MS};
+use super::attempts::{Attempts, RESUME_TIMEOUT_MS};
 use super::job::Job;
 use super::progress::InProgress;
 use super::stream::RunInfo;
@@ -17,10 +17,10 @@
 use crate::logging::part;
 use crate::state::Node;
 
-/// Outcome of an answered request, as the measures show it.
+/// Metric label of answered requests.
 const ANSWERED: &str = "answered";
 
-/// Answers `POST /v1/completions`.
+/// Handles `POST /v1/completions`.
 pub async fn complete(
     node: State<Arc<Node>>,
     request: HttpRequest,
@@ -51,7 +51,7 @@
     let claimed = context.claimed.clone();
     let outcome = run_job(node, job, claimed, body.stream, progress).await;
     if let Err(failure) = &outcome {
-        count(node, &class, Err(failure));
+        count_request(node, &class, Err(failure));
     }
     outcome
 }
@@ -59,9 +59,9 @@
 fn to_job(context: &Context<'_>, body: &CompletionRequest) -> Job {
     let treatment = context.treatment;
     let resume_from = context.identity.resume_from;
-    // A class bounds the wait for a start; a resume only reads a run that has started.
+    // The class limits the wait until a run starts. A resume reads a run that has started already.
     let wait_ms = match resume_from {
-        Some(_) => treatment.max_wait_ms.max(RESUME_WITHIN_MS),
+        Some(_) => treatment.max_wait_ms.max(RESUME_TIMEOUT_MS),
         None => treatment.max_wait_ms,
     };
     Job {
@@ -103,20 +103,20 @@
     let Some(info) = attempts.info().cloned() else {
         return Err(Failure::OutcomeUnknown);
     };
-    observe(node, &job, &info);
+    record_latencies(node, &job, &info);
     if !stream {
-        let response = answer::whole(attempts, first, &job.name, &job.request_id, &info).await?;
-        count(node, &job.class, Ok(()));
+        let response = answer::collect(attempts, first, &job.name, &job.request_id, &info).await?;
+        count_request(node, &job.class, Ok(()));
         drop(progress);
         return Ok(response);
     }
-    let counted = Arc::clone(node);
+    let counting_node = Arc::clone(node);
     let class = job.class.clone();
     let on_end = move |end: Result<(), Failure>| {
-        count(&counted, &class, end.as_ref().copied());
+        count_request(&counting_node, &class, end.as_ref().copied());
         drop(progress);
     };
-    Ok(answer::streamed(
+    Ok(answer::stream(
         attempts,
         &first,
         &job.name,
@@ -126,7 +126,7 @@
     ))
 }
 
-fn observe(node: &Node, job: &Job, info: &RunInfo) {
+fn record_latencies(node: &Node, job: &Job, info: &RunInfo) {
     let labels = [job.class.as_str()];
     let seconds = |ms: Millis| ms as f64 / 1_000.0;
     let first_ms = node.clock.now_ms().saturating_sub(job.arrived_ms);
@@ -150,7 +150,7 @@
     );
 }
 
-fn count(node: &Node, class: &str, end: Result<(), &Failure>) {
+fn count_request(node: &Node, class: &str, end: Result<(), &Failure>) {
     let outcome = match end {
         Ok(()) => ANSWERED.to_owned(),
         Err(failure) => outcome_name(failure),
@@ -161,7 +161,7 @@
         .inc();
 }
 
-/// The failure's code as callers see it.
+/// The failure's code as it is written in responses.
 fn outcome_name(failure: &Failure) -> String {
     let code = serde_json::to_value(failure.code()).unwrap_or_default();
     code.as_str().unwrap_or_default().to_owned()
--- a/crates/tinbay-node/src/entry/forwarded.rs
+++ b/crates/tinbay-node/src/entry/forwarded.rs
@@ -1,4 +1,4 @@
-//! Runs a request that another box forwarded, and passes the engine's chunks on unchanged.
+//! Runs a request forwarded by another box and relays the engine's chunks to it unchanged.
 
 use std::sync::Arc;
 
@@ -18,14 +18,14 @@
 use crate::filters::Failure;
 use crate::state::Node;
 
-/// What a forwarded request may have beyond the caller's body.
-const ENVELOPE_BYTES: usize = 4_096;
+/// Size allowed for a forwarded request beyond the size of the caller's body.
+const MAX_ENVELOPE_BYTES: usize = 4_096;
 
-/// Answers `POST /internal/v1/run`.
+/// Handles `POST /internal/v1/run`.
 pub async fn run(node: State<Arc<Node>>, request: HttpRequest, payload: Payload) -> HttpResponse {
     let progress = InProgress::begin(&node);
     match start(&node, &request, payload).await {
-        Ok(stream) => pass_on(stream, progress),
+        Ok(stream) => relay(stream, progress),
         Err(failure) => failure.to_response(),
     }
 }
@@ -35,7 +35,7 @@
     request: &HttpRequest,
     payload: Payload,
 ) -> Result<AnswerStream, Failure> {
-    let limit_bytes = node.options.max_body_bytes + ENVELOPE_BYTES;
+    let limit_bytes = node.options.max_body_bytes + MAX_ENVELOPE_BYTES;
     let forward: ForwardRequest = read_json(payload.into_inner(), limit_bytes).await?;
     if forward.owner_run.is_some_and(|run| run != node.incarnation) {
         return Err(Failure::NotOwner {
@@ -78,7 +78,7 @@
     }
 }
 
-fn pass_on(mut stream: AnswerStream, progress: InProgress) -> HttpResponse {
+fn relay(mut stream: AnswerStream, progress: InProgress) -> HttpResponse {
     let info = stream.info.clone();
     let (body, receiver) = body_channel();
     ntex::rt::spawn(async move {
@@ -87,7 +87,7 @@
             line.extend_from_slice(&event);
             line.extend_from_slice(b"\n\n");
             if body.send(Bytes::from(line)).await.is_err() {
-                // The entry box has gone; the engine goes on, so that it can be resumed.
+                // The forwarding box has disconnected. The run continues, so that it can be resumed.
                 stream.drain().await;
                 break;
             }
--- a/crates/tinbay-node/src/entry/health.rs
+++ b/crates/tinbay-node/src/entry/health.rs
@@ -1,4 +1,4 @@
-//! Whether the box lives, is ready, and what it measures.
+//! Liveness, readiness and metrics endpoints, and the fallback handlers for unknown routes.
 
 use std::sync::Arc;
 
@@ -8,12 +8,12 @@
 use crate::filters::Failure;
 use crate::state::Node;
 
-/// The process answers.
+/// Handles `GET /healthz`: succeeds while the process can answer.
 pub async fn healthz() -> HttpResponse {
     HttpResponse::Ok().body("ok\n")
 }
 
-/// The box takes new work.
+/// Handles `GET /readyz`: succeeds while the box accepts new work.
 pub async fn readyz(node: State<Arc<Node>>) -> HttpResponse {
     if node.is_ready() {
         return HttpResponse::Ok().body("ready\n");
@@ -26,7 +26,7 @@
     HttpResponse::ServiceUnavailable().body(reason)
 }
 
-/// The measures in the text format.
+/// Handles `GET /metrics` in the Prometheus text format.
 pub async fn metrics(node: State<Arc<Node>>) -> HttpResponse {
     node.metrics.config_revision.set(node.config.in_force());
     node.metrics
@@ -37,12 +37,12 @@
         .body(node.metrics.to_text())
 }
 
-/// The answer to a method that a path does not take.
+/// Answers requests whose method the path does not support.
 pub async fn wrong_method() -> HttpResponse {
     Failure::MethodNotAllowed.to_response()
 }
 
-/// The answer to a path that does not exist.
+/// Answers requests for unknown paths.
 pub async fn not_found() -> HttpResponse {
     Failure::NotFound.to_response()
 }
--- a/crates/tinbay-node/src/entry/job.rs
+++ b/crates/tinbay-node/src/entry/job.rs
@@ -1,44 +1,44 @@
-//! A caller's request as it is run.
+//! A caller's request in the form in which attempts run it.
 
 use tinbay_core::ids::ModelRef;
 use tinbay_core::units::Millis;
 use tinbay_wire::engine::EngineRequest;
 
-/// A request that has passed the filters.
+/// A request that has passed the filter chain.
 #[derive(Debug, Clone)]
 pub struct Job {
-    /// Its name at back ends.
+    /// Name under which engines know the request.
     pub name: String,
-    /// Its name in logs.
+    /// Id of the request in logs.
     pub request_id: String,
-    /// Adapter and version to run on.
+    /// Adapter and version to run.
     pub model: ModelRef,
-    /// The adapter's base model.
+    /// Base model of the adapter; selects the engines that can serve it.
     pub base_model: String,
-    /// Whose request it is.
+    /// The organisation that owns the adapter.
     pub organisation: String,
     /// Name of its priority class.
     pub class: String,
-    /// The prompt.
+    /// Prompt text as received.
     pub prompt: String,
-    /// Tokens to generate at most.
+    /// Upper bound of the tokens to generate.
     pub max_tokens: u32,
-    /// 0 goes first.
+    /// Scheduling rank; 0 is served first.
     pub rank: u8,
-    /// Counter or desk traffic.
+    /// Whether its class is urgent, as for interactive traffic.
     pub urgent: bool,
     /// Whether it may run more than once.
     pub repeatable: bool,
-    /// When it arrived here.
+    /// When it arrived, on the clock of this box.
     pub arrived_ms: Millis,
-    /// When it must have started or, for a resume, when its run is given up.
+    /// Deadline for its start or, when resuming, the time until which its run is looked for.
     pub start_by_ms: Millis,
-    /// The first position a resuming caller needs.
+    /// First position of the answer that a resuming caller needs; `None` for a new request.
     pub resume_from: Option<u64>,
 }
 
 impl Job {
-    /// The request as an engine gets it.
+    /// Converts the job into the request that is sent to an engine.
     pub fn to_call(&self, attempt: u32, resume_from: Option<u64>) -> EngineRequest {
         EngineRequest {
             request: self.name.clone(),
--- a/crates/tinbay-node/src/entry/local.rs
+++ b/crates/tinbay-node/src/entry/local.rs
@@ -1,4 +1,4 @@
-//! Runs a request on an engine this box owns.
+//! Runs a request on an engine that this box owns.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -20,22 +20,22 @@
 use crate::state::Node;
 use crate::util::sync::{lock, read};
 
-/// How long an engine may take until it answers with the head of a stream.
-const HEAD_WITHIN: Duration = Duration::from_secs(5);
+/// Timeout for the response head of an engine.
+const HEAD_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// How long a request waits for this box to take over an engine it should own.
-const TAKEOVER_WITHIN: Duration = Duration::from_millis(1_500);
+/// How long a request waits for this box to take over an engine that it should own.
+const TAKEOVER_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// How often it looks.
+/// Time between checks whether the takeover has completed.
 const TAKEOVER_POLL: Duration = Duration::from_millis(10);
 
-/// When asking again makes sense after an engine refused for a passing reason.
-const SOON_MS: Millis = 200;
+/// Retry delay reported after an engine has refused a request for a transient reason.
+const RETRY_AFTER_MS: Millis = 200;
 
-/// Queues a request at its engine and runs it, or resumes its stream.
+/// Queues a request for its engine and runs it, or resumes its stream.
 ///
 /// # Errors
-/// [`AttemptError`], which tells whether anything ran.
+/// [`AttemptError`], which tells whether the request ran.
 pub async fn run(
     node: &Arc<Node>,
     job: &Job,
@@ -53,30 +53,32 @@
     dispatch(node, job, &owned, &call).await
 }
 
-/// The engine's shard; after a change of owner it may take a moment until it is there. Nobody waits for it
-/// once another box is known to have it: the asker follows its own view sooner.
+/// Waits until this box owns the engine, as a takeover may still be in progress. Returns early once
+/// another box is known to own it, since the requesting box finds that owner faster by its own view.
 async fn await_ownership(node: &Node, engine: &EngineId) -> Option<Arc<OwnedEngine>> {
-    let was_heir = is_heir(node, engine);
+    let was_designated_owner = is_designated_owner(node, engine);
     let polled = async {
         loop {
             if let Some(owned) = node.owners.get(engine) {
                 return Some(owned);
             }
-            if !is_heir(node, engine) && (was_heir || has_other_owner(node, engine)) {
+            if !is_designated_owner(node, engine)
+                && (was_designated_owner || has_other_owner(node, engine))
+            {
                 return None;
             }
             tokio::time::sleep(TAKEOVER_POLL).await;
         }
     };
-    tokio::time::timeout(TAKEOVER_WITHIN, polled).await.ok()?
+    tokio::time::timeout(TAKEOVER_TIMEOUT, polled).await.ok()?
 }
 
-/// Whether this box should own an engine by its view.
-fn is_heir(node: &Node, engine: &EngineId) -> bool {
+/// Whether this box should own an engine according to its view.
+fn is_designated_owner(node: &Node, engine: &EngineId) -> bool {
     owner_of(node, engine).is_some_and(|owner| owner.id == *node.id())
 }
 
-/// Whether the last owner that this box heard of is another one that still runs.
+/// Whether the last announced owner is another box whose announced run is still in the view.
 fn has_other_owner(node: &Node, engine: &EngineId) -> bool {
     let owner = lock(&node.successions)
         .get(engine)
@@ -95,7 +97,7 @@
             Ok(stream) => return Ok(stream),
             Err(error) => error,
         };
-        // The engine refused what the queue thought it could take: look, and queue again.
+        // The engine has fewer free places than the scheduler assumed. Update its state and queue again.
         let queue_again = error.refusal == Some(EngineRefusal::BatchFull)
             && node.clock.now_ms() < job.start_by_ms;
         if !queue_again {
@@ -105,10 +107,10 @@
     }
 }
 
-/// How a try to run a request failed.
+/// Why a request could not be run.
 struct SendError {
     attempt: AttemptError,
-    /// The engine's words, where it was the engine that refused.
+    /// The reason that the engine gave, if it was the engine that refused.
     refusal: Option<EngineRefusal>,
 }
 
@@ -134,14 +136,14 @@
             retry_after_ms,
         } => {
             return Err(SendError {
-                attempt: to_error(reason, retry_after_ms),
+                attempt: to_attempt_error(reason, retry_after_ms),
                 refusal: None,
             });
         }
     };
     let api = HttpEngine::new(&owned.spec().address);
     guard.mark_sent();
-    let error = match api.complete(owned.order(), call, HEAD_WITHIN).await {
+    let error = match api.complete(owned.order(), call, HEAD_TIMEOUT).await {
         Ok(reader) => {
             let info = run_info(node, owned, job, guard.stall_ms);
             return Ok(AnswerStream::of_engine(info, reader, Some(guard)));
@@ -156,7 +158,7 @@
         guard.mark_ended();
     }
     Err(SendError {
-        attempt: draw_consequences(node, owned, call, error),
+        attempt: handle_engine_error(node, owned, call, error),
         refusal,
     })
 }
@@ -167,7 +169,7 @@
     call: &EngineRequest,
 ) -> Result<AnswerStream, AttemptError> {
     let api = HttpEngine::new(&owned.spec().address);
-    match api.complete(owned.order(), call, HEAD_WITHIN).await {
+    match api.complete(owned.order(), call, HEAD_TIMEOUT).await {
         Ok(reader) => {
             let info = RunInfo {
                 owner: node.id().clone(),
@@ -178,7 +180,7 @@
             };
             Ok(AnswerStream::of_engine(info, reader, None))
         }
-        Err(error) => Err(draw_consequences(node, owned, call, error)),
+        Err(error) => Err(handle_engine_error(node, owned, call, error)),
     }
 }
 
@@ -192,8 +194,8 @@
     }
 }
 
-/// Turns an engine's failure into the attempt's end, and what is known about the engine.
-fn draw_consequences(
+/// Converts an engine's error into the error of the attempt and updates the known state of the engine.
+fn handle_engine_error(
     node: &Arc<Node>,
     owned: &Arc<OwnedEngine>,
     call: &EngineRequest,
@@ -201,7 +203,7 @@
 ) -> AttemptError {
     log::debug!(target: part::OWNER, "{} on {}: {error}", call.request, owned.spec().name);
     let refusal = match error {
-        // Its run may be under way and is looked for before the request runs again.
+        // The request may be running. The caller tries to resume that run before it starts another one.
         EngineError::NoAnswer => return AttemptError::unknown(),
         EngineError::Unreachable => {
             return AttemptError::not_run(Failure::BackendFailed { not_run: true });
@@ -221,16 +223,16 @@
         EngineRefusal::NotLoaded => {
             owned.handle(Event::Missing(call.model.clone()));
             AttemptError::not_run(Failure::LoadFailed {
-                retry_after_ms: SOON_MS,
+                retry_after_ms: RETRY_AFTER_MS,
             })
         }
         _ => AttemptError::not_run(Failure::Overloaded {
-            retry_after_ms: SOON_MS,
+            retry_after_ms: RETRY_AFTER_MS,
         }),
     }
 }
 
-fn to_error(reason: Refusal, retry_after_ms: Millis) -> AttemptError {
+fn to_attempt_error(reason: Refusal, retry_after_ms: Millis) -> AttemptError {
     let failure = match reason {
         Refusal::Overloaded => Failure::Overloaded { retry_after_ms },
         Refusal::DeadlinePassed => Failure::DeadlinePassed { retry_after_ms },
--- a/crates/tinbay-node/src/entry/locate.rs
+++ b/crates/tinbay-node/src/entry/locate.rs
@@ -1,4 +1,4 @@
-//! Tells a caller which addresses to use, for how long, and mints its request key.
+//! Tells a caller which boxes to use and for how long, and issues the key of its request.
 
 use std::sync::Arc;
 
@@ -15,17 +15,17 @@
 use crate::state::Node;
 use crate::util::sync::read;
 
-/// Addresses in an answer: the best one and some to fall back on.
-const ADDRESSES: usize = 3;
+/// Upper bound of the addresses in an answer: the best one first, then fallbacks.
+const MAX_ADDRESSES: usize = 3;
 
-/// Query of `GET /v1/locate`.
+/// Query parameters of `GET /v1/locate`.
 #[derive(Debug, Deserialize)]
 pub struct LocateQuery {
-    /// The adapter and version the caller will name.
+    /// Adapter and version that the caller is going to request.
     model: Option<String>,
 }
 
-/// Answers `GET /v1/locate`.
+/// Handles `GET /v1/locate`.
 pub async fn locate(node: State<Arc<Node>>, request: HttpRequest) -> HttpResponse {
     match answer(&node, &request) {
         Ok(answer) => HttpResponse::Ok().json(&answer),
@@ -53,7 +53,7 @@
     })
 }
 
-/// The box that owns the engine a model is at home on; there the request needs no hop.
+/// The owner of the engine that ranks first for a model. A request sent there need not be forwarded.
 fn owner_of(node: &Node, text: &str) -> Result<Option<BoxRecord>, Failure> {
     let model: ModelRef = text.parse().map_err(|error| Failure::BadParameter {
         name: "model",
@@ -82,7 +82,7 @@
     live.sort_by_key(|record| record.zone != node.options.zone);
     let mut boxes: Vec<BoxRecord> = owner.into_iter().collect();
     for record in live {
-        if boxes.len() < ADDRESSES && boxes.iter().all(|known| known.id != record.id) {
+        if boxes.len() < MAX_ADDRESSES && boxes.iter().all(|known| known.id != record.id) {
             boxes.push(record.clone());
         }
     }
--- a/crates/tinbay-node/src/entry/mod.rs
+++ b/crates/tinbay-node/src/entry/mod.rs
@@ -1,4 +1,4 @@
-//! What callers and forwarding boxes ask of a box.
+//! HTTP endpoints for callers and for boxes that forward requests.
 
 mod answer;
 mod attempts;
@@ -19,7 +19,7 @@
 
 pub use health::not_found;
 
-/// Sets up the routes of callers and boxes.
+/// Registers the routes of all endpoints in this module.
 pub fn configure(app: &mut ServiceConfig) {
     app.service(
         web::resource("/v1/completions")
--- a/crates/tinbay-node/src/entry/owner_watch.rs
+++ b/crates/tinbay-node/src/entry/owner_watch.rs
@@ -1,4 +1,4 @@
-//! Notices that the owner a request was passed to is held to be dead.
+//! Detects that the owner to which a request was forwarded has been removed from the view.
 
 use std::sync::Arc;
 
@@ -9,11 +9,11 @@
 use crate::state::Node;
 use crate::util::sync::read;
 
-/// Watches the view for the end of a box.
+/// Watches the view for the removal of a box.
 ///
-/// A frozen box keeps its connections open: only the view tells that others own its engines by now. Where a
-/// new run takes its place at the same address, the connections of the former one break by themselves, and
-/// the new one tells what it did not run.
+/// A frozen box keeps its connections open, so only the view shows that other boxes own its engines by
+/// now. A restarted process at the same address needs no such check: the connections of the former
+/// process break by themselves, and the new process reports requests that it did not run.
 pub struct OwnerWatch {
     node: Arc<Node>,
     id: BoxId,
@@ -22,7 +22,7 @@
 }
 
 impl OwnerWatch {
-    /// Watches a box from now on.
+    /// Starts watching a box.
     pub fn new(node: &Arc<Node>, owner: &BoxRecord) -> Self {
         Self {
             node: Arc::clone(node),
@@ -33,9 +33,9 @@
     }
 
     /// Waits until the box is no longer in the view at its address.
-    pub async fn gone(&mut self) {
+    pub async fn removed(&mut self) {
         while self.is_in_view() {
-            // The sender lives as long as the node.
+            // An error is impossible, as the sender lives as long as the node.
             let _ = self.changes.changed().await;
         }
     }
--- a/crates/tinbay-node/src/entry/progress.rs
+++ b/crates/tinbay-node/src/entry/progress.rs
@@ -1,16 +1,16 @@
-//! Counts requests in progress; a planned stop waits until there are none.
+//! Counts requests in progress, so that a planned shutdown can wait until there are none.
 
 use std::sync::Arc;
 
 use crate::state::Node;
 
-/// A request in progress; counted while it lives.
+/// Guard that counts a request as in progress until it is dropped.
 pub struct InProgress {
     node: Arc<Node>,
 }
 
 impl InProgress {
-    /// Counts one more.
+    /// Counts a request that has just arrived.
     pub fn begin(node: &Arc<Node>) -> Self {
         node.metrics.work.inc();
         node.metrics.in_progress.inc();
--- a/crates/tinbay-node/src/entry/remote.rs
+++ b/crates/tinbay-node/src/entry/remote.rs
@@ -1,4 +1,4 @@
-//! Passes a request to the box that owns its engine.
+//! Forwards a request to the box that owns its engine.
 
 use std::pin::pin;
 use std::sync::Arc;
@@ -23,16 +23,17 @@
 use crate::logging::part;
 use crate::state::Node;
 
-/// Beyond a request's own wait, what the owner may need for a takeover and the engine's head.
+/// Added to the request's remaining wait: time for a takeover by the owner and for the engine's
+/// response head.
 const HEAD_MARGIN: Duration = Duration::from_secs(12);
 
-/// How long a connect to a box that has gone may take to fail.
-const CONNECT_FAILS_WITHIN: Duration = Duration::from_millis(100);
+/// How long a connection attempt to a removed box may take to fail.
+const CONNECT_FAILURE_WAIT: Duration = Duration::from_millis(100);
 
-/// Forwards a request and reads the answer's head.
+/// Forwards a request and reads the head of the answer.
 ///
 /// # Errors
-/// [`AttemptError`], which tells whether anything ran.
+/// [`AttemptError`], which tells whether the request ran.
 pub async fn run(
     node: &Arc<Node>,
     job: &Job,
@@ -59,12 +60,12 @@
         .post(url.as_str())
         .set_header(headers::REQUEST_ID, job.request_id.as_str())
         .send_json(&request);
-    let within = Duration::from_millis(wait_left_ms) + HEAD_MARGIN;
+    let timeout = Duration::from_millis(wait_left_ms) + HEAD_MARGIN;
     let mut owner_watch = OwnerWatch::new(node, owner);
-    let head = head_unless_gone(await_head(call, within), &mut owner_watch).await;
+    let head = head_unless_removed(await_head(call, timeout), &mut owner_watch).await;
     let response = head.map_err(|error| {
-        log::debug!(target: part::ENTRY, "{} got no head from {}: {error}", job.request_id, owner.id);
-        // An ask to resume runs nothing.
+        log::debug!(target: part::ENTRY, "{}: no response head from {}: {error}", job.request_id, owner.id);
+        // A request to resume a stream does not start a run.
         if error.is_not_sent() || resume_from.is_some() {
             AttemptError::owner_lost(OwnerLoss::Unreachable)
         } else {
@@ -82,17 +83,17 @@
     let info = RunInfo {
         owner: owner.id.clone(),
         engine: engine.clone(),
-        stall_ms: number(&response, headers::STALL_MS),
-        queue_ms: number(&response, headers::QUEUE_MS),
-        expected_wait_ms: number(&response, headers::EXPECTED_WAIT_MS),
+        stall_ms: parse_millis(&response, headers::STALL_MS),
+        queue_ms: parse_millis(&response, headers::QUEUE_MS),
+        expected_wait_ms: parse_millis(&response, headers::EXPECTED_WAIT_MS),
     };
     let reader = LineReader::new(response.take_payload());
     Ok(AnswerStream::of_owner(info, reader, owner_watch))
 }
 
-/// Awaits a head until the owner is held to be dead. A connect that fails at the same moment is given time to
-/// show: it proves that nothing was sent.
-async fn head_unless_gone(
+/// Waits for the response head until the owner is removed from the view. A connection attempt is then
+/// given a moment to fail, since its failure proves that nothing was sent.
+async fn head_unless_removed(
     head: impl Future<Output = Result<ClientResponse, CallError>>,
     owner_watch: &mut OwnerWatch,
 ) -> Result<ClientResponse, CallError> {
@@ -100,25 +101,25 @@
     tokio::select! {
         biased;
         head = &mut head => return head,
-        () = owner_watch.gone() => {}
+        () = owner_watch.removed() => {}
     }
-    let last = tokio::time::timeout(CONNECT_FAILS_WITHIN, head).await;
+    let last = tokio::time::timeout(CONNECT_FAILURE_WAIT, head).await;
     last.unwrap_or(Err(CallError::TimedOut))
 }
 
-fn number(response: &ClientResponse, name: &str) -> Millis {
+fn parse_millis(response: &ClientResponse, name: &str) -> Millis {
     let value = response.headers().get(name);
     let text = value.and_then(|value| value.to_str().ok());
     text.and_then(|text| text.parse().ok()).unwrap_or(0)
 }
 
-/// The owner's failure, as far as it says for certain that nothing ran.
+/// The owner's failure if its body states that nothing ran, otherwise an unknown outcome.
 async fn read_error(response: &ClientResponse) -> AttemptError {
     let Ok(body) = read_any::<ErrorBody>(response).await else {
         return AttemptError::unknown();
     };
     if body.error.code == ErrorCode::CannotResume {
-        // The request ran, but this ask to resume it did nothing.
+        // The request ran, but this attempt to resume it had no effect.
         return AttemptError::not_run(Failure::CannotResume);
     }
     if !body.error.not_run {
--- a/crates/tinbay-node/src/entry/services.rs
+++ b/crates/tinbay-node/src/entry/services.rs
@@ -1,4 +1,4 @@
-//! Calls of plain services.
+//! Calls of plain HTTP services, which are passed through without adapters or streaming.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -19,7 +19,7 @@
 use crate::logging::part;
 use crate::state::Node;
 
-/// Longest answer passed on.
+/// Upper bound of an answer's size.
 const MAX_ANSWER_BYTES: usize = 16 * 1024 * 1024;
 
 /// The answer of a plain service.
@@ -29,22 +29,22 @@
     body: BytesMut,
 }
 
-/// Why one address gave no answer.
+/// Why a call of one address of a service failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 enum CallFailure {
-    /// No connection came about: the call was not handed over.
-    #[error("the service takes no connection")]
+    /// No connection could be established, so the call was not sent.
+    #[error("could not connect to the service")]
     NotSent,
-    /// The service says that it did not run the call.
+    /// The service reported that it did not run the call.
     #[error("the service refused the call")]
     Declined,
-    /// It was handed over, and no whole answer came.
-    #[error("the service gave no whole answer")]
+    /// The call was sent, but no complete answer arrived.
+    #[error("no complete answer from the service")]
     Unknown,
 }
 
 impl CallFailure {
-    fn end(self) -> AttemptEnd {
+    fn attempt_end(self) -> AttemptEnd {
         match self {
             CallFailure::NotSent | CallFailure::Declined => AttemptEnd::NotRun,
             CallFailure::Unknown => AttemptEnd::Unknown,
@@ -52,7 +52,7 @@
     }
 }
 
-/// Answers `POST /v1/services/NAME/...`.
+/// Handles `POST /v1/services/NAME/...`.
 pub async fn call(
     node: State<Arc<Node>>,
     request: HttpRequest,
@@ -116,14 +116,14 @@
         };
         log::debug!(target: part::ENTRY, "{} of {} at {address}: {failure}", context.identity.request_id, spec.name);
         let case = RetryCase {
-            end: failure.end(),
+            end: failure.attempt_end(),
             repeatable: context.treatment.repeatable,
             answer_begun: false,
             now_ms: node.clock.now_ms(),
             deadline_ms: context.arrived_ms + spec.timeout_ms,
         };
-        ends.note(failure.end());
-        // An address that takes no connection got no load, so the next one is no retry.
+        ends.note(failure.attempt_end());
+        // A failed connection put no load on the service, so it does not count against the retry budget.
         let is_free = failure == CallFailure::NotSent;
         if !may_retry(&case) || !(is_free || node.spend_retry(class)) {
             break;
@@ -155,30 +155,30 @@
     if let Some(key) = &context.identity.key {
         request = request.set_header(headers::KEY, key.to_string());
     }
-    let within = Duration::from_millis(spec.timeout_ms);
+    let timeout = Duration::from_millis(spec.timeout_ms);
     let response =
-        await_head(request.send_body(body), within)
+        await_head(request.send_body(body), timeout)
             .await
             .map_err(|error| match error.is_not_sent() {
                 true => CallFailure::NotSent,
                 false => CallFailure::Unknown,
             })?;
-    if says_not_run(&response) {
+    if reports_not_run(&response) {
         return Err(CallFailure::Declined);
     }
-    read_reply(response, within).await
+    read_reply(response, timeout).await
 }
 
-fn says_not_run(response: &ClientResponse) -> bool {
+fn reports_not_run(response: &ClientResponse) -> bool {
     !response.status().is_success() && response.headers().contains_key(headers::NOT_RUN)
 }
 
 async fn read_reply(
     response: ClientResponse,
-    within: Duration,
+    timeout: Duration,
 ) -> Result<ServiceReply, CallFailure> {
     let read = read_body(response.take_payload(), MAX_ANSWER_BYTES);
-    let body = match tokio::time::timeout(within, read).await {
+    let body = match tokio::time::timeout(timeout, read).await {
         Ok(Ok(body)) => body,
         _ => return Err(CallFailure::Unknown),
     };
--- a/crates/tinbay-node/src/entry/stream.rs
+++ b/crates/tinbay-node/src/entry/stream.rs
@@ -1,4 +1,4 @@
-//! The stream of one attempt's answer.
+//! The answer stream of one attempt.
 
 use std::time::Duration;
 
@@ -11,48 +11,48 @@
 use super::owner_watch::OwnerWatch;
 use crate::owners::RunGuard;
 
-/// A stream that gives nothing for this long is taken as broken.
-const EVENT_WITHIN: Duration = Duration::from_secs(15);
+/// A stream without an event for this long is considered broken.
+const EVENT_TIMEOUT: Duration = Duration::from_secs(15);
 
 /// Where and how a request runs.
 #[derive(Debug, Clone)]
 pub struct RunInfo {
     /// The box that owns the engine.
     pub owner: BoxId,
-    /// The engine.
+    /// The engine that runs the request.
     pub engine: EngineId,
-    /// How long the request waited for its adapter.
+    /// How long the request waited for its adapter to load.
     pub stall_ms: Millis,
-    /// How long it waited in all.
+    /// Total wait from the request's arrival until the engine's response head.
     pub queue_ms: Millis,
-    /// Wait the owner expects for the next request of that rank.
+    /// Wait that the owner expects for the next request of the same rank.
     pub expected_wait_ms: Millis,
 }
 
-/// An answer on its way: chunks of one attempt.
+/// The chunks of one attempt as they arrive.
 pub struct AnswerStream {
-    /// Where and how it runs.
+    /// Where and how the attempt runs.
     pub info: RunInfo,
     reader: LineReader,
-    /// Holds the place in the batch while the owner is this box.
+    /// The place in the engine's batch, when this box owns the engine.
     guard: Option<RunGuard>,
-    /// The owner that passes the stream on, where that is another box.
+    /// Watch on the owner that relays the stream, when another box owns the engine.
     owner: Option<OwnerWatch>,
 }
 
-/// Why a stream gives no further chunk.
+/// Why a stream has no further chunk.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 pub enum ChunkError {
-    /// It broke off.
-    #[error("stream broke off")]
+    /// The stream ended early, timed out or could not be parsed.
+    #[error("stream ended early")]
     Broken,
-    /// It is wrong.
+    /// The stream contains a chunk that does not belong to the answer, or lacks one.
     #[error("{0}")]
     Wrong(#[from] tinbay_core::assemble::AssembleError),
 }
 
 impl AnswerStream {
-    /// A stream of an engine of this box, with the place it holds there.
+    /// A stream from an engine owned by this box, with its place in the batch; `None` when resuming.
     pub fn of_engine(info: RunInfo, reader: LineReader, guard: Option<RunGuard>) -> Self {
         Self {
             info,
@@ -62,7 +62,7 @@
         }
     }
 
-    /// A stream that the owner of the engine passes on.
+    /// A stream relayed by another box that owns the engine.
     pub fn of_owner(info: RunInfo, reader: LineReader, owner: OwnerWatch) -> Self {
         Self {
             info,
@@ -72,15 +72,15 @@
         }
     }
 
-    /// The next event as it came, for a box that only passes it on.
+    /// The next event, unparsed; `None` after the end of the stream or when it breaks.
     pub async fn next_raw(&mut self) -> Option<Vec<u8>> {
-        let event = tokio::time::timeout(EVENT_WITHIN, self.reader.next_event());
+        let event = tokio::time::timeout(EVENT_TIMEOUT, self.reader.next_event());
         let event = match &mut self.owner {
             None => event.await,
             Some(owner) => tokio::select! {
                 biased;
                 event = event => event,
-                () = owner.gone() => return None,
+                () = owner.removed() => return None,
             },
         };
         let event = event.ok()?.ok().flatten()?;
@@ -90,23 +90,23 @@
         Some(event)
     }
 
-    /// Gives the place in the batch back: the engine has ended the run.
+    /// Releases the place in the batch after the engine has ended the run.
     fn end_run(&mut self) {
         if let Some(mut guard) = self.guard.take() {
             guard.mark_ended();
         }
     }
 
-    /// Reads to the end of what nobody waits for any more, so that the place in the batch is
-    /// held until the engine is done.
+    /// Reads an abandoned stream to its end, so that its place in the batch stays taken until the engine
+    /// has ended the run.
     pub async fn drain(&mut self) {
         while self.next_raw().await.is_some() {}
     }
 
-    /// The next chunk that belongs into the answer.
+    /// The next chunk of the answer; repeated chunks and those of abandoned attempts are skipped.
     ///
     /// # Errors
-    /// [`ChunkError`] when the stream breaks off or something else got into it.
+    /// [`ChunkError`] when the stream breaks, contains a foreign chunk or lacks one.
     pub async fn next(&mut self, assembler: &mut Assembler) -> Result<Chunk, ChunkError> {
         loop {
             let event = self.next_raw().await.ok_or(ChunkError::Broken)?;
--- a/crates/tinbay-node/src/entry/vacancy.rs
+++ b/crates/tinbay-node/src/entry/vacancy.rs
@@ -1,4 +1,4 @@
-//! Waits for the next owner of an engine whose owner was lost.
+//! Waits for the next owner of an engine whose owner has failed or given it up.
 
 use std::time::Duration;
 
@@ -13,29 +13,29 @@
 use crate::state::Node;
 use crate::util::sync::{lock, read};
 
-/// Time until a lost owner is asked again while the view stays as it is; doubles with each wait, since all
-/// requests for its engines ask.
-const ASK_AGAIN_MS: Millis = 100;
+/// Delay before an engine's owner is contacted again if the view does not change. It doubles with each
+/// wait, since all requests for the engine retry.
+const RETRY_MS: Millis = 100;
 
-/// Longest time between two asks.
-const LONGEST_ASK_AGAIN_MS: Millis = 1_000;
+/// Upper bound of the delay between two retries.
+const MAX_RETRY_MS: Millis = 1_000;
 
-/// Notes that a run of a box, asked as the owner of an engine, was found not to own it; gives the time until
-/// an owner is expected.
-pub fn note_lost(
+/// Records that a run of a box, contacted as the owner of an engine, turned out not to own it. Returns the
+/// time until an owner is expected.
+pub fn record_owner_loss(
     node: &Node,
     engine: &EngineId,
-    asked: Option<&BoxRun>,
+    contacted: Option<&BoxRun>,
     loss: OwnerLoss,
 ) -> Millis {
     let terms = vacancy_terms(node, engine);
     let now_ms = node.clock.now_ms();
     let mut vacancies = lock(&node.vacancies);
-    vacancies.note_lost(engine, asked, loss, &terms, now_ms);
+    vacancies.note_lost(engine, contacted, loss, &terms, now_ms);
     vacancies.wait_ms(engine, now_ms)
 }
 
-/// Waits until a lost owner may be asked again: after a change of the view, or some time.
+/// Waits until the owner may be contacted again: after a change of the view or the retry delay.
 ///
 /// # Errors
 /// [`Failure::NotOwner`] at once if the next owner is expected only after `until_ms`.
@@ -53,20 +53,20 @@
             retry_after_ms: wait_ms,
         });
     }
-    let pause = jittered(Duration::from_millis(ask_again_ms(waits)));
+    let delay = jittered(Duration::from_millis(retry_delay_ms(waits)));
     let left = Duration::from_millis(until_ms - now_ms);
-    let _ = tokio::time::timeout(pause.min(left), changes.changed()).await;
+    let _ = tokio::time::timeout(delay.min(left), changes.changed()).await;
     Ok(())
 }
 
-/// Lets some time pass between two asks to resume that an engine broke off without a chunk.
-pub async fn pause(asks: u32) {
-    tokio::time::sleep(jittered(Duration::from_millis(ask_again_ms(asks)))).await;
+/// Waits between two attempts to resume, when the engine broke off the first one without a chunk.
+pub async fn delay_resume(attempts: u32) {
+    tokio::time::sleep(jittered(Duration::from_millis(retry_delay_ms(attempts)))).await;
 }
 
-fn ask_again_ms(waits: u32) -> Millis {
-    let doubled = ASK_AGAIN_MS.saturating_mul(1 << waits.min(10));
-    doubled.min(LONGEST_ASK_AGAIN_MS)
+fn retry_delay_ms(attempts: u32) -> Millis {
+    let doubled = RETRY_MS.saturating_mul(1 << attempts.min(10));
+    doubled.min(MAX_RETRY_MS)
 }
 
 fn vacancy_terms(node: &Node, engine: &EngineId) -> VacancyTerms {
