--- a/crates/tinbay-node/src/entry/completions.rs
+++ b/crates/tinbay-node/src/entry/completions.rs
@@ -13,7 +13,7 @@
 use super::job::Job;
 use super::progress::InProgress;
 use super::stream::RunInfo;
-use crate::filters::{Asked, Claimed, Context, Failure, release_claim, run_chain};
+use crate::filters::{Context, Failure, KeyClaim, Operation, release_claim, run_chain};
 use crate::logging::part;
 use crate::state::Node;
 
@@ -43,13 +43,13 @@
     let arrived_ms = node.clock.now_ms();
     let body: CompletionRequest =
         read_json(payload.into_inner(), node.options.max_body_bytes).await?;
-    let asked = Asked::Completion(body.clone());
-    let mut context = Context::new(request.headers(), asked, arrived_ms);
+    let operation = Operation::Completion(body.clone());
+    let mut context = Context::new(request.headers(), operation, arrived_ms);
     run_chain(node, &mut context).await?;
     let job = to_job(&context, &body);
     let class = job.class.clone();
-    let claimed = context.claimed.clone();
-    let outcome = run_job(node, job, claimed, body.stream, progress).await;
+    let key_claim = context.key_claim.clone();
+    let outcome = run_job(node, job, key_claim, body.stream, progress).await;
     if let Err(failure) = &outcome {
         count_request(node, &class, Err(failure));
     }
@@ -85,7 +85,7 @@
 async fn run_job(
     node: &Arc<Node>,
     job: Job,
-    claimed: Claimed,
+    key_claim: KeyClaim,
     stream: bool,
     progress: InProgress,
 ) -> Result<HttpResponse, Failure> {
@@ -94,7 +94,7 @@
         Ok(first) => first,
         Err(failure) => {
             if failure.is_not_run() {
-                release_claim(node, &claimed).await;
+                release_claim(node, &key_claim).await;
             }
             log::info!(target: part::ENTRY, "{} {} refused: {failure}", job.request_id, job.model);
             return Err(failure);
--- a/crates/tinbay-node/src/entry/services.rs
+++ b/crates/tinbay-node/src/entry/services.rs
@@ -15,7 +15,7 @@
 use tinbay_wire::headers;
 
 use super::progress::InProgress;
-use crate::filters::{Asked, Context, Failure, release_claim, run_chain};
+use crate::filters::{Context, Failure, Operation, release_claim, run_chain};
 use crate::logging::part;
 use crate::state::Node;
 
@@ -81,18 +81,18 @@
         .config
         .service(name)
         .ok_or_else(|| Failure::UnknownService(name.to_owned()))?;
-    let asked = Asked::Service {
+    let operation = Operation::Service {
         name: name.to_owned(),
         repeatable: spec.repeatable,
     };
     let arrived_ms = node.clock.now_ms();
-    let mut context = Context::new(request.headers(), asked, arrived_ms);
+    let mut context = Context::new(request.headers(), operation, arrived_ms);
     run_chain(node, &mut context).await?;
     let outcome = try_addresses(node, &context, &spec, rest, body.freeze()).await;
     if let Err(failure) = &outcome
         && failure.is_not_run()
     {
-        release_claim(node, &context.claimed).await;
+        release_claim(node, &context.key_claim).await;
     }
     outcome
 }
--- a/crates/tinbay-node/src/filters/catalog.rs
+++ b/crates/tinbay-node/src/filters/catalog.rs
@@ -1,4 +1,4 @@
-//! Looks up what a request names.
+//! Looks up the configured objects that a request refers to.
 
 use std::sync::Arc;
 
@@ -7,10 +7,10 @@
 use tinbay_core::ids::ModelRef;
 use tinbay_wire::headers;
 
-use super::{Asked, Context, DEFAULT_CLASS, Failure, Filter, default_class};
+use super::{Context, DEFAULT_CLASS, Failure, Filter, Operation, default_class};
 use crate::state::Node;
 
-/// Finds adapter, version and class.
+/// Resolves the request's class and, for completions, its adapter and version.
 pub struct CatalogFilter;
 
 impl Filter for CatalogFilter {
@@ -21,9 +21,9 @@
     ) -> LocalBoxFuture<'a, Result<(), Failure>> {
         async move {
             find_class(node, context)?;
-            match context.asked.clone() {
-                Asked::Completion(request) => find_model(node, context, &request.model),
-                Asked::Service { name, .. } => {
+            match context.operation.clone() {
+                Operation::Completion(request) => find_model(node, context, &request.model),
+                Operation::Service { name, .. } => {
                     context.organisation = name;
                     Ok(())
                 }
@@ -47,9 +47,9 @@
 }
 
 fn find_class(node: &Node, context: &mut Context<'_>) -> Result<(), Failure> {
-    let in_body = match &context.asked {
-        Asked::Completion(request) => request.class.clone(),
-        Asked::Service { .. } => None,
+    let in_body = match &context.operation {
+        Operation::Completion(request) => request.class.clone(),
+        Operation::Service { .. } => None,
     };
     let named = in_body.or_else(|| context.header(headers::CLASS).map(str::to_owned));
     let name = named.as_deref().unwrap_or(DEFAULT_CLASS);
--- a/crates/tinbay-node/src/filters/claim.rs
+++ b/crates/tinbay-node/src/filters/claim.rs
@@ -1,4 +1,5 @@
-//! Claims the key of a request that must not run twice.
+//! Claims the key of a request that must not run twice, at the key's home: the box that records which
+//! of its keys have been used.
 
 use std::sync::Arc;
 
@@ -12,14 +13,14 @@
 use crate::util::clock::wall_ms;
 use crate::util::sync::{lock, read};
 
-/// The claim of a request's key.
+/// The claim on a request's key.
 #[derive(Debug, Clone, Default)]
-pub struct Claimed {
-    /// The key claimed; none for work that may be repeated, or that has no key.
+pub struct KeyClaim {
+    /// The claimed key; `None` for requests that may run more than once or have no key.
     pub key: Option<RequestKey>,
 }
 
-/// Claims keys of work that may not be repeated.
+/// Claims the keys of requests that must not run twice.
 pub struct ClaimFilter;
 
 impl Filter for ClaimFilter {
@@ -38,7 +39,7 @@
             };
             match claim(node, &key).await {
                 Claim::Granted | Claim::Regranted => {
-                    context.claimed.key = Some(key);
+                    context.key_claim.key = Some(key);
                     Ok(())
                 }
                 Claim::Used => Err(Failure::AlreadyUsed),
@@ -58,20 +59,20 @@
     };
     match node.ask_soon(&address, Message::Claim(key.clone())).await {
         Ok(Reply::Claim(claim)) => claim,
-        // Whether the home took the claim is not known, so nobody may run the request.
+        // The home may have granted the claim, so the request must not run here or elsewhere.
         _ => Claim::Unknown,
     }
 }
 
-/// Tells the home that a claimed request certainly did not run.
-pub async fn release_claim(node: &Node, claimed: &Claimed) {
-    let Some(key) = &claimed.key else { return };
+/// Notifies the key's home that a claimed request has certainly not run, so that the key can be used again.
+pub async fn release_claim(node: &Node, key_claim: &KeyClaim) {
+    let Some(key) = &key_claim.key else { return };
     if key.home == *node.id() {
         lock(&node.keys).release_not_run(key);
         return;
     }
     if let Some(address) = home_address(node, key) {
-        // When this is lost the key stays used, which is the safe side.
+        // If this message is lost, the key stays claimed, which is safe.
         let _ = node
             .ask_soon(&address, Message::ReleaseNotRun(key.clone()))
             .await;
--- a/crates/tinbay-node/src/filters/failure.rs
+++ b/crates/tinbay-node/src/filters/failure.rs
@@ -1,4 +1,4 @@
-//! Every way a caller's or operator's request can fail.
+//! The failures that callers and operators can receive.
 
 use ntex::http::StatusCode;
 use ntex::web::HttpResponse;
@@ -10,137 +10,137 @@
 use tinbay_http::body::BodyError;
 use tinbay_wire::error_body::{ErrorBody, ErrorCode, ErrorDetail};
 
-/// When asking again makes sense after a passing trouble.
-const SOON_MS: Millis = 500;
+/// Retry delay reported for failures that are expected to pass soon.
+const DEFAULT_RETRY_AFTER_MS: Millis = 500;
 
 /// Why a request ended without an answer.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 pub enum Failure {
-    /// The body is not what was expected.
+    /// The body is incomplete or cannot be parsed.
     #[error("body: {0}")]
     MalformedBody(String),
-    /// A header or query value is not understood.
+    /// A header or query parameter cannot be parsed.
     #[error("{name} is not understood: {reason}")]
     BadParameter {
-        /// The header or parameter.
+        /// Name of the header or parameter.
         name: &'static str,
-        /// What is wrong.
+        /// What is wrong with its value.
         reason: String,
     },
-    /// The body is too long.
+    /// The body exceeds the configured limit.
     #[error("body is over {limit_bytes} bytes")]
     BodyTooLarge {
-        /// What is allowed.
+        /// The limit that was exceeded.
         limit_bytes: usize,
     },
-    /// The key is not understood.
+    /// The request key cannot be parsed.
     #[error("the request key is not one that locate gave")]
     BadKey,
-    /// Nothing is there.
+    /// The path does not exist.
     #[error("nothing is at this path")]
     NotFound,
-    /// The method does not fit.
+    /// The path exists but does not support the method.
     #[error("the path does not take this method")]
     MethodNotAllowed,
-    /// The operators' token is missing or wrong.
+    /// The admin token is missing or wrong.
     #[error("the administration token is missing or wrong")]
     Unauthorized,
-    /// No such adapter.
+    /// The requested adapter is not configured.
     #[error("adapter {0} does not exist")]
     UnknownAdapter(String),
-    /// No such version.
+    /// The requested version of an adapter is not configured.
     #[error("version {0} does not exist")]
     UnknownVersion(ModelRef),
-    /// No such class.
+    /// The requested priority class is not configured.
     #[error("priority class {0} does not exist")]
     UnknownClass(String),
-    /// No such service.
+    /// The requested service is not configured.
     #[error("service {0} does not exist")]
     UnknownService(String),
-    /// No such object.
+    /// The requested configuration object does not exist.
     #[error("{0} does not exist")]
     UnknownObject(ConfigKey),
-    /// No engine fits.
+    /// No engine of the region serves the adapter's base model.
     #[error("no engine of base model {0} can be used")]
     NoEngine(String),
-    /// It would start too late.
+    /// The queue is too long for the request to start before its deadline.
     #[error("the queue is too long to start in time")]
     Overloaded {
-        /// When asking again makes sense.
+        /// Delay after which a retry may succeed.
         retry_after_ms: Millis,
     },
-    /// It waited until its last moment.
+    /// The request was still queued at its deadline.
     #[error("it could not start in time")]
     DeadlinePassed {
-        /// When asking again makes sense.
+        /// Delay after which a retry may succeed.
         retry_after_ms: Millis,
     },
-    /// The adapter could not be loaded.
+    /// The engine could not load the adapter.
     #[error("the adapter could not be loaded")]
     LoadFailed {
-        /// When asking again makes sense.
+        /// Delay after which a retry may succeed.
         retry_after_ms: Millis,
     },
-    /// The box is leaving.
+    /// The box is leaving the fleet and accepts no new work.
     #[error("this box is leaving; ask locate for another")]
     Leaving,
-    /// The engine is leaving.
+    /// The engine is leaving the fleet and accepts no new requests.
     #[error("the engine is leaving")]
     EngineLeaves,
-    /// No box that owns the engine was found.
+    /// No owner of the engine could be reached.
     #[error("the engine has no owner that answers")]
     NotOwner {
-        /// When the next owner is expected.
+        /// Time until the next owner is expected.
         retry_after_ms: Millis,
     },
-    /// The box is behind.
+    /// The box does not have the required configuration yet.
     #[error("this box is catching up with the configuration")]
     StaleConfiguration,
-    /// The key was used.
+    /// The request key has been used already.
     #[error("the request with this key is running or was answered")]
     AlreadyUsed,
-    /// It may have run.
+    /// The request may have run.
     #[error("whether the request ran is not known")]
     OutcomeUnknown,
-    /// The rest cannot be had.
+    /// The engine no longer has the rest of the answer.
     #[error("the rest of the answer is not there any more")]
     CannotResume,
-    /// The engine's answer is wrong.
+    /// The engine's answer is for another request or model, or has a gap.
     #[error("wrong answer: {0}")]
     WrongAnswer(#[from] AssembleError),
-    /// The back end failed.
+    /// The engine or service failed.
     #[error("the back end failed")]
     BackendFailed {
         /// Whether it is certain that nothing ran.
         not_run: bool,
     },
-    /// A change fails its checks.
+    /// A configuration change violates a rule.
     #[error("{0}")]
     InvalidChange(ConfigError),
-    /// A change has no items, too many, or a bad name.
+    /// A configuration change has no items, too many, or an invalid name.
     #[error("{0}")]
     MalformedChange(&'static str),
-    /// A policy fails.
+    /// A policy does not compile or fails.
     #[error("policy: {0}")]
     InvalidPolicy(PolicyError),
-    /// Another operator was first.
+    /// The object has been changed since the revision that the operator expected.
     #[error("{key} is at revision {found} now")]
     Conflict {
-        /// The object.
+        /// The object that was to be changed.
         key: ConfigKey,
-        /// Its revision.
+        /// Its current revision.
         found: i64,
     },
-    /// The key-value service is out.
+    /// The key-value service cannot be reached.
     #[error("the key-value service cannot be reached; nothing was changed")]
     PlatformUnavailable,
-    /// Whether the change was made is not known.
+    /// The change may or may not have been made.
     #[error("whether change {0} was made is not known yet; ask the audit trail for it")]
     ChangeUnknown(String),
 }
 
 impl Failure {
-    /// The stable code.
+    /// The stable code for callers to match on.
     pub fn code(&self) -> ErrorCode {
         match self {
             Failure::MalformedBody(_) => ErrorCode::MalformedBody,
@@ -189,7 +189,7 @@
         }
     }
 
-    /// When asking again makes sense.
+    /// Delay after which a retry may succeed; `None` if no retry is suggested.
     pub fn retry_after_ms(&self) -> Option<Millis> {
         match self {
             Failure::Overloaded { retry_after_ms }
@@ -200,13 +200,13 @@
             | Failure::Leaving
             | Failure::EngineLeaves
             | Failure::StaleConfiguration
-            | Failure::PlatformUnavailable => Some(SOON_MS),
-            Failure::BackendFailed { not_run: true } => Some(SOON_MS),
+            | Failure::PlatformUnavailable => Some(DEFAULT_RETRY_AFTER_MS),
+            Failure::BackendFailed { not_run: true } => Some(DEFAULT_RETRY_AFTER_MS),
             _ => None,
         }
     }
 
-    /// The failure as a body.
+    /// Converts the failure into a response body.
     pub fn to_body(&self) -> ErrorBody {
         ErrorBody {
             error: ErrorDetail {
@@ -218,13 +218,13 @@
         }
     }
 
-    /// The failure as an answer.
+    /// Converts the failure into a response.
     pub fn to_response(&self) -> HttpResponse {
         let status =
             StatusCode::from_u16(self.code().status()).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
         let mut response = HttpResponse::build(status);
         if let Some(retry_after_ms) = self.retry_after_ms() {
-            // The header counts whole seconds; the body has the milliseconds.
+            // The header has whole seconds; the body has the exact milliseconds.
             let seconds = retry_after_ms.div_ceil(1_000);
             response.set_header("retry-after", seconds.to_string());
         }
--- a/crates/tinbay-node/src/filters/freshness.rs
+++ b/crates/tinbay-node/src/filters/freshness.rs
@@ -1,4 +1,4 @@
-//! Lets requests pass only while the box can serve by the newest configuration it can know.
+//! Lets requests pass only while the configuration of the box is as recent as it can know.
 
 use std::sync::Arc;
 
@@ -8,7 +8,8 @@
 use super::{Context, Failure, Filter};
 use crate::state::Node;
 
-/// Waits after a silence, refuses before the first configuration.
+/// Waits for a contact after the box has heard from nobody for a while, and refuses requests before the
+/// first configuration.
 pub struct FreshnessFilter;
 
 impl Filter for FreshnessFilter {
--- a/crates/tinbay-node/src/filters/identity.rs
+++ b/crates/tinbay-node/src/filters/identity.rs
@@ -1,4 +1,4 @@
-//! Finds out which request this is.
+//! Identifies a request by its headers.
 
 use std::sync::Arc;
 
@@ -10,25 +10,26 @@
 use super::{Context, Failure, Filter};
 use crate::state::Node;
 
-/// Longest request id taken from a caller.
-const MAX_REQUEST_ID: usize = 128;
+/// Upper bound of the length of a request id chosen by a caller; a longer one is replaced.
+const MAX_REQUEST_ID_BYTES: usize = 128;
 
-/// Which request this is.
+/// The ids and the resume position of a request.
 #[derive(Debug, Clone, Default)]
 pub struct Identity {
-    /// Runs through the logs of every box.
+    /// Identifies the request in the logs of all boxes.
     pub request_id: String,
-    /// The key the caller got from locate.
+    /// The key that the caller got from `/v1/locate`.
     pub key: Option<RequestKey>,
-    /// The first position of the answer that the caller still needs.
+    /// First position of the answer that the caller still needs; `None` for a new request.
     pub resume_from: Option<u64>,
-    /// The request's name at back ends: the key, the same for every ask with it, or a name of its own.
+    /// Name under which engines know the request: its key, so that repeated requests with that key share
+    /// a run, or else a generated name.
     ///
-    /// Never the id that a caller chose: two callers with the same one would share a run.
+    /// It is never an id chosen by the caller: two callers that chose the same one would share a run.
     pub name: String,
 }
 
-/// Reads request id, key and resume position.
+/// Parses the request id, the key and the resume position.
 pub struct IdentityFilter;
 
 impl Filter for IdentityFilter {
@@ -63,13 +64,14 @@
             reason: "it needs the request's key".to_owned(),
         });
     }
-    let given = context.header(headers::REQUEST_ID);
-    let own_id = new_request_id(node);
-    let request_id = match given.filter(|id| !id.is_empty() && id.len() <= MAX_REQUEST_ID) {
+    let caller_id = context.header(headers::REQUEST_ID);
+    let generated_id = new_request_id(node);
+    let request_id = match caller_id.filter(|id| !id.is_empty() && id.len() <= MAX_REQUEST_ID_BYTES)
+    {
         Some(id) => id.to_owned(),
-        None => own_id.clone(),
+        None => generated_id.clone(),
     };
-    let name = key.as_ref().map_or(own_id, RequestKey::to_string);
+    let name = key.as_ref().map_or(generated_id, RequestKey::to_string);
     Ok(Identity {
         request_id,
         key,
--- a/crates/tinbay-node/src/filters/mod.rs
+++ b/crates/tinbay-node/src/filters/mod.rs
@@ -1,8 +1,8 @@
-//! The filter chain every caller's request passes before it is routed.
+//! The filter chain that each caller's request passes before it is routed.
 //!
-//! Each filter looks at one thing and either lets the request pass, adding what it found
-//! to the context, or ends it with a typed failure. Kin: the HTTP filter chains of the
-//! Envoy paper, kept because each check then has one place and one test.
+//! Each filter checks one aspect and either lets the request pass, adding its result to the context,
+//! or ends it with a typed failure. The design follows the HTTP filter chains of Envoy: each check has
+//! one place and can be tested by itself.
 
 mod catalog;
 mod claim;
@@ -11,7 +11,7 @@
 mod identity;
 mod treatment;
 
-pub use claim::{Claimed, release_claim};
+pub use claim::{KeyClaim, release_claim};
 pub use failure::Failure;
 pub use identity::Identity;
 
@@ -26,45 +26,45 @@
 
 use crate::state::Node;
 
-/// What is asked for.
+/// The operation that a caller requests.
 #[derive(Debug, Clone)]
-pub enum Asked {
-    /// A completion.
+pub enum Operation {
+    /// A completion by an adapter.
     Completion(CompletionRequest),
-    /// A call of a plain service.
+    /// A call of a plain HTTP service.
     Service {
-        /// Its name.
+        /// Name of the service in the configuration.
         name: String,
-        /// Whether its calls may be repeated.
+        /// Whether a call may run more than once.
         repeatable: bool,
     },
 }
 
-/// What the filters have found out about a request.
+/// A caller's request, with the results of the filters so far.
 pub struct Context<'a> {
-    /// The headers it came with.
+    /// Headers as received.
     pub headers: &'a HeaderMap,
-    /// What it asks for.
-    pub asked: Asked,
-    /// When it arrived.
+    /// The requested operation, from the path and body.
+    pub operation: Operation,
+    /// When the request arrived, on the clock of this box.
     pub arrived_ms: Millis,
-    /// Who it is; set by the identity filter.
+    /// Its ids and resume position; set by the identity filter.
     pub identity: Identity,
     /// The base model of its adapter; set by the catalog filter.
     pub base_model: String,
-    /// Whose request it is; set by the catalog filter.
+    /// The organisation that owns its adapter, or the name of the service; set by the catalog filter.
     pub organisation: String,
     /// Its priority class; set by the catalog filter.
     pub class: Class,
-    /// How it is treated; set by the treatment filter.
+    /// Its scheduling parameters; set by the treatment filter.
     pub treatment: Treatment,
-    /// The claim of its key; set by the claim filter.
-    pub claimed: Claimed,
+    /// The claim on its key; set by the claim filter.
+    pub key_claim: KeyClaim,
 }
 
-/// Lets a request pass, or ends it.
+/// One check of the filter chain.
 pub trait Filter {
-    /// Looks at a request.
+    /// Checks a request and adds the result to the context; an error ends the request.
     fn apply<'a>(
         &'a self,
         node: &'a Arc<Node>,
@@ -72,22 +72,22 @@
     ) -> LocalBoxFuture<'a, Result<(), Failure>>;
 }
 
-/// The class of requests that name none.
+/// Class of requests that do not name one.
 pub const DEFAULT_CLASS: &str = "standard";
 
-/// How long a request of the built-in class may wait.
+/// Maximum wait for a start in the built-in class.
 const DEFAULT_MAX_WAIT_MS: Millis = 30_000;
 
-/// Rank of the built-in class: behind every class an operator ranks first.
+/// Rank of the built-in class, which leaves lower ranks to classes that operators want served first.
 const DEFAULT_RANK: u8 = 100;
 
 impl<'a> Context<'a> {
-    /// A request as it came.
-    pub fn new(headers: &'a HeaderMap, asked: Asked, arrived_ms: Millis) -> Self {
+    /// Creates the context of a request that no filter has seen yet, with the built-in class.
+    pub fn new(headers: &'a HeaderMap, operation: Operation, arrived_ms: Millis) -> Self {
         let class = default_class();
         Self {
             headers,
-            asked,
+            operation,
             arrived_ms,
             identity: Identity::default(),
             base_model: String::new(),
@@ -99,17 +99,17 @@
                 repeatable: class.repeatable,
             },
             class,
-            claimed: Claimed::default(),
+            key_claim: KeyClaim::default(),
         }
     }
 
-    /// The text of a header.
+    /// The value of a header; `None` if it is absent or not visible ASCII.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.get(name)?.to_str().ok()
     }
 }
 
-/// The class of requests that name none where the operators define no `standard`.
+/// The built-in class, used for requests without a class if operators do not define `standard`.
 pub fn default_class() -> Class {
     Class {
         name: DEFAULT_CLASS.to_owned(),
@@ -121,10 +121,10 @@
     }
 }
 
-/// Passes a request through every filter in order.
+/// Passes a request through all filters in order.
 ///
 /// # Errors
-/// The first filter's failure.
+/// The failure of the first filter that ends the request.
 pub async fn run_chain(node: &Arc<Node>, context: &mut Context<'_>) -> Result<(), Failure> {
     let chain: [&dyn Filter; 5] = [
         &identity::IdentityFilter,
--- a/crates/tinbay-node/src/filters/treatment.rs
+++ b/crates/tinbay-node/src/filters/treatment.rs
@@ -1,4 +1,4 @@
-//! Decides by class and policy how a request is treated.
+//! Determines a request's scheduling parameters from its class and policy.
 
 use std::sync::Arc;
 
@@ -6,10 +6,10 @@
 use futures_util::future::LocalBoxFuture;
 use tinbay_core::policy::{PolicyRequest, Treatment};
 
-use super::{Asked, Context, Failure, Filter};
+use super::{Context, Failure, Filter, Operation};
 use crate::state::Node;
 
-/// Runs the policy.
+/// Sets the treatment of a request by running the policy of its class.
 pub struct TreatmentFilter;
 
 impl Filter for TreatmentFilter {
@@ -28,14 +28,14 @@
 
 fn treat(node: &Node, context: &Context<'_>) -> Treatment {
     let class = &context.class;
-    let (adapter, prompt_bytes, max_tokens, repeatable) = match &context.asked {
-        Asked::Completion(request) => (
+    let (adapter, prompt_bytes, max_tokens, repeatable) = match &context.operation {
+        Operation::Completion(request) => (
             request.model.adapter(),
             request.prompt.len(),
             request.max_tokens,
             true,
         ),
-        Asked::Service { repeatable, .. } => ("", 0, 0, *repeatable),
+        Operation::Service { repeatable, .. } => ("", 0, 0, *repeatable),
     };
     let request = PolicyRequest {
         class: &class.name,
