--- a/crates/tinbay-node/tests/common/mod.rs
+++ b/crates/tinbay-node/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A box with stand-ins of the platform, in this process.
+//! Starts a box with stand-ins for the platform services, all in this process.
 #![allow(dead_code)] // Not every test file uses all of it.
 
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
@@ -11,28 +11,29 @@
 use tinbay_node::options::Options;
 use tinbay_standin::{Kind, ServerHandle, StandinSettings};
 
-/// A box and its platform.
+/// A box with its platform services.
 pub struct TestBox {
     pub node: NodeHandle,
     pub kv: ServerHandle,
     _boxes: ServerHandle,
 }
 
-fn any() -> SocketAddr {
+/// Any free port of the loopback interface.
+fn any_port() -> SocketAddr {
     SocketAddr::from((Ipv4Addr::LOCALHOST, 0))
 }
 
 pub fn standin(kind: Kind) -> ServerHandle {
-    let listener = TcpListener::bind(any()).expect("a port");
+    let listener = TcpListener::bind(any_port()).expect("a port");
     tinbay_standin::start(kind, listener, &StandinSettings::default()).expect("a stand-in")
 }
 
-/// Starts a box that is alone.
+/// Starts a single box with default settings.
 pub fn start_box() -> TestBox {
     start_box_with(|_| {})
 }
 
-/// Starts a box with other settings.
+/// Starts a single box with changed settings.
 pub fn start_box_with(change: impl FnOnce(&mut Options)) -> TestBox {
     let kv = standin(Kind::Kv);
     let boxes = standin(Kind::Boxes);
@@ -40,8 +41,8 @@
         box_id: BoxId::new("box-1"),
         zone: ZoneId::new("zone-a"),
         region: "main".to_owned(),
-        listen: any(),
-        control_listen: any(),
+        listen: any_port(),
+        control_listen: any_port(),
         advertise: None,
         control_advertise: None,
         kv: kv.address(),
@@ -64,7 +65,7 @@
     }
 }
 
-/// An answer: status, headers and body.
+/// An HTTP response.
 #[derive(Debug)]
 pub struct Answer {
     pub status: u16,
@@ -72,7 +73,7 @@
     pub body: String,
 }
 
-/// Sends bytes as they are and closes.
+/// Sends raw bytes and closes the connection.
 pub fn send_and_close(address: SocketAddr, bytes: &[u8]) {
     use std::io::Write;
     if let Ok(mut stream) = std::net::TcpStream::connect(address) {
@@ -80,7 +81,7 @@
     }
 }
 
-/// Sends a request's bytes and reads the answer; nothing when the box closes without one.
+/// Sends the bytes of a request and reads the response; `None` if the box closes without one.
 fn send_raw(address: SocketAddr, bytes: &[u8]) -> Option<Answer> {
     use std::io::{Read, Write};
     let mut stream = std::net::TcpStream::connect(address).ok()?;
@@ -101,7 +102,7 @@
     })
 }
 
-/// Sends a request with headers and a body.
+/// Sends a request and reads the response; `None` if the box closes without one.
 pub fn send(
     address: SocketAddr,
     method: &str,
@@ -119,19 +120,19 @@
     send_raw(address, &bytes)
 }
 
-/// Posts a JSON body.
+/// Posts a JSON body and expects a response.
 pub fn post(address: SocketAddr, path: &str, body: &str) -> Answer {
     let headers = [("content-type", "application/json")];
     send(address, "POST", path, &headers, body.as_bytes()).expect("an answer")
 }
 
-/// A box with an engine that has adapter `a` in version `v1`.
+/// A box with an engine, and adapter `a` in version `v1` configured for it.
 pub struct TestEngine {
     pub started: TestBox,
     pub engine: ServerHandle,
 }
 
-/// Starts a box and an engine, and waits until the box answers from it.
+/// Starts a box and an engine, and waits until a completion succeeds.
 pub fn start_box_with_engine() -> TestEngine {
     let started = start_box();
     let engine = standin(Kind::Engine);
@@ -152,7 +153,7 @@
     TestEngine { started, engine }
 }
 
-/// Puts configuration objects, once the box takes changes.
+/// Writes configuration objects, retrying until the box accepts changes.
 pub fn put_objects(address: SocketAddr, objects: &[String]) {
     let items: Vec<String> = objects
         .iter()
@@ -167,7 +168,7 @@
     });
 }
 
-/// Asks adapter `a` in version `v1` for a whole answer.
+/// Requests a completion by adapter `a` in version `v1`, not streamed.
 pub fn complete(address: SocketAddr, request_id: &str, prompt: &str, max_tokens: u32) -> Answer {
     let body =
         format!("{{\"model\":\"a@v1\",\"prompt\":\"{prompt}\",\"max_tokens\":{max_tokens}}}");
@@ -176,7 +177,7 @@
     send(address, "POST", path, &headers, body.as_bytes()).expect("an answer")
 }
 
-/// Posts a change with one class until the box has joined and takes it.
+/// Posts a configuration change with one class.
 pub fn write_class(address: SocketAddr, change_id: &str, name: &str) -> Answer {
     let body = format!(
         "{{\"change_id\":\"{change_id}\",\"operator\":\"test\",\"items\":[{{\"put\":{{\"object\":\
@@ -185,11 +186,11 @@
     post(address, "/admin/v1/changes", &body)
 }
 
-/// Waits until a condition holds.
+/// Waits up to 20 s until a condition holds.
 pub fn await_that(what: &str, mut holds: impl FnMut() -> bool) {
     let until = Instant::now() + Duration::from_secs(20);
     while !holds() {
-        assert!(Instant::now() < until, "waited too long until {what}");
+        assert!(Instant::now() < until, "timed out waiting until {what}");
         std::thread::sleep(Duration::from_millis(10));
     }
 }
--- a/crates/tinbay-node/tests/guarded_test.rs
+++ b/crates/tinbay-node/tests/guarded_test.rs
@@ -1,10 +1,10 @@
-//! Work that may go on only while something holds.
+//! Work that may continue only while a condition holds.
 
 use std::cell::Cell;
 
 use tinbay_node::util::guarded::while_allowed;
 
-/// A step that waits, as for a connection, and one that has an effect.
+/// Waits first, as for a connection, and then has an effect.
 async fn wait_then_mark(waits: &tokio::sync::Notify, is_marked: &Cell<bool>) {
     waits.notified().await;
     is_marked.set(true);
@@ -20,7 +20,7 @@
     assert!(is_marked.get());
 }
 
-/// As when a box is frozen while it connects, and wakes after its lease.
+// A box that is frozen while it connects and wakes up after its lease has expired must not send the order.
 #[tokio::test]
 async fn while_allowed_takes_no_step_after_it_lapsed() {
     let waits = tokio::sync::Notify::new();
--- a/crates/tinbay-node/tests/owned_test.rs
+++ b/crates/tinbay-node/tests/owned_test.rs
@@ -1,4 +1,5 @@
-//! What an owner holds to run at its engine, from its own requests and from reports.
+//! Which runs the owner of an engine considers active, based on its own requests and the engine's state
+//! reports.
 
 use std::pin::pin;
 use std::sync::Arc;
@@ -14,7 +15,7 @@
 use tinbay_wire::engine::{EngineState, RunningRequest};
 use tokio::sync::mpsc::{self, UnboundedReceiver};
 
-/// An engine with one slot and room for one request.
+/// An owned engine with one adapter slot and a batch of one request.
 fn owned() -> (Arc<OwnedEngine>, UnboundedReceiver<OrderJob>) {
     let spec = EngineSpec {
         name: EngineId::new("engine-1"),
@@ -52,7 +53,7 @@
     }
 }
 
-/// A report of an engine that holds the first adapter and runs these requests on it.
+/// A report of an engine that has the first adapter loaded and runs these requests on it.
 fn report(running: &[&str]) -> EngineState {
     let running = running.iter().map(|request| RunningRequest {
         request: (*request).to_owned(),
@@ -75,7 +76,8 @@
     unloads
 }
 
-// A report made before a run began hid the run once nobody followed it, and its adapter was ordered away.
+// A state report requested before a run was detached does not contain that run. It must not count as
+// proof that the run has ended, or the run's adapter is unloaded while the engine still uses it.
 #[tokio::test]
 async fn observe_report_asked_for_before_a_run_was_detached_keeps_its_adapter() {
     let (owned, mut jobs) = owned();
@@ -83,7 +85,7 @@
     let asked_ms = owned.now_ms();
     let outcome = owned.submit(ask(&owned, 1, model(0)), "run-1").await;
     let QueueOutcome::Run(mut guard) = outcome else {
-        panic!("the engine has room");
+        panic!("the engine has a free place");
     };
     guard.mark_sent();
     drop(guard);
@@ -91,13 +93,14 @@
     let mut other = pin!(owned.submit(ask(&owned, 2, model(1)), "run-2"));
     assert!(poll!(other.as_mut()).is_pending());
     owned.handle(Event::LoadGranted(model(1)));
-    assert!(!orders_unload(&mut jobs), "the run may be under way");
+    assert!(!orders_unload(&mut jobs), "the run may still be active");
     owned.observe(&report(&[]), asked_ms + 60_000);
     owned.handle(Event::LoadGranted(model(1)));
     assert!(orders_unload(&mut jobs), "the engine has ended the run");
 }
 
-// A request that waited under the name of a run of an earlier attempt hid that run.
+// A queued request may have the same name as a run of an earlier attempt. It must not hide that run, or
+// its place in the batch is given away twice.
 #[tokio::test]
 async fn observe_run_whose_name_waits_again_keeps_its_place() {
     let (owned, _jobs) = owned();
@@ -105,7 +108,10 @@
     let mut again = pin!(owned.submit(ask(&owned, 1, model(0)), "run-1"));
     assert!(poll!(again.as_mut()).is_pending(), "the batch is full");
     owned.observe(&report(&["run-1"]), owned.now_ms());
-    assert!(poll!(again.as_mut()).is_pending(), "the run goes on");
+    assert!(
+        poll!(again.as_mut()).is_pending(),
+        "the run is still active"
+    );
     owned.observe(&report(&[]), owned.now_ms());
     assert!(matches!(
         poll!(again.as_mut()),
