--- a/crates/tinbay-node/src/controllers/config_catch_up.rs
+++ b/crates/tinbay-node/src/controllers/config_catch_up.rs
@@ -15,7 +15,7 @@
 use crate::state::Node;
 use crate::util::sync::read;
 
-/// Longest wait for a wake-up. A box that has heard from nobody for this long also asks others.
+/// Longest wait for a wake-up. A box without any contact for this long also asks other boxes.
 const IDLE: Duration = Duration::from_secs(1);
 
 /// Time between the end of one step and the next wait for a wake-up.
--- a/crates/tinbay-node/src/controllers/config_watch.rs
+++ b/crates/tinbay-node/src/controllers/config_watch.rs
@@ -1,5 +1,5 @@
-//! Watches the configuration in the key-value service while this box is a keeper. Other boxes get
-//! configuration from the keepers.
+//! Watches the configuration in the key-value service while this box is a keeper. Other boxes fetch it
+//! from the keepers of their zone or from one another.
 
 use std::sync::Arc;
 use std::time::Duration;
--- a/crates/tinbay-node/src/controllers/mod.rs
+++ b/crates/tinbay-node/src/controllers/mod.rs
@@ -3,11 +3,11 @@
 //! All controllers run on the control thread. Each step compares the current state with the desired
 //! state and corrects the difference, so no step depends on having seen every intermediate change.
 
-mod answers;
 mod box_lease;
 mod box_list;
 mod config_catch_up;
 mod config_watch;
+mod control_handler;
 mod discovery;
 mod engine_watch;
 mod heartbeat;
@@ -21,8 +21,8 @@
 mod ticker;
 mod zone_heartbeat;
 
-pub use answers::{ControlAnswers, zone_status};
 pub use box_lease::BoxLease;
+pub use control_handler::{ControlAnswers, zone_status};
 pub use loads::Loads;
 pub use members::Members;
 pub use ownership::OWNERSHIP_PERIOD_MS;
--- a/crates/tinbay-node/src/controllers/zone_heartbeat.rs
+++ b/crates/tinbay-node/src/controllers/zone_heartbeat.rs
@@ -50,8 +50,8 @@
     async fn contact_zones(&mut self) {
         let zones = self.keepers_of_other_zones();
         let contacts = zones.into_iter().map(|(zone, mut keepers)| {
-            // The keeper that answered last goes first: waiting for a frozen one to time out would
-            // delay every step.
+            // The keeper that answered last is tried first, as waiting for a frozen one to time out
+            // would delay every step.
             let last_responsive = self.responsive_keepers.get(&zone);
             keepers.sort_by_key(|keeper| Some(&keeper.id) != last_responsive);
             let positions = keepers
--- a/crates/tinbay-node/src/entry/local.rs
+++ b/crates/tinbay-node/src/entry/local.rs
@@ -35,7 +35,7 @@
 /// Queues a request for its engine and runs it, or resumes its stream.
 ///
 /// # Errors
-/// [`AttemptError`], which tells whether the request ran.
+/// [`AttemptError`], which states whether the request ran.
 pub async fn run(
     node: &Arc<Node>,
     job: &Job,
--- a/crates/tinbay-node/src/entry/locate.rs
+++ b/crates/tinbay-node/src/entry/locate.rs
@@ -1,4 +1,5 @@
-//! Tells a caller which boxes to use and for how long, and issues the key of its request.
+//! Returns the addresses of boxes to a caller, with the time for which they are valid, and issues the
+//! key of its request.
 
 use std::sync::Arc;
 
--- a/crates/tinbay-node/src/entry/remote.rs
+++ b/crates/tinbay-node/src/entry/remote.rs
@@ -33,7 +33,7 @@
 /// Forwards a request and reads the head of the answer.
 ///
 /// # Errors
-/// [`AttemptError`], which tells whether the request ran.
+/// [`AttemptError`], which states whether the request ran.
 pub async fn run(
     node: &Arc<Node>,
     job: &Job,
