--- a/crates/tinbay-node/src/controllers/box_lease.rs
+++ b/crates/tinbay-node/src/controllers/box_lease.rs
@@ -1,7 +1,7 @@
 //! The lease that a box needs to send orders to engines that do not check fencing tokens.
 //!
-//! The lease is a key in the key-value service. The holder measures the lifetime from before it sent
-//! the renewal, so it considers the lease expired no later than the service does.
+//! The lease is a key in the key-value service. The holder measures the lifetime from before it
+//! sent the renewal, so it considers the lease expired no later than the service does.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
--- a/crates/tinbay-node/src/controllers/config_watch.rs
+++ b/crates/tinbay-node/src/controllers/config_watch.rs
@@ -1,5 +1,5 @@
-//! Watches the configuration in the key-value service while this box is a keeper. Other boxes fetch it
-//! from the keepers of their zone or from one another.
+//! Watches the configuration in the key-value service while this box is a keeper. Other boxes fetch
+//! it from the keepers of their zone or from one another.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,8 +14,8 @@
 use crate::platform::{Listing, PlatformError, WatchedChange, keys};
 use crate::state::Node;
 
-/// Delay before a watch is restarted, doubled with each failure. The jitter of all controllers keeps
-/// keepers from reconnecting at the same moment after an outage.
+/// Delay before a watch is restarted, doubled with each failure. The jitter of all controllers
+/// keeps keepers from reconnecting at the same moment after an outage.
 const RETRY: Duration = Duration::from_millis(500);
 
 /// Upper bound of the delay between attempts during a long outage.
@@ -53,8 +53,8 @@
         }
     }
 
-    /// Reads the whole configuration once, then applies changes until an error occurs or this box is
-    /// no longer a keeper.
+    /// Reads the whole configuration once, then applies changes until an error occurs or this box
+    /// is no longer a keeper.
     async fn list_and_follow(&mut self) -> Result<(), PlatformError> {
         let listing = self.node.kv.list(keys::CONFIG).await?;
         let from = listing.revision;
--- a/crates/tinbay-node/src/controllers/discovery.rs
+++ b/crates/tinbay-node/src/controllers/discovery.rs
@@ -22,8 +22,9 @@
 /// A box that reaches no other box within this time after its start continues alone.
 const ALONE_AFTER_MS: Millis = 3_000;
 
-/// Contacts listed boxes until one has answered. Afterwards keepers keep contacting listed boxes that
-/// are missing from their view, so that the two sides of a healed network partition merge again.
+/// Contacts listed boxes until one has answered. Afterwards keepers keep contacting listed boxes
+/// that are missing from their view, so that the two sides of a healed network partition merge
+/// again.
 pub struct DiscoveryController {
     node: Arc<Node>,
     client: HeartbeatClient,
--- a/crates/tinbay-node/src/controllers/engine_watch.rs
+++ b/crates/tinbay-node/src/controllers/engine_watch.rs
@@ -1,5 +1,5 @@
-//! Polls the owned engines to detect restarts, after which an engine has nothing loaded, and to count
-//! requests of earlier owners that are still running.
+//! Polls the owned engines to detect restarts, after which an engine has nothing loaded, and to
+//! count requests of earlier owners that are still running.
 
 use std::sync::Arc;
 use std::time::Duration;
--- a/crates/tinbay-node/src/controllers/heartbeat_client.rs
+++ b/crates/tinbay-node/src/controllers/heartbeat_client.rs
@@ -75,8 +75,8 @@
     }
 }
 
-/// Sends one heartbeat and returns the part of the peer's view after `position`, or `None` if the peer
-/// does not answer.
+/// Sends one heartbeat and returns the part of the peer's view after `position`, or `None` if the
+/// peer does not answer.
 pub async fn send_heartbeat(
     node: &Node,
     peer: &BoxRecord,
--- a/crates/tinbay-node/src/controllers/loads.rs
+++ b/crates/tinbay-node/src/controllers/loads.rs
@@ -1,5 +1,5 @@
-//! Shares the weight store's allowance for adapter loads. One box of the region, the arbiter, grants
-//! loads to all boxes.
+//! Shares the weight store's allowance for adapter loads. One box of the region, the arbiter,
+//! grants loads to all boxes.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex};
@@ -101,8 +101,8 @@
                 .await;
             match reply {
                 Ok(Reply::LoadGranted) => return,
-                // The arbiter has either a long queue or failed. If it failed, the view names another
-                // one once it has been removed.
+                // The arbiter has either a long queue or failed. If it failed, the view names
+                // another one once it has been removed.
                 Err(ControlError::TimedOut) => {}
                 _ => return self.wait_for_local_grant(node, wish).await,
             }
@@ -148,8 +148,8 @@
         let _ = granted.await;
     }
 
-    /// Grants the loads that the allowance permits now. Returns early while nothing waits, as it runs
-    /// every [`PERIOD`].
+    /// Grants the loads that the allowance permits now. Returns early while nothing waits, as it
+    /// runs every [`PERIOD`].
     fn grant(&self, node: &Node) {
         let anyone_waits =
             !lock(&self.region).waiting.is_empty() || !lock(&self.local).waiting.is_empty();
--- a/crates/tinbay-node/src/controllers/members.rs
+++ b/crates/tinbay-node/src/controllers/members.rs
@@ -14,7 +14,8 @@
 use crate::logging::part;
 use crate::util::sync::lock;
 
-/// Number of removals kept for incremental updates. A box that is further behind gets the whole view.
+/// Number of removals kept for incremental updates. A box that is further behind gets the whole
+/// view.
 const MAX_KEPT_REMOVALS: usize = 4_096;
 
 /// The last heartbeat received from a box.
@@ -222,8 +223,8 @@
             .collect()
     }
 
-    /// The changes of this view since `version`, which the receiver has from the run `incarnation` of
-    /// this box. The whole view if that run has ended or its removals are no longer kept.
+    /// The changes of this view since `version`, which the receiver has from the run `incarnation`
+    /// of this box. The whole view if that run has ended or its removals are no longer kept.
     pub fn update_since(&self, version: u64, incarnation: u64, revision: Revision) -> ViewUpdate {
         let whole = incarnation != self.incarnation || version < self.oldest_removal;
         let since = if whole { 0 } else { version };
@@ -266,10 +267,11 @@
         }
     }
 
-    /// Applies the part of a keeper's view that concerns its own zone, which is not the zone of this box.
+    /// Applies the part of a keeper's view that concerns its own zone, which is not the zone of
+    /// this box.
     ///
-    /// A whole view does not list removed boxes; boxes that it does not contain are removed. It is not
-    /// used that way while the keeper is still starting, as it may not know its zone yet.
+    /// A whole view does not list removed boxes; boxes that it does not contain are removed. It is
+    /// not used that way while the keeper is still starting, as it may not know its zone yet.
     pub fn apply_zone(&mut self, zone: &ZoneId, keeper: &BoxId, update: ViewUpdate) {
         let has_started =
             |record: &BoxRecord| record.id == *keeper && record.state != BoxState::Starting;
--- a/crates/tinbay-node/src/controllers/ownership.rs
+++ b/crates/tinbay-node/src/controllers/ownership.rs
@@ -27,8 +27,8 @@
 /// Upper bound of the delay between attempts, which keeps the cost of engines that are down low.
 const MAX_RETRY_MS: Millis = 8_000;
 
-/// How long the view must be unchanged before successions are extended to match it, so that a series
-/// of joins costs one write per engine.
+/// How long the view must be unchanged before successions are extended to match it, so that a
+/// series of joins costs one write per engine.
 const VIEW_SETTLE_MS: Millis = 1_000;
 
 #[derive(Debug, Default)]
@@ -48,9 +48,9 @@
 /// An engine that this box should own according to its view.
 struct DesiredEngine {
     spec: EngineSpec,
-    /// This box, the next in rank, and further successors from the engine's zone. Boxes of other zones
-    /// are left out beyond the second place: they only fill places that the zone leaves open, and
-    /// which of them do so changes whenever a zone is cut off.
+    /// This box, the next in rank, and further successors from the engine's zone. Boxes of other
+    /// zones are left out beyond the second place: they only fill places that the zone leaves open,
+    /// and which of them do so changes whenever a zone is cut off.
     successors: Vec<BoxId>,
 }
 
@@ -205,7 +205,8 @@
     end_attempt(&node, &attempts, &engine, failed);
 }
 
-/// Ends an attempt. After a failure, schedules the next one and keeps the succession it has written.
+/// Ends an attempt. After a failure, schedules the next one and keeps the succession it has
+/// written.
 fn end_attempt(
     node: &Node,
     attempts: &Attempts,
--- a/crates/tinbay-node/src/controllers/start.rs
+++ b/crates/tinbay-node/src/controllers/start.rs
@@ -23,8 +23,8 @@
 /// Declares the box live once it has joined, serves the newest known configuration and reaches the
 /// key-value service.
 ///
-/// A box that joins during an outage of the key-value service cannot take over its engines. As long as
-/// it stays in the starting state, the engines remain with their current owners.
+/// A box that joins during an outage of the key-value service cannot take over its engines. As long
+/// as it stays in the starting state, the engines remain with their current owners.
 pub struct StartController {
     node: Arc<Node>,
     period: Duration,
--- a/crates/tinbay-node/src/controllers/succession.rs
+++ b/crates/tinbay-node/src/controllers/succession.rs
@@ -22,7 +22,8 @@
 use crate::state::Node;
 use crate::util::sync::{lock, read, write};
 
-/// Wait after the expiry of a former owner's lease, so that an order it sent just before has arrived.
+/// Wait after the expiry of a former owner's lease, so that an order it sent just before has
+/// arrived.
 const LEASE_EXPIRY_GRACE_MS: Millis = 2_000;
 
 /// Upper bound of the boxes named at a takeover. More are added as they become successors.
@@ -43,7 +44,8 @@
     /// The former owner may still send orders to an engine that does not check them.
     #[error("the former owner {0} still holds its lease")]
     StillLeased(BoxId),
-    /// Without the key-value service, nothing proves that the former owner has stopped sending orders.
+    /// Without the key-value service, nothing proves that the former owner has stopped sending
+    /// orders.
     #[error("the engine does not check orders and the key-value service is unavailable")]
     UncheckedInOutage,
     /// Neither this box nor those asked know a succession.
@@ -77,7 +79,8 @@
             announce(node, &succession).await;
             Ok(succession)
         }
-        // An owner with a later epoch has fenced the engine, so the succession known here is obsolete.
+        // An owner with a later epoch has fenced the engine, so the succession known here is
+        // obsolete.
         Err(error @ EngineError::Refused(EngineRefusal::StaleFence)) => {
             lock(&node.successions).remove(&spec.name);
             Err((None, error.into()))
@@ -178,8 +181,8 @@
     }
 }
 
-/// This box first, then its successors by the view, then boxes that may soon be successors: starting
-/// boxes, and boxes of the previous succession, which may restart.
+/// This box first, then its successors by the view, then boxes that may soon be successors:
+/// starting boxes, and boxes of the previous succession, which may restart.
 fn rank_successors(node: &Node, spec: &EngineSpec, previous: Option<&Succession>) -> Vec<BoxId> {
     let members = read(&node.members);
     let view = members.view();
@@ -314,8 +317,8 @@
     Ok(())
 }
 
-/// Sends a succession to the boxes that it names, so that they can take over during an outage, and to
-/// leaving boxes, one of which may be the former owner.
+/// Sends a succession to the boxes that it names, so that they can take over during an outage, and
+/// to leaving boxes, one of which may be the former owner.
 async fn announce(node: &Node, succession: &Succession) {
     let recipients: Vec<BoxRecord> = {
         let members = read(&node.members);
@@ -336,7 +339,8 @@
         let message = Message::Succession(succession.clone());
         node.ask_soon(&recipient.control_address, message)
     });
-    // A former owner that misses this message learns of the change when the engine refuses its orders.
+    // A former owner that misses this message learns of the change when the engine refuses its
+    // orders.
     join_all(sends).await;
 }
 
--- a/crates/tinbay-node/src/entry/attempts.rs
+++ b/crates/tinbay-node/src/entry/attempts.rs
@@ -1,4 +1,5 @@
-//! Runs a request on one engine after another, within its deadline and the retry budget of its class.
+//! Runs a request on one engine after another, within its deadline and the retry budget of its
+//! class.
 
 use std::sync::Arc;
 
@@ -25,7 +26,8 @@
 /// How long an interrupted answer waits for the next owner of its engine.
 pub const RESUME_TIMEOUT_MS: Millis = 15_000;
 
-/// Expected wait reported to the router for a leaving engine, so that later requests try others first.
+/// Expected wait reported to the router for a leaving engine, so that later requests try others
+/// first.
 const LEAVING_ENGINE_WAIT_MS: Millis = 600_000;
 
 /// Why an attempt ended without an answer.
@@ -35,7 +37,8 @@
     pub end: AttemptEnd,
     /// The failure for the caller if there is no further attempt.
     pub failure: Failure,
-    /// Set if no owner of the engine was reached, in which case the engine has not refused the request.
+    /// Set if no owner of the engine was reached, in which case the engine has not refused the
+    /// request.
     pub owner_loss: Option<OwnerLoss>,
 }
 
@@ -199,8 +202,8 @@
         self.assembler.is_complete()
     }
 
-    /// The best engine that has not refused the request. Once all have, refusals are cleared and the best
-    /// one is tried again.
+    /// The best engine that has not refused the request. Once all have, refusals are cleared and
+    /// the best one is tried again.
     fn next_engine(&mut self) -> Result<EngineId, Failure> {
         let job = &self.job;
         let engines = ranked_engines(&self.node, &job.model, &job.base_model, job.urgent);
@@ -232,8 +235,8 @@
         }
     }
 
-    /// Continues with the next owner if the view names one already, or with another engine if that costs
-    /// less than the expected wait for an owner. Otherwise waits for the next owner.
+    /// Continues with the next owner if the view names one already, or with another engine if that
+    /// costs less than the expected wait for an owner. Otherwise waits for the next owner.
     async fn handle_owner_loss(
         &mut self,
         engine: &EngineId,
@@ -258,7 +261,8 @@
         self.await_owner(&next, until_ms).await
     }
 
-    /// Whether the view names another owner than the one contacted last, which can be contacted at once.
+    /// Whether the view names another owner than the one contacted last, which can be contacted at
+    /// once.
     fn has_next_owner(&self, engine: &EngineId) -> bool {
         owner_of(&self.node, engine).is_some_and(|owner| Some(owner.run()) != self.contacted)
     }
@@ -438,9 +442,9 @@
 
     /// Allows another run of a request whose interrupted run the engine does not know.
     ///
-    /// If the owner has changed since, neither the attempt nor the retry budget is charged: all requests
-    /// that the former owner had not sent to the engine return at once, and for the engine this is their
-    /// first run.
+    /// If the owner has changed since, neither the attempt nor the retry budget is charged: all
+    /// requests that the former owner had not sent to the engine return at once, and for the engine
+    /// this is their first run.
     fn allow_second_run(&mut self, interrupted: &Interrupted) -> Result<(), NoRetry> {
         self.check_retry(AttemptEnd::Unknown)?;
         if self.contacted != interrupted.owner {
@@ -488,8 +492,8 @@
         );
     }
 
-    /// The failure for the caller after the last attempt. If an earlier attempt may have run, the outcome
-    /// is unknown, unless the last one received a (wrong) answer.
+    /// The failure for the caller after the last attempt. If an earlier attempt may have run, the
+    /// outcome is unknown, unless the last one received a (wrong) answer.
     fn final_failure(&self, failure: Failure) -> Failure {
         let is_answer = matches!(failure, Failure::WrongAnswer(_));
         if is_answer || self.ends.are_all_not_run() {
@@ -498,8 +502,8 @@
         Failure::OutcomeUnknown
     }
 
-    /// Replaces [`Failure::CannotResume`] for requests that must not run twice, since callers respond to it
-    /// by requesting the whole answer again.
+    /// Replaces [`Failure::CannotResume`] for requests that must not run twice, since callers
+    /// respond to it by requesting the whole answer again.
     fn without_rerun_hint(&self, failure: Failure) -> Failure {
         match failure {
             Failure::CannotResume if !self.job.repeatable => Failure::OutcomeUnknown,
--- a/crates/tinbay-node/src/entry/forwarded.rs
+++ b/crates/tinbay-node/src/entry/forwarded.rs
@@ -87,7 +87,8 @@
             line.extend_from_slice(&event);
             line.extend_from_slice(b"\n\n");
             if body.send(Bytes::from(line)).await.is_err() {
-                // The forwarding box has disconnected. The run continues, so that it can be resumed.
+                // The forwarding box has disconnected. The run continues, so that it can be
+                // resumed.
                 stream.drain().await;
                 break;
             }
--- a/crates/tinbay-node/src/entry/local.rs
+++ b/crates/tinbay-node/src/entry/local.rs
@@ -54,7 +54,8 @@
 }
 
 /// Waits until this box owns the engine, as a takeover may still be in progress. Returns early once
-/// another box is known to own it, since the requesting box finds that owner faster by its own view.
+/// another box is known to own it, since the requesting box finds that owner faster by its own
+/// view.
 async fn await_ownership(node: &Node, engine: &EngineId) -> Option<Arc<OwnedEngine>> {
     let was_designated_owner = is_designated_owner(node, engine);
     let polled = async {
@@ -97,7 +98,8 @@
             Ok(stream) => return Ok(stream),
             Err(error) => error,
         };
-        // The engine has fewer free places than the scheduler assumed. Update its state and queue again.
+        // The engine has fewer free places than the scheduler assumed. Update its state and queue
+        // again.
         let queue_again = error.refusal == Some(EngineRefusal::BatchFull)
             && node.clock.now_ms() < job.start_by_ms;
         if !queue_again {
@@ -194,7 +196,8 @@
     }
 }
 
-/// Converts an engine's error into the error of the attempt and updates the known state of the engine.
+/// Converts an engine's error into the error of the attempt and updates the known state of the
+/// engine.
 fn handle_engine_error(
     node: &Arc<Node>,
     owned: &Arc<OwnedEngine>,
@@ -203,7 +206,8 @@
 ) -> AttemptError {
     log::debug!(target: part::OWNER, "{} on {}: {error}", call.request, owned.spec().name);
     let refusal = match error {
-        // The request may be running. The caller tries to resume that run before it starts another one.
+        // The request may be running. The caller tries to resume that run before it starts another
+        // one.
         EngineError::NoAnswer => return AttemptError::unknown(),
         EngineError::Unreachable => {
             return AttemptError::not_run(Failure::BackendFailed { not_run: true });
--- a/crates/tinbay-node/src/entry/locate.rs
+++ b/crates/tinbay-node/src/entry/locate.rs
@@ -1,5 +1,5 @@
-//! Returns the addresses of boxes to a caller, with the time for which they are valid, and issues the
-//! key of its request.
+//! Returns the addresses of boxes to a caller, with the time for which they are valid, and issues
+//! the key of its request.
 
 use std::sync::Arc;
 
@@ -54,7 +54,8 @@
     })
 }
 
-/// The owner of the engine that ranks first for a model. A request sent there need not be forwarded.
+/// The owner of the engine that ranks first for a model. A request sent there need not be
+/// forwarded.
 fn owner_of(node: &Node, text: &str) -> Result<Option<BoxRecord>, Failure> {
     let model: ModelRef = text.parse().map_err(|error| Failure::BadParameter {
         name: "model",
--- a/crates/tinbay-node/src/entry/owner_watch.rs
+++ b/crates/tinbay-node/src/entry/owner_watch.rs
@@ -11,9 +11,9 @@
 
 /// Watches the view for the removal of a box.
 ///
-/// A frozen box keeps its connections open, so only the view shows that other boxes own its engines by
-/// now. A restarted process at the same address needs no such check: the connections of the former
-/// process break by themselves, and the new process reports requests that it did not run.
+/// A frozen box keeps its connections open, so only the view shows that other boxes own its engines
+/// by now. A restarted process at the same address needs no such check: the connections of the
+/// former process break by themselves, and the new process reports requests that it did not run.
 pub struct OwnerWatch {
     node: Arc<Node>,
     id: BoxId,
--- a/crates/tinbay-node/src/entry/remote.rs
+++ b/crates/tinbay-node/src/entry/remote.rs
@@ -91,8 +91,8 @@
     Ok(AnswerStream::of_owner(info, reader, owner_watch))
 }
 
-/// Waits for the response head until the owner is removed from the view. A connection attempt is then
-/// given a moment to fail, since its failure proves that nothing was sent.
+/// Waits for the response head until the owner is removed from the view. A connection attempt is
+/// then given a moment to fail, since its failure proves that nothing was sent.
 async fn head_unless_removed(
     head: impl Future<Output = Result<ClientResponse, CallError>>,
     owner_watch: &mut OwnerWatch,
--- a/crates/tinbay-node/src/entry/services.rs
+++ b/crates/tinbay-node/src/entry/services.rs
@@ -123,7 +123,8 @@
             deadline_ms: context.arrived_ms + spec.timeout_ms,
         };
         ends.note(failure.attempt_end());
-        // A failed connection put no load on the service, so it does not count against the retry budget.
+        // A failed connection put no load on the service, so it does not count against the retry
+        // budget.
         let is_free = failure == CallFailure::NotSent;
         if !may_retry(&case) || !(is_free || node.spend_retry(class)) {
             break;
--- a/crates/tinbay-node/src/entry/stream.rs
+++ b/crates/tinbay-node/src/entry/stream.rs
@@ -52,7 +52,8 @@
 }
 
 impl AnswerStream {
-    /// A stream from an engine owned by this box, with its place in the batch; `None` when resuming.
+    /// A stream from an engine owned by this box, with its place in the batch; `None` when
+    /// resuming.
     pub fn of_engine(info: RunInfo, reader: LineReader, guard: Option<RunGuard>) -> Self {
         Self {
             info,
@@ -97,8 +98,8 @@
         }
     }
 
-    /// Reads an abandoned stream to its end, so that its place in the batch stays taken until the engine
-    /// has ended the run.
+    /// Reads an abandoned stream to its end, so that its place in the batch stays taken until the
+    /// engine has ended the run.
     pub async fn drain(&mut self) {
         while self.next_raw().await.is_some() {}
     }
--- a/crates/tinbay-node/src/entry/vacancy.rs
+++ b/crates/tinbay-node/src/entry/vacancy.rs
@@ -13,15 +13,15 @@
 use crate::state::Node;
 use crate::util::sync::{lock, read};
 
-/// Delay before an engine's owner is contacted again if the view does not change. It doubles with each
-/// wait, since all requests for the engine retry.
+/// Delay before an engine's owner is contacted again if the view does not change. It doubles with
+/// each wait, since all requests for the engine retry.
 const RETRY_MS: Millis = 100;
 
 /// Upper bound of the delay between two retries.
 const MAX_RETRY_MS: Millis = 1_000;
 
-/// Records that a run of a box, contacted as the owner of an engine, turned out not to own it. Returns the
-/// time until an owner is expected.
+/// Records that a run of a box, contacted as the owner of an engine, turned out not to own it.
+/// Returns the time until an owner is expected.
 pub fn record_owner_loss(
     node: &Node,
     engine: &EngineId,
--- a/crates/tinbay-node/src/filters/claim.rs
+++ b/crates/tinbay-node/src/filters/claim.rs
@@ -1,5 +1,5 @@
-//! Claims the key of a request that must not run twice, at the key's home: the box that records which
-//! of its keys have been used.
+//! Claims the key of a request that must not run twice, at the key's home: the box that records
+//! which of its keys have been used.
 
 use std::sync::Arc;
 
@@ -64,7 +64,8 @@
     }
 }
 
-/// Notifies the key's home that a claimed request has certainly not run, so that the key can be used again.
+/// Notifies the key's home that a claimed request has certainly not run, so that the key can be
+/// used again.
 pub async fn release_claim(node: &Node, key_claim: &KeyClaim) {
     let Some(key) = &key_claim.key else { return };
     if key.home == *node.id() {
--- a/crates/tinbay-node/src/filters/freshness.rs
+++ b/crates/tinbay-node/src/filters/freshness.rs
@@ -8,8 +8,8 @@
 use super::{Context, Failure, Filter};
 use crate::state::Node;
 
-/// Waits for contact with another box or the key-value service if there was none for a while, and refuses
-/// requests before the first configuration has arrived.
+/// Waits for contact with another box or the key-value service if there was none for a while, and
+/// refuses requests before the first configuration has arrived.
 pub struct FreshnessFilter;
 
 impl Filter for FreshnessFilter {
--- a/crates/tinbay-node/src/filters/identity.rs
+++ b/crates/tinbay-node/src/filters/identity.rs
@@ -22,10 +22,11 @@
     pub key: Option<RequestKey>,
     /// First position of the answer that the caller still needs; `None` for a new request.
     pub resume_from: Option<u64>,
-    /// Name under which engines know the request: its key, so that repeated requests with that key share
-    /// a run, or else a generated name.
+    /// Name under which engines know the request: its key, so that repeated requests with that key
+    /// share a run, or else a generated name.
     ///
-    /// It is never an id chosen by the caller: two callers that chose the same one would share a run.
+    /// It is never an id chosen by the caller: two callers that chose the same one would share a
+    /// run.
     pub name: String,
 }
 
--- a/crates/tinbay-node/src/filters/mod.rs
+++ b/crates/tinbay-node/src/filters/mod.rs
@@ -1,8 +1,8 @@
 //! The filter chain that each caller's request passes before it is routed.
 //!
-//! Each filter checks one aspect and either lets the request pass, adding its result to the context,
-//! or ends it with a typed failure. The design follows the HTTP filter chains of Envoy: each check has
-//! one place and can be tested by itself.
+//! Each filter checks one aspect and either lets the request pass, adding its result to the
+//! context, or ends it with a typed failure. The design follows the HTTP filter chains of Envoy:
+//! each check has one place and can be tested by itself.
 
 mod catalog;
 mod claim;
@@ -52,7 +52,8 @@
     pub identity: Identity,
     /// The base model of its adapter; set by the catalog filter.
     pub base_model: String,
-    /// The organisation that owns its adapter, or the name of the service; set by the catalog filter.
+    /// The organisation that owns its adapter, or the name of the service; set by the catalog
+    /// filter.
     pub organisation: String,
     /// Its priority class; set by the catalog filter.
     pub class: Class,
@@ -78,7 +79,8 @@
 /// Maximum wait for a start in the built-in class.
 const DEFAULT_MAX_WAIT_MS: Millis = 30_000;
 
-/// Rank of the built-in class, which leaves lower ranks to classes that operators want served first.
+/// Rank of the built-in class, which leaves lower ranks to classes that operators want served
+/// first.
 const DEFAULT_RANK: u8 = 100;
 
 impl<'a> Context<'a> {
--- a/crates/tinbay-node/src/owners/orders.rs
+++ b/crates/tinbay-node/src/owners/orders.rs
@@ -123,8 +123,8 @@
     }
 }
 
-/// Polls the engine for its running requests, some of which may not be tracked by this box. The known
-/// state of its slots is kept, including the delay before the next order.
+/// Polls the engine for its running requests, some of which may not be tracked by this box. The
+/// known state of its slots is kept, including the delay before the next order.
 pub async fn observe_engine(engine: &Arc<OwnedEngine>) {
     let asked_ms = engine.now_ms();
     if let Ok(state) = HttpEngine::new(&engine.spec().address).state().await {
--- a/crates/tinbay-node/src/owners/owned.rs
+++ b/crates/tinbay-node/src/owners/owned.rs
@@ -50,7 +50,8 @@
 struct OwnedState {
     scheduler: EngineOwner,
     waiters: HashMap<RequestId, oneshot::Sender<QueueOutcome>>,
-    /// Requests that are queued here, or were sent to the engine and have not ended as far as known.
+    /// Requests that are queued here, or were sent to the engine and have not ended as far as
+    /// known.
     requests: HashMap<RequestId, TrackedRequest>,
     /// Runs that this box has stopped tracking, kept until a state report requested after that.
     detached: Vec<DetachedRun>,
@@ -77,8 +78,8 @@
 impl OwnedState {
     /// The engine's loaded models, and the models of its runs that this box does not track.
     ///
-    /// A run that was detached after the report was requested at `asked_ms` counts as running even if
-    /// it is not reported, as it may have begun after the report was made.
+    /// A run that was detached after the report was requested at `asked_ms` counts as running even
+    /// if it is not reported, as it may have begun after the report was made.
     fn contents(&mut self, engine_state: &EngineState, asked_ms: Millis) -> EngineContents {
         self.detached.retain(|run| run.detached_ms >= asked_ms);
         let tracked: HashSet<&str> = self
@@ -155,8 +156,8 @@
 }
 
 impl OwnedEngine {
-    /// Creates the owner's state of an engine that was just taken over. Its contents are unknown until
-    /// [`learn`](Self::learn) is called.
+    /// Creates the owner's state of an engine that was just taken over. Its contents are unknown
+    /// until [`learn`](Self::learn) is called.
     pub fn new(
         spec: EngineSpec,
         settings: OwnerSettings,
@@ -222,7 +223,8 @@
         let waiting = WaitGuard { engine: self, id };
         self.handle(Event::Submit(ask));
         if self.is_released() {
-            // The engine was released between the check and the submit; nothing else would flush the queue.
+            // The engine was released between the check and the submit; nothing else would flush
+            // the queue.
             self.handle(Event::Released);
         }
         let outcome = receiver.await.unwrap_or(refused);
@@ -235,7 +237,8 @@
         self.handle_with(|_| event);
     }
 
-    /// Like [`handle`](Self::handle), with an event that is made from the state under the same lock.
+    /// Like [`handle`](Self::handle), with an event that is made from the state under the same
+    /// lock.
     fn handle_with(self: &Arc<Self>, make: impl FnOnce(&mut OwnedState) -> Event) {
         let now_ms = self.clock.now_ms();
         let mut deliveries = Vec::new();
@@ -246,14 +249,15 @@
                 self.route_command(&mut state, command, &mut deliveries);
             }
         }
-        // Outside the lock: an outcome without a receiver is dropped here, and its guard handles an event.
+        // Outside the lock: an outcome without a receiver is dropped here, and its guard handles an
+        // event.
         for (waiter, outcome) in deliveries {
             let _ = waiter.send(outcome);
         }
     }
 
-    /// Adds the outcome of a request to `deliveries`, or sends a command that needs I/O to the control
-    /// thread.
+    /// Adds the outcome of a request to `deliveries`, or sends a command that needs I/O to the
+    /// control thread.
     fn route_command(
         self: &Arc<Self>,
         state: &mut OwnedState,
@@ -338,7 +342,8 @@
     }
 
     /// Updates the known state from a report that was requested at `asked_ms`. Unlike
-    /// [`learn`](Self::learn), it keeps the state of the engine's slots unless the engine has restarted.
+    /// [`learn`](Self::learn), it keeps the state of the engine's slots unless the engine has
+    /// restarted.
     pub fn observe(self: &Arc<Self>, engine_state: &EngineState, asked_ms: Millis) {
         if engine_state.incarnation != self.order().incarnation {
             self.learn(engine_state, asked_ms);
--- a/crates/tinbay-node/tests/border_test.rs
+++ b/crates/tinbay-node/tests/border_test.rs
@@ -81,8 +81,8 @@
     assert_code(&answer, 400, "bad_parameter");
 }
 
-// Calls that first try an address that refuses connections must not consume the retry budget, or later
-// calls are refused once it is empty.
+// Calls that first try an address that refuses connections must not consume the retry budget, or
+// later calls are refused once it is empty.
 #[test]
 fn service_with_a_server_off_answers_every_call() {
     let started = start_box();
@@ -123,8 +123,8 @@
     assert_eq!(answer.status, 200, "{answer:?}");
 }
 
-// Callers that choose the same x-request-id must not share a run at the engine, or they receive each
-// other's text.
+// Callers that choose the same x-request-id must not share a run at the engine, or they receive
+// each other's text.
 #[test]
 fn complete_same_request_id_answers_each_caller_its_own() {
     let engine = start_box_with_engine();
@@ -276,7 +276,8 @@
     assert_eq!(alive.status, 200);
 }
 
-/// A property of a byte string, as a closure, since QuickCheck accepts only functions without captures.
+/// A property of a byte string, as a closure, since QuickCheck accepts only functions without
+/// captures.
 struct Bytes(Box<dyn Fn(Vec<u8>) -> bool>);
 
 impl quickcheck::Testable for Bytes {
--- a/crates/tinbay-node/tests/guarded_test.rs
+++ b/crates/tinbay-node/tests/guarded_test.rs
@@ -20,7 +20,8 @@
     assert!(is_marked.get());
 }
 
-// A box that is frozen while it connects and wakes up after its lease has expired must not send the order.
+// A box that is frozen while it connects and wakes up after its lease has expired must not send the
+// order.
 #[tokio::test]
 async fn while_allowed_takes_no_step_after_it_lapsed() {
     let waits = tokio::sync::Notify::new();
--- a/crates/tinbay-node/tests/owned_test.rs
+++ b/crates/tinbay-node/tests/owned_test.rs
@@ -1,5 +1,5 @@
-//! Which runs the owner of an engine considers active, based on its own requests and the engine's state
-//! reports.
+//! Which runs the owner of an engine considers active, based on its own requests and the engine's
+//! state reports.
 
 use std::pin::pin;
 use std::sync::Arc;
@@ -76,8 +76,8 @@
     unloads
 }
 
-// A state report requested before a run was detached does not contain that run. It must not count as
-// proof that the run has ended, or the run's adapter is unloaded while the engine still uses it.
+// A state report requested before a run was detached does not contain that run. It must not count
+// as proof that the run has ended, or the run's adapter is unloaded while the engine still uses it.
 #[tokio::test]
 async fn observe_report_asked_for_before_a_run_was_detached_keeps_its_adapter() {
     let (owned, mut jobs) = owned();
@@ -99,8 +99,8 @@
     assert!(orders_unload(&mut jobs), "the engine has ended the run");
 }
 
-// A queued request may have the same name as a run of an earlier attempt. It must not hide that run, or
-// its place in the batch is given away twice.
+// A queued request may have the same name as a run of an earlier attempt. It must not hide that
+// run, or its place in the batch is given away twice.
 #[tokio::test]
 async fn observe_run_whose_name_waits_again_keeps_its_place() {
     let (owned, _jobs) = owned();
