--- a/crates/tinbay-gateway/src/limits/home.rs
+++ b/crates/tinbay-gateway/src/limits/home.rs
@@ -1,4 +1,5 @@
-//! Which box keeps a limit for all, and the dealing where it is this one.
+//! Selection of a limit's home, the one box that grants units of the limit to all boxes, and the
+//! granting where this box is the home.
 
 use tinbay_core::limits::denied::CallerTry;
 use tinbay_core::limits::home::{DealTerms, LimitHome, UnitGrant, UnitRequest};
@@ -10,80 +11,82 @@
 use crate::members::box_fingerprint;
 use crate::node::Node;
 
-/// How long a home that was drawn is kept: to draw it takes time that grows with the boxes.
-const DRAWN_LIFE_MS: Millis = 500;
+/// Time for which a selected home is cached, as the selection takes time that grows with the number
+/// of boxes.
+const HOME_CACHE_MS: Millis = 500;
 
-/// How long the fleet counts as it was seen: far less than it takes to miss a box.
-const FLEET_LIFE_MS: Millis = 100;
+/// Time for which the view of the fleet is cached: far less than it takes to notice that a box is
+/// gone.
+const FLEET_CACHE_MS: Millis = 100;
 
-/// Boxes that a fleet is taken to have while this box has not yet seen its own entry in the
-/// store: it may know few of the others.
-const UNKNOWN_FLEET: usize = 100;
+/// Assumed size of the fleet until this box sees its own entry in the store. It may know few of the
+/// others before that.
+const ASSUMED_FLEET_SIZE: usize = 100;
 
-/// The home of a limit.
+/// Box that grants units of a limit.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Home {
     /// This box.
     Own,
-    /// Another one.
+    /// Another box, by its id.
     Other(String),
 }
 
-/// The home of a limit and how it was drawn.
+/// Home of a limit, with the boxes that were excluded from the selection.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Drawn {
-    /// The home.
+pub struct SelectedHome {
+    /// Selected box.
     pub home: Home,
-    /// Boxes that said of themselves that they can't be a home, and were left out. What boxes know
-    /// of the fleet differs for some seconds; without this, boxes named each other in turn for 2 s
-    /// and more. A box that only takes another one for the home is not left out: it may deal to
-    /// others meanwhile, and two homes deal twice the limit.
-    pub without: Vec<Fingerprint>,
+    /// Boxes that reported that they can't be the home. The boxes' views of the fleet can differ
+    /// for some seconds; excluded the exclusion, boxes redirected requests to each other for 2 s and
+    /// more. A box that only takes another one for the home is not excluded: it may be granting
+    /// units to others in the meantime, and two homes grant twice the limit.
+    pub excluded: Vec<Fingerprint>,
 }
 
-/// The home of a limit as it was drawn lately.
+/// Cached selection of a limit's home.
 #[derive(Debug)]
-pub struct KeptHome {
-    drawn: Option<Drawn>,
+pub struct CachedHome {
+    selected: Option<SelectedHome>,
     until_ms: Millis,
 }
 
-/// The fleet as this box sees it.
+/// This box's view of the fleet.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct FleetView {
-    /// Boxes that are entered in the store, this one included.
+    /// Boxes listed in the store, this one included.
     pub boxes: usize,
-    /// Part of them that this box reaches, from 0 to 1.
+    /// Fraction of them that this box reaches, from 0 to 1.
     pub reached: f64,
-    /// Whether all that is known well enough to deal units for others.
-    pub is_sure: bool,
+    /// Whether the view is reliable enough to grant units to others.
+    pub is_reliable: bool,
 }
 
-/// The home of a limit; none where no box can be one.
-pub fn of(node: &Node, limited: &Limited) -> Option<Drawn> {
+/// Returns the home of a limit; `None` if no box can be one.
+pub fn of(node: &Node, limited: &Limited) -> Option<SelectedHome> {
     of_name(node, limited.key, &limited.name)
 }
 
-/// The same by the limit's names.
-pub fn of_name(node: &Node, key: LimitKey, name: &str) -> Option<Drawn> {
+/// Returns the home of a limit by its key and name; `None` if no box can be one.
+pub fn of_name(node: &Node, key: LimitKey, name: &str) -> Option<SelectedHome> {
     let now_ms = node.now_ms();
-    let mut kept = node.limits.drawn.borrow_mut();
-    if let Some(kept) = kept.get(&key).filter(|kept| now_ms < kept.until_ms) {
-        return kept.drawn.clone();
+    let mut cached = node.limits.cached_homes.borrow_mut();
+    if let Some(entry) = cached.get(&key).filter(|entry| now_ms < entry.until_ms) {
+        return entry.selected.clone();
     }
-    let drawn = draw(node, name, Vec::new());
-    let until_ms = now_ms + DRAWN_LIFE_MS;
-    let entry = KeptHome {
-        drawn: drawn.clone(),
+    let selected = select(node, name, Vec::new());
+    let until_ms = now_ms + HOME_CACHE_MS;
+    let entry = CachedHome {
+        selected: selected.clone(),
         until_ms,
     };
-    kept.insert(key, entry);
-    drawn
+    cached.insert(key, entry);
+    selected
 }
 
-/// Whether the home of a limit did not answer lately.
+/// Whether the home of a limit failed to answer recently.
 pub fn has_failed(node: &Node, limited: &Limited) -> bool {
-    let Some(Home::Other(home)) = of(node, limited).map(|drawn| drawn.home) else {
+    let Some(Home::Other(home)) = of(node, limited).map(|selected| selected.home) else {
         return false;
     };
     let failed = node.limits.failed.borrow();
@@ -91,43 +94,43 @@
     until_ms.is_some_and(|until_ms| node.now_ms() < *until_ms)
 }
 
-/// Draws a limit's home anew, as the last one said that it can't be one.
-pub fn draw_without(node: &Node, limited: &Limited, last: &Drawn) {
+/// Selects a new home after the last one reported that it can't be the home.
+pub fn reselect_excluding(node: &Node, limited: &Limited, last: &SelectedHome) {
     let id = match &last.home {
         Home::Own => node.settings.borrow().box_id.clone(),
         Home::Other(id) => id.clone(),
     };
-    let mut without = last.without.clone();
-    without.push(box_fingerprint(&id));
-    let drawn = draw(node, &limited.name, without);
-    keep(node, limited, drawn);
+    let mut excluded = last.excluded.clone();
+    excluded.push(box_fingerprint(&id));
+    let selected = select(node, &limited.name, excluded);
+    cache(node, limited, selected);
 }
 
-/// Takes another box for a limit's home, as the last one does that was asked.
-pub fn take_other(node: &Node, limited: &Limited, last: &Drawn, home: String) {
+/// Follows a redirect: caches the box that the last home named instead of itself.
+pub fn follow_redirect(node: &Node, limited: &Limited, last: &SelectedHome, home: String) {
     let is_own = home == node.settings.borrow().box_id;
     let home = if is_own { Home::Own } else { Home::Other(home) };
-    let without = last.without.clone();
-    keep(node, limited, Some(Drawn { home, without }));
+    let excluded = last.excluded.clone();
+    cache(node, limited, Some(SelectedHome { home, excluded }));
 }
 
-fn keep(node: &Node, limited: &Limited, drawn: Option<Drawn>) {
-    let until_ms = node.now_ms() + DRAWN_LIFE_MS;
-    let mut kept = node.limits.drawn.borrow_mut();
-    kept.insert(limited.key, KeptHome { drawn, until_ms });
+fn cache(node: &Node, limited: &Limited, selected: Option<SelectedHome>) {
+    let until_ms = node.now_ms() + HOME_CACHE_MS;
+    let mut cached = node.limits.cached_homes.borrow_mut();
+    cached.insert(limited.key, CachedHome { selected, until_ms });
 }
 
-/// The home of a limit as this box draws it, with some boxes left out.
-pub fn drawn_without(node: &Node, limited: &Limited, without: &[Fingerprint]) -> Option<Home> {
-    let drawn = if without.is_empty() {
+/// Returns the home of a limit with some boxes excluded.
+pub fn home_excluding(node: &Node, limited: &Limited, excluded: &[Fingerprint]) -> Option<Home> {
+    let selected = if excluded.is_empty() {
         of(node, limited)
     } else {
-        draw(node, &limited.name, without.to_vec())
+        select(node, &limited.name, excluded.to_vec())
     };
-    drawn.map(|drawn| drawn.home)
+    selected.map(|selected| selected.home)
 }
 
-fn draw(node: &Node, name: &str, without: Vec<Fingerprint>) -> Option<Drawn> {
+fn select(node: &Node, name: &str, excluded: Vec<Fingerprint>) -> Option<SelectedHome> {
     let now_ms = node.now_ms();
     let settings = node.settings.borrow();
     let members = node.members.borrow();
@@ -136,26 +139,26 @@
         id: &settings.box_id,
         capacity: settings.resources.capacity(),
     });
-    let is_in = |ranked: &RankedBox<'_>| !without.contains(&box_fingerprint(ranked.id));
-    let boxes: Vec<RankedBox<'_>> = others.chain(own).filter(is_in).collect();
+    let is_eligible = |ranked: &RankedBox<'_>| !excluded.contains(&box_fingerprint(ranked.id));
+    let boxes: Vec<RankedBox<'_>> = others.chain(own).filter(is_eligible).collect();
     let home = *capacity::draw(name, &boxes, 1).first()?;
     let home = if home == settings.box_id {
         Home::Own
     } else {
         Home::Other(home.to_string())
     };
-    Some(Drawn { home, without })
+    Some(SelectedHome { home, excluded })
 }
 
-/// Deals units of a limit; none where this box can't be sure to be its home.
-pub fn deal(
+/// Grants units of a limit; `None` if this box can't be sure to be the home.
+pub fn grant_units(
     node: &Node,
     limited: &Limited,
     request: UnitRequest,
-    of: Option<CallerTry>,
+    caller_try: Option<CallerTry>,
 ) -> Option<UnitGrant> {
     let fleet = fleet(node);
-    if !fleet.is_sure {
+    if !fleet.is_reliable {
         return None;
     }
     let now_ms = node.now_ms();
@@ -168,10 +171,11 @@
     let home = homes
         .entry(limited.key)
         .or_insert_with(|| LimitHome::in_debt(limited.terms.first_debt, now_ms));
-    Some(home.deal_to(terms, request, of, now_ms))
+    Some(home.deal_to(terms, request, caller_try, now_ms))
 }
 
-/// The fleet as this box saw it lately: to look takes time that grows with the boxes.
+/// Returns the view of the fleet, cached because counting takes time that grows with the number of
+/// boxes.
 pub fn fleet(node: &Node) -> FleetView {
     let now_ms = node.now_ms();
     if let Some((view, until_ms)) = node.limits.fleet.get()
@@ -179,13 +183,13 @@
     {
         return view;
     }
-    let view = look(node, now_ms);
-    let until_ms = now_ms + FLEET_LIFE_MS;
+    let view = observe_fleet(node, now_ms);
+    let until_ms = now_ms + FLEET_CACHE_MS;
     node.limits.fleet.set(Some((view, until_ms)));
     view
 }
 
-fn look(node: &Node, now_ms: Millis) -> FleetView {
+fn observe_fleet(node: &Node, now_ms: Millis) -> FleetView {
     let own_id = node.settings.borrow().box_id.clone();
     let is_entered = node.is_entered();
     let members = node.members.borrow();
@@ -199,9 +203,9 @@
         boxes: if is_entered {
             listed
         } else {
-            listed.max(UNKNOWN_FLEET)
+            listed.max(ASSUMED_FLEET_SIZE)
         },
         reached: heard as f64 / listed as f64,
-        is_sure: is_entered && members.may_keep(now_ms),
+        is_reliable: is_entered && members.may_keep(now_ms),
     }
 }
--- a/crates/tinbay-gateway/src/limits/limited.rs
+++ b/crates/tinbay-gateway/src/limits/limited.rs
@@ -1,4 +1,4 @@
-//! What a limit binds, and how it is kept.
+//! Limits that are enforced over all boxes, with their keys and terms.
 
 use std::rc::Rc;
 
@@ -11,28 +11,28 @@
 use crate::node::Node;
 use crate::servers::Server;
 
-/// The short name of a limit, in messages between boxes as well.
+/// Key of a limit, also used in messages between boxes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum LimitKey {
-    /// Of a client account, by its name.
+    /// Limit of a client account, by the fingerprint of its name.
     Account(Fingerprint),
-    /// Of one incarnation of a server.
+    /// Limit of one incarnation of a server, by its fingerprint.
     Server(Fingerprint),
 }
 
-/// A limit over all boxes.
+/// A rate limit that is enforced over all boxes.
 #[derive(Debug, Clone)]
 pub struct Limited {
-    /// Its short name.
+    /// Key by which boxes refer to it.
     pub key: LimitKey,
-    /// Name by which all boxes draw its home.
+    /// Name from which all boxes select the home of the limit.
     pub name: Rc<str>,
-    /// How it is kept.
+    /// Rate and burst terms.
     pub terms: LimitTerms,
 }
 
 impl Limited {
-    /// The limit of a client account; none where it is not limited.
+    /// Returns the limit of a client account; `None` if it is not limited.
     pub fn of_account(node: &Node, account: &Account) -> Option<Self> {
         let overdraft = node.settings.borrow().bounds.limit_overdraft;
         Some(Self {
@@ -42,7 +42,7 @@
         })
     }
 
-    /// The limit that a server names; none while it names none.
+    /// Returns the limit that a server announces; `None` while it announces none.
     pub fn of_server(node: &Node, server: &Server) -> Option<Self> {
         let per_s = server.limit_per_s()?;
         let binds_after_ms = node.settings.borrow().bounds.server_limit_binds_after_ms;
@@ -54,7 +54,7 @@
         })
     }
 
-    /// The limit of a short name, as far as this box knows one.
+    /// Returns the limit of a key; `None` if this box doesn't know one.
     pub fn find(node: &Node, key: LimitKey) -> Option<Self> {
         match key {
             LimitKey::Account(account) => {
--- a/crates/tinbay-gateway/src/limits/mod.rs
+++ b/crates/tinbay-gateway/src/limits/mod.rs
@@ -1,8 +1,9 @@
-//! Limits over all boxes, of client accounts and of servers: asks a limit's home for units, deals them
-//! where this box is the home, and lives on the own share where no home answers.
+//! Limits enforced over all boxes, of client accounts and of servers. A box requests units from the
+//! limit's home, grants them where it is the home itself, and falls back to a local share of the
+//! limit if no home answers.
 //!
-//! Two ways were measured side by side. Shares alone need no message, but refuse requests within
-//! the limit wherever its requests are uneven over the boxes. A home sees all of them and costs one round
+//! Local shares alone would need no messages, but they refuse requests within the limit wherever
+//! its requests are spread unevenly over the boxes. A home sees all requests and costs one round
 //! trip for the first request of a quarter of a second.
 
 pub mod home;
@@ -24,90 +25,95 @@
 use tinbay_core::units::Millis;
 use tokio::sync::oneshot;
 
-use self::home::{Drawn, FleetView, Home, KeptHome};
+use self::home::{CachedHome, FleetView, Home, SelectedHome};
 use self::limited::{LimitKey, Limited};
 use crate::events::{self, part};
 use crate::members::box_fingerprint;
 use crate::node::Node;
 use crate::peers::frame::{CallerTryPart, FramePart, LimitGrantPart, LimitRequestPart};
 
-/// Wait for a home's answer before it is asked again, as messages may be lost: some round trips
+/// Time-out before a request to a home is sent again, as messages may be lost: some round trips
 /// between zones.
-const ANSWER_WAIT: Duration = Duration::from_millis(50);
+const RESEND_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Times that a home is asked before it counts as not answering. After all boxes were killed homes
-/// take long to answer, and what is not asked for there is refused on a large fleet.
-const MOST_ASKS: usize = 4;
+/// Requests sent to a home before it counts as not answering. After a restart of all boxes homes
+/// take long to answer, and a large fleet refuses requests for which it got no units.
+const MAX_SENDS: usize = 4;
 
-/// Homes that are asked one after the other, as one names another.
-const MOST_HOMES: usize = 5;
+/// Homes result in turn when each redirects to another.
+const MAX_HOMES: usize = 5;
 
-/// How long a home that does not answer is not asked.
-const FAILED_LIFE_MS: Millis = 1_000;
+/// Time for which a home that did not answer is not result again.
+const FAILED_HOME_PAUSE_MS: Millis = 1_000;
 
-/// Pause between questions for units ahead.
-const AHEAD_PAUSE_MS: Millis = 30;
+/// Least interval between prefetches of units.
+const MIN_PREFETCH_INTERVAL_MS: Millis = 30;
 
-/// Number of a question for units ahead, for which no request waits.
-const AHEAD: u32 = 0;
+/// Request number of a prefetch, for which no caller waits.
+const PREFETCH_NUMBER: u32 = 0;
 
-/// What let a request in.
+/// Source of the units with which a request was admitted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AdmittedBy {
-    /// Units that the home had given before.
-    Given,
-    /// Units that the home gave for it.
-    Asked,
-    /// The own share, as no home answered.
-    Share,
+    /// Units that the home had granted earlier.
+    Prefetched,
+    /// Units that the home granted for this request.
+    Requested,
+    /// This box's local share, as no home answered.
+    LocalShare,
 }
 
 impl AdmittedBy {
-    /// Name for logs and measures.
+    /// Name in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
-            AdmittedBy::Given => "given",
-            AdmittedBy::Asked => "asked",
-            AdmittedBy::Share => "share",
+            AdmittedBy::Prefetched => "given",
+            AdmittedBy::Requested => "asked",
+            AdmittedBy::LocalShare => "share",
         }
     }
 }
 
-/// What this box keeps of limits.
+/// State of all limits at this box.
 #[derive(Debug, Default)]
 pub struct Limits {
     shares: RefCell<HashMap<LimitKey, LimitShare>>,
     homes: RefCell<HashMap<LimitKey, LimitHome>>,
-    drawn: RefCell<HashMap<LimitKey, KeptHome>>,
+    cached_homes: RefCell<HashMap<LimitKey, CachedHome>>,
     failed: RefCell<HashMap<String, Millis>>,
-    asked_ahead: RefCell<HashMap<LimitKey, Millis>>,
-    /// When callers come back that find all servers of a service at their limits, by service.
-    turns: RefCell<HashMap<String, Turns>>,
+    prefetched_ms: RefCell<HashMap<LimitKey, Millis>>,
+    /// Retry slots of callers rejected while all servers of a service are at their limits, by
+    /// service.
+    retry_slots: RefCell<HashMap<String, Turns>>,
     waiting: RefCell<HashMap<u32, oneshot::Sender<Answer>>>,
-    last_ask: Cell<u32>,
-    /// The fleet as it was seen, and until when that counts.
+    last_number: Cell<u32>,
+    /// Cached view of the fleet and its expiry.
     fleet: Cell<Option<(FleetView, Millis)>>,
 }
 
 impl Limits {
-    /// Forgets questions whose requests are gone, failures that are over, and limits that servers name no
-    /// more: a question that is never answered would stay for ever else.
+    /// Drops pending requests whose callers have gone, expired failures, and limits that servers no
+    /// longer announce. A request that is never answered would stay forever otherwise.
     pub fn tidy(&self, node: &Node) {
         let now_ms = node.now_ms();
         let mut waiting = self.waiting.borrow_mut();
         waiting.retain(|_, sender| !sender.is_closed());
         let mut failed = self.failed.borrow_mut();
         failed.retain(|_, until_ms| now_ms < *until_ms);
-        let is_kept = |key: &LimitKey| {
+        let is_current = |key: &LimitKey| {
             matches!(key, LimitKey::Account(_)) || Limited::find(node, *key).is_some()
         };
-        self.shares.borrow_mut().retain(|key, _| is_kept(key));
-        self.homes.borrow_mut().retain(|key, _| is_kept(key));
-        self.drawn.borrow_mut().retain(|key, _| is_kept(key));
-        self.asked_ahead.borrow_mut().retain(|key, _| is_kept(key));
+        self.shares.borrow_mut().retain(|key, _| is_current(key));
+        self.homes.borrow_mut().retain(|key, _| is_current(key));
+        self.cached_homes
+            .borrow_mut()
+            .retain(|key, _| is_current(key));
+        self.prefetched_ms
+            .borrow_mut()
+            .retain(|key, _| is_current(key));
     }
 
-    /// Forgets what was dealt and given of a limit that is over: the next one begins anew.
+    /// Drops the units granted from a limit that has ended, so that the next one starts afresh.
     pub fn forget(&self, key: LimitKey) {
         self.shares.borrow_mut().remove(&key);
         self.homes.borrow_mut().remove(&key);
@@ -120,47 +126,48 @@
     reason: &'static str,
 }
 
-/// What a home answers.
+/// Answer of a home to a request for units.
 #[derive(Debug, Clone)]
 enum Answer {
     Grant(UnitGrant),
     NotHome(Option<String>),
 }
 
-/// Lets a request in within a limit.
+/// Admits a request within a limit.
 ///
 /// # Errors
-/// The time until there is room for it.
+/// Returns the time until the limit has capacity for the request.
 pub async fn admit(
     node: &Node,
     limited: &Limited,
     units: f64,
-    of: Option<CallerTry>,
+    caller_try: Option<CallerTry>,
 ) -> Result<AdmittedBy, Millis> {
-    if take_given(node, limited, units) {
-        ask_ahead(node, limited);
-        return Ok(AdmittedBy::Given);
+    if spend_granted(node, limited, units) {
+        prefetch(node, limited);
+        return Ok(AdmittedBy::Prefetched);
     }
     let has_failed = home::has_failed(node, limited);
-    if !has_failed && let Some(asked) = ask_home(node, limited, units, of).await {
-        return asked;
+    if !has_failed && let Some(result) = admit_by_home(node, limited, units, caller_try).await {
+        return result;
     }
-    let room_in_ms = match take_share(node, limited, units) {
-        Ok(()) => return Ok(AdmittedBy::Share),
+    let room_in_ms = match spend_share(node, limited, units) {
+        Ok(()) => return Ok(AdmittedBy::LocalShare),
         Err(room_in_ms) => room_in_ms,
     };
-    // Other servers may take what one does not; what an account may not ask for is refused.
-    let is_last_way = matches!(limited.key, LimitKey::Account(_));
+    // A request that one server can't take may go to another one, but a request over an account's
+    // limit is refused. So an account's home is tried even after it failed recently.
+    let has_no_alternative = matches!(limited.key, LimitKey::Account(_));
     if has_failed
-        && is_last_way
-        && let Some(asked) = ask_home(node, limited, units, of).await
+        && has_no_alternative
+        && let Some(result) = admit_by_home(node, limited, units, caller_try).await
     {
-        return asked;
+        return result;
     }
     Err(room_in_ms)
 }
 
-fn take_share(node: &Node, limited: &Limited, units: f64) -> Result<(), Millis> {
+fn spend_share(node: &Node, limited: &Limited, units: f64) -> Result<(), Millis> {
     let terms = ShareTerms {
         limit_terms: limited.terms,
         boxes: home::fleet(node).boxes,
@@ -170,27 +177,27 @@
     })
 }
 
-/// Asks the home of a limit to let a request in; nothing where no home answers.
-async fn ask_home(
+/// Admits a request with units from the limit's home; `None` if no home answers.
+async fn admit_by_home(
     node: &Node,
     limited: &Limited,
     units: f64,
-    of: Option<CallerTry>,
+    caller_try: Option<CallerTry>,
 ) -> Option<Result<AdmittedBy, Millis>> {
-    for _ in 0..MOST_HOMES {
-        let drawn = home::of(node, limited)?;
-        let grant = match ask(node, limited, units, of, &drawn).await {
-            Asked::Grant(grant) => grant,
-            Asked::NotHome(Some(other)) => {
-                home::take_other(node, limited, &drawn, other);
+    for _ in 0..MAX_HOMES {
+        let selected = home::of(node, limited)?;
+        let grant = match ask(node, limited, units, caller_try, &selected).await {
+            AskResult::Grant(grant) => grant,
+            AskResult::NotHome(Some(other)) => {
+                home::follow_redirect(node, limited, &selected, other);
                 continue;
             }
-            Asked::NotHome(None) => {
-                home::draw_without(node, limited, &drawn);
+            AskResult::NotHome(None) => {
+                home::reselect_excluding(node, limited, &selected);
                 continue;
             }
-            Asked::Silence => {
-                note_failed(node, &drawn.home, "silent");
+            AskResult::NoAnswer => {
+                note_failed(node, &selected.home, "silent");
                 return None;
             }
         };
@@ -198,21 +205,21 @@
             with_share(node, limited, |share, now_ms| share.note_denied(now_ms));
             return Some(Err(room_in_ms));
         }
-        if take_given(node, limited, units) {
-            return Some(Ok(AdmittedBy::Asked));
+        if spend_granted(node, limited, units) {
+            return Some(Ok(AdmittedBy::Requested));
         }
     }
     None
 }
 
-/// Gives back what a request counted that was not run.
+/// Returns the units of a request that was not run.
 pub fn give_back(node: &Node, limited: &Limited, units: f64) {
     with_share(node, limited, |share, now_ms| {
         share.give_back(units, now_ms)
     });
 }
 
-fn take_given(node: &Node, limited: &Limited, units: f64) -> bool {
+fn spend_granted(node: &Node, limited: &Limited, units: f64) -> bool {
     with_share(node, limited, |share, now_ms| {
         share.take_given(units, now_ms)
     })
@@ -232,125 +239,137 @@
     change(share, now_ms)
 }
 
-/// How a question to a home ended.
-enum Asked {
+/// Result of a request for units to a home.
+enum AskResult {
     Grant(UnitGrant),
-    Silence,
-    /// The box that was asked takes another one for the home, or can't be one itself.
+    NoAnswer,
+    /// The box takes another one for the home, or can't be the home itself.
     NotHome(Option<String>),
 }
 
-/// Asks the home of a limit.
+/// Requests units from the home of a limit.
 async fn ask(
     node: &Node,
     limited: &Limited,
     units: f64,
-    of: Option<CallerTry>,
-    drawn: &Drawn,
-) -> Asked {
+    caller_try: Option<CallerTry>,
+    selected: &SelectedHome,
+) -> AskResult {
     let ahead = with_share(node, limited, |share, now_ms| share.ahead(now_ms));
     let request = UnitRequest {
         needed: units,
         ahead,
     };
-    let home = match &drawn.home {
+    let home = match &selected.home {
         Home::Own => {
-            let Some(grant) = home::deal(node, limited, request, of) else {
-                return Asked::NotHome(None);
+            let Some(grant) = home::grant_units(node, limited, request, caller_try) else {
+                return AskResult::NotHome(None);
             };
             note_grant(node, limited.key, grant);
-            return Asked::Grant(grant);
+            return AskResult::Grant(grant);
         }
         Home::Other(home) => home,
     };
-    let number = node.limits.last_ask.get().wrapping_add(1).max(AHEAD + 1);
-    node.limits.last_ask.set(number);
+    let number = node
+        .limits
+        .last_number
+        .get()
+        .wrapping_add(1)
+        .max(PREFETCH_NUMBER + 1);
+    node.limits.last_number.set(number);
     let (sender, receiver) = oneshot::channel();
     node.limits.waiting.borrow_mut().insert(number, sender);
     let part = LimitRequestPart {
-        of: of.map(CallerTryPart::new),
-        ..question(node, limited.key, number, request, &drawn.without)
+        caller_try: caller_try.map(CallerTryPart::new),
+        ..build_request(node, limited.key, number, request, &selected.excluded)
     };
-    let asked = repeat_question(node, home, &part, receiver).await;
+    let result = request_until_answered(node, home, &part, receiver).await;
     node.limits.waiting.borrow_mut().remove(&number);
-    asked
+    result
 }
 
-/// Sends one question until it is answered; any answer to it counts, also a late one.
-async fn repeat_question(
+/// Repeats a request until it is answered. An answer to any of the sends counts, also a late one.
+async fn request_until_answered(
     node: &Node,
     home: &str,
     part: &LimitRequestPart,
     mut receiver: oneshot::Receiver<Answer>,
-) -> Asked {
-    for _ in 0..MOST_ASKS {
+) -> AskResult {
+    for _ in 0..MAX_SENDS {
         let part = FramePart::LimitRequest(part.clone());
         node.outbox.post(home, part);
-        match tokio::time::timeout(ANSWER_WAIT, &mut receiver).await {
-            Ok(Ok(Answer::Grant(grant))) => return Asked::Grant(grant),
-            Ok(Ok(Answer::NotHome(other))) => return Asked::NotHome(other),
-            Ok(Err(_)) => return Asked::Silence,
+        match tokio::time::timeout(RESEND_INTERVAL, &mut receiver).await {
+            Ok(Ok(Answer::Grant(grant))) => return AskResult::Grant(grant),
+            Ok(Ok(Answer::NotHome(other))) => return AskResult::NotHome(other),
+            Ok(Err(_)) => return AskResult::NoAnswer,
             Err(_) => {}
         }
     }
-    Asked::Silence
+    AskResult::NoAnswer
 }
 
-fn question(
+fn build_request(
     node: &Node,
     key: LimitKey,
     number: u32,
     request: UnitRequest,
-    without: &[Fingerprint],
+    excluded: &[Fingerprint],
 ) -> LimitRequestPart {
     LimitRequestPart {
         key,
         number,
         needed: request.needed.ceil() as u32,
         ahead: request.ahead.ceil() as u32,
-        without: without.to_vec(),
-        of: None,
+        excluded: excluded.to_vec(),
+        caller_try: None,
         notice: notices::of(node, key),
     }
 }
 
-/// Asks for more before what is there is used up; nobody waits for the answer.
-fn ask_ahead(node: &Node, limited: &Limited) {
+/// Requests more units before the granted ones are used up; no caller waits for the answer.
+fn prefetch(node: &Node, limited: &Limited) {
     let ahead = with_share(node, limited, |share, now_ms| share.ahead(now_ms));
-    if ahead < 1.0 || !may_ask_ahead(node, limited.key) {
+    if ahead < 1.0 || !may_prefetch(node, limited.key) {
         return;
     }
     let needed = 0.0;
     let request = UnitRequest { needed, ahead };
-    let Some(drawn) = home::of(node, limited) else {
+    let Some(selected) = home::of(node, limited) else {
         return;
     };
-    match &drawn.home {
+    match &selected.home {
         Home::Own => {
-            if let Some(grant) = home::deal(node, limited, request, None) {
+            if let Some(grant) = home::grant_units(node, limited, request, None) {
                 note_grant(node, limited.key, grant);
             }
         }
         Home::Other(home) if !home::has_failed(node, limited) => {
-            let part = question(node, limited.key, AHEAD, request, &drawn.without);
+            let part = build_request(
+                node,
+                limited.key,
+                PREFETCH_NUMBER,
+                request,
+                &selected.excluded,
+            );
             node.outbox.post(home, FramePart::LimitRequest(part));
         }
         Home::Other(_) => {}
     }
 }
 
-fn may_ask_ahead(node: &Node, key: LimitKey) -> bool {
+fn may_prefetch(node: &Node, key: LimitKey) -> bool {
     let now_ms = node.now_ms();
-    let mut asked = node.limits.asked_ahead.borrow_mut();
-    let last_ms = asked.get(&key);
-    if last_ms.is_some_and(|last_ms| now_ms < last_ms + AHEAD_PAUSE_MS) {
+    let mut prefetched_ms = node.limits.prefetched_ms.borrow_mut();
+    let last_ms = prefetched_ms.get(&key);
+    if last_ms.is_some_and(|last_ms| now_ms < last_ms + MIN_PREFETCH_INTERVAL_MS) {
         return false;
     }
-    asked.insert(key, now_ms);
+    prefetched_ms.insert(key, now_ms);
     true
 }
 
-/// Notes what a home gave. Who asked has a share; units of a limit that is over by now are worth nothing.
+/// Records a grant. A box that requested units has a share; units of a limit that has ended are
+/// dropped.
 fn note_grant(node: &Node, key: LimitKey, grant: UnitGrant) {
     let now_ms = node.now_ms();
     if let Some(share) = node.limits.shares.borrow_mut().get_mut(&key) {
@@ -358,12 +377,12 @@
     }
 }
 
-/// Another box that does not answer is not asked for a while; requests would wait for it in vain.
+/// Records that another box did not answer, so that requests don't wait for it for a while.
 fn note_failed(node: &Node, home: &Home, reason: &'static str) {
     let Home::Other(home) = home else {
         return;
     };
-    let until_ms = node.now_ms() + FAILED_LIFE_MS;
+    let until_ms = node.now_ms() + FAILED_HOME_PAUSE_MS;
     let mut failed = node.limits.failed.borrow_mut();
     failed.insert(home.clone(), until_ms);
     drop(failed);
@@ -371,8 +390,8 @@
     events::emit(part::FRONT, Level::Info, "limit_home_no_answer", &event);
 }
 
-/// Answers another box that takes this one for a limit's home.
-pub fn take_request(node: &Node, box_id: &str, part: &LimitRequestPart) {
+/// Answers a request for units from a box that takes this one for the limit's home.
+pub fn handle_request(node: &Node, box_id: &str, part: &LimitRequestPart) {
     notices::take(node, part.key, part.notice.as_ref());
     let limited = Limited::find(node, part.key);
     if limited.is_none() && matches!(part.key, LimitKey::Account(_)) {
@@ -384,10 +403,10 @@
     };
     let home = limited
         .as_ref()
-        .and_then(|limited| home::drawn_without(node, limited, &part.without));
+        .and_then(|limited| home::home_excluding(node, limited, &part.excluded));
     let limited = limited.filter(|_| home == Some(Home::Own));
-    let of = part.of.map(CallerTryPart::to_try);
-    let grant = limited.and_then(|limited| home::deal(node, &limited, request, of));
+    let caller_try = part.caller_try.map(CallerTryPart::to_try);
+    let grant = limited.and_then(|limited| home::grant_units(node, &limited, request, caller_try));
     let other = match home {
         Some(Home::Other(other)) => Some(box_fingerprint(&other)),
         Some(Home::Own) | None => None,
@@ -405,8 +424,8 @@
     node.outbox.post(box_id, FramePart::LimitGrant(answer));
 }
 
-/// Takes a home's answer; one that comes late still brings its units.
-pub fn take_grant(node: &Node, part: &LimitGrantPart) {
+/// Applies the answer of a home. A late answer still brings its units.
+pub fn handle_grant(node: &Node, part: &LimitGrantPart) {
     notices::take(node, part.key, part.notice.as_ref());
     if Limited::find(node, part.key).is_none() && matches!(part.key, LimitKey::Account(_)) {
         return;
@@ -424,7 +443,7 @@
         Answer::NotHome(other.cloned())
     };
     if let Some(waiting) = node.limits.waiting.borrow_mut().remove(&part.number) {
-        // A request that is gone meanwhile leaves its units to the next one.
+        // If the caller has gone in the meantime, the next request can use the units.
         let _ = waiting.send(answer);
     }
 }
--- a/crates/tinbay-gateway/src/limits/notices.rs
+++ b/crates/tinbay-gateway/src/limits/notices.rs
@@ -1,9 +1,9 @@
-//! What servers said of their limits, between boxes: each learns it from the server's own answers, from
-//! the limit's home with each answer of that, from the server's holder with its status, and where there is
-//! no holder from other boxes.
+//! Exchange of server limits between boxes. A box learns a server's limit from the server's own
+//! answers, from each answer of the limit's home, from the status sent by the server's holder, and
+//! from other boxes if the server has no holder.
 //!
-//! A box that got no unit sends nothing and hears nothing from the server; by the others it learns that a
-//! limit has changed or is over.
+//! A box without units sends nothing to the server and gets no answers from it. It learns from the
+//! other boxes that a limit has changed or ended.
 
 use std::rc::Rc;
 
@@ -20,19 +20,20 @@
 use crate::peers::gossip;
 use crate::servers::Server;
 
-/// Boxes of the own zone that are told of a limit at once, and of other zones.
-const PEERS: usize = 3;
-const FAR_PEERS: usize = 2;
+/// Boxes in this box's zone that are notified directly of a limit.
+const ZONE_PEERS: usize = 3;
+/// Boxes in other zones that are notified directly of a limit.
+const OTHER_ZONE_PEERS: usize = 2;
 
-/// What a server said of its limit, as one box tells another.
+/// Limit announced by a server, as one box passes it to another.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct LimitNoticePart {
-    /// Requests a second; none where it names no limit.
+    /// Requests per second; `None` if the server announces no limit.
     pub per_s: Option<f64>,
-    /// How long ago it said so at most, in ms.
-    pub most_age_ms: u32,
-    /// How long ago it said so at least, in ms.
-    pub least_age_ms: u32,
+    /// Upper bound of the announcement's age, in ms.
+    pub max_age_ms: u32,
+    /// Lower bound of the announcement's age, in ms.
+    pub min_age_ms: u32,
 }
 
 impl LimitNoticePart {
@@ -40,22 +41,24 @@
         let age_ms = |at_ms: Millis| u32::try_from(now_ms - at_ms.min(now_ms)).unwrap_or(u32::MAX);
         Self {
             per_s: notice.per_s,
-            most_age_ms: age_ms(notice.said_after_ms),
-            least_age_ms: age_ms(notice.said_before_ms),
+            max_age_ms: age_ms(notice.said_after_ms),
+            min_age_ms: age_ms(notice.said_before_ms),
         }
     }
 
-    /// Taken as just sent; what it took to come makes the notice seem later, by milliseconds.
+    /// Converts ages to local times. The transit time is ignored, which makes the announcement seem
+    /// later by milliseconds.
     fn to_notice(self, now_ms: Millis) -> LimitNotice {
         LimitNotice {
             per_s: self.per_s,
-            said_after_ms: now_ms.saturating_sub(Millis::from(self.most_age_ms)),
-            said_before_ms: now_ms.saturating_sub(Millis::from(self.least_age_ms)),
+            said_after_ms: now_ms.saturating_sub(Millis::from(self.max_age_ms)),
+            said_before_ms: now_ms.saturating_sub(Millis::from(self.min_age_ms)),
         }
     }
 }
 
-/// What this box knows of a server's limit, to tell another box; none where there is nothing to tell.
+/// Returns the known limit of a server for a message to another box; `None` if there is nothing to
+/// pass on.
 pub fn of(node: &Node, key: LimitKey) -> Option<LimitNoticePart> {
     let LimitKey::Server(server) = key else {
         return None;
@@ -64,13 +67,13 @@
     of_server(node, &server)
 }
 
-/// The same of a server.
+/// Returns the known limit of `server`; `None` if it never announced one.
 pub fn of_server(node: &Node, server: &Server) -> Option<LimitNoticePart> {
     let notice = server.limit_notice()?;
     Some(LimitNoticePart::new(notice, node.now_ms()))
 }
 
-/// Takes what another box knows of a server's limit.
+/// Applies the limit of a server that another box passed on.
 pub fn take(node: &Node, key: LimitKey, part: Option<&LimitNoticePart>) {
     let (LimitKey::Server(server), Some(part)) = (key, part) else {
         return;
@@ -86,13 +89,13 @@
     };
     server.note_said(notice, now_ms);
     if server.take_limit_news().is_some() {
-        note_change(node, &server);
+        apply_change(node, &server);
     }
 }
 
-/// Tells the limit's home and the server's holder what this box heard from the server itself.
-pub fn tell(node: &Node, server: &Rc<Server>) {
-    note_change(node, server);
+/// Sends a limit that the server announced to this box to the limit's home and the server's holder.
+pub fn notify_home_and_holder(node: &Node, server: &Rc<Server>) {
+    apply_change(node, server);
     let Some(notice) = of_server(node, server) else {
         return;
     };
@@ -101,8 +104,8 @@
         notice,
     };
     let own_id = node.settings.borrow().box_id.clone();
-    let drawn = home::of_name(node, LimitKey::Server(part.server), &server.record().id);
-    let home = match drawn.map(|drawn| drawn.home) {
+    let selected = home::of_name(node, LimitKey::Server(part.server), &server.record().id);
+    let home = match selected.map(|selected| selected.home) {
         Some(Home::Other(home)) => Some(home),
         Some(Home::Own) | None => None,
     };
@@ -114,23 +117,24 @@
     }
 }
 
-/// A limit that is over is forgotten; of one that begins or changes all that use the server are told, so
-/// that none goes on until the server's own answer: by its holder, or from one box to the next where there
-/// is none.
-fn note_change(node: &Node, server: &Rc<Server>) {
+/// Drops the state of a limit that has ended. All users of the server are told of a new or changed
+/// limit, so that none exceeds it until it gets the server's own answer. The holder tells them, or
+/// the boxes pass it on from one to the next if there is no holder.
+fn apply_change(node: &Node, server: &Rc<Server>) {
     if server.limit_per_s().is_none() {
         node.limits.forget(LimitKey::Server(server.fingerprint()));
         return;
     }
     if let Some(held) = node.held_server(server.key) {
-        held.has_limit_news.set(true);
+        held.limit_changed.set(true);
         server.order_due.notify_one();
     } else if !node.has_holder(server) {
         pass_on(node, server);
     }
 }
 
-/// Tells some boxes of the zone, and some of others; who did not know passes it on.
+/// Sends the limit to some boxes of this zone and of others. A box for which it is news passes it
+/// on.
 fn pass_on(node: &Node, server: &Server) {
     let Some(notice) = of_server(node, server) else {
         return;
@@ -141,8 +145,16 @@
     };
     let mut rng = rand::rng();
     let mut boxes = Vec::new();
-    boxes.extend(gossip::near_boxes(node).sample(&mut rng, PEERS).cloned());
-    boxes.extend(gossip::far_boxes(node).sample(&mut rng, FAR_PEERS).cloned());
+    boxes.extend(
+        gossip::near_boxes(node)
+            .sample(&mut rng, ZONE_PEERS)
+            .cloned(),
+    );
+    boxes.extend(
+        gossip::far_boxes(node)
+            .sample(&mut rng, OTHER_ZONE_PEERS)
+            .cloned(),
+    );
     for box_id in boxes {
         node.outbox.post(&box_id, FramePart::ServerLimit(part));
     }
--- a/crates/tinbay-gateway/src/limits/permits.rs
+++ b/crates/tinbay-gateway/src/limits/permits.rs
@@ -1,4 +1,4 @@
-//! Sends within the limits that servers name.
+//! Permits for sending requests within the limits that servers announce.
 
 use std::rc::Rc;
 
@@ -9,20 +9,21 @@
 use crate::node::Node;
 use crate::servers::Server;
 
-/// Longest time that callers are told to stay away while all servers of a service are at their limits:
-/// callers heed it up to a third of the time that they have left, which is some seconds.
-const LONGEST_AWAY_MS: Millis = 5_000;
+/// Longest retry delay given to callers while all servers of a service are at their limits. Callers
+/// accept up to a third of their remaining time, which is some seconds.
+const MAX_RETRY_AFTER_MS: Millis = 5_000;
 
-/// Leave to send one request to a server.
+/// Permission to send one request to a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Permit {
-    /// Until when it holds where it took a unit of a limit; without one it holds while there is none.
+    /// Expiry of the unit taken from a limit. A permit without a unit is valid while the server has
+    /// no limit.
     unit_until_ms: Option<Millis>,
 }
 
 impl Permit {
-    /// Whether it still holds. A limit may have begun since, and a unit that is old would come on top of
-    /// those that are dealt by now.
+    /// Whether the permit is still valid. A limit may have begun in the meantime, and an expired
+    /// unit would come on top of those granted by now.
     pub fn holds(&self, server: &Server, now_ms: Millis) -> bool {
         match self.unit_until_ms {
             Some(until_ms) => now_ms < until_ms,
@@ -30,7 +31,7 @@
         }
     }
 
-    /// Gives its unit back, as nothing was sent.
+    /// Returns the unit of a permit for which nothing was sent.
     pub fn give_back(self, node: &Node, server: &Server) {
         let is_held = self
             .unit_until_ms
@@ -41,12 +42,12 @@
     }
 }
 
-/// Takes leave to send one request to a server; none where its limit has no room now, and then the server
-/// is passed over until there may be.
+/// Acquires a permit to send one request to a server. Returns `None` if its limit has no capacity
+/// now; the server is then skipped until it may have some.
 ///
-/// What a server in need takes is a sum over boxes, so no box can tell by itself: where each went on until
-/// it had heard the limit from the server, seven boxes sent 57 requests in 4 s, none of them more than 12,
-/// to a server that takes 3.4 a second.
+/// The load on an overloaded server is the sum over all boxes, which no single box can see. When
+/// each box went on until the server itself announced the limit to it, seven boxes sent 57 requests
+/// in 4 s, none of them more than 12, to a server that takes 3.4 per second.
 pub async fn take(node: &Node, server: &Rc<Server>) -> Option<Permit> {
     let Some(limited) = Limited::of_server(node, server) else {
         let unit_until_ms = None;
@@ -74,8 +75,9 @@
     }
 }
 
-/// When a caller comes back that finds all servers of a service at their limits: those whom this box turns
-/// away one after the other, each by its part of what all boxes may send. Nothing where a server has room.
+/// Returns the retry delay for a caller while all servers of a service are at their limits; `None`
+/// if a server has capacity. Successive callers rejected by this box get increasing delays, spaced
+/// by this box's share of the rate that all boxes may send.
 pub fn return_in_ms(node: &Node, service: &str) -> Option<Millis> {
     let room_in_ms = node.rest_ms(service)?;
     let limits_per_s = node.servers.borrow().limits_per_s(service);
@@ -84,8 +86,8 @@
     }
     let gap_ms = node.box_count.get() as f64 * MS_PER_SECOND as f64 / limits_per_s;
     let now_ms = node.now_ms();
-    let mut turns = node.limits.turns.borrow_mut();
-    let turns = turns.entry(service.to_string()).or_default();
+    let mut slots = node.limits.retry_slots.borrow_mut();
+    let slots = slots.entry(service.to_string()).or_default();
     let first_ms = now_ms + room_in_ms;
-    Some(turns.next_ms(first_ms, gap_ms as Millis, LONGEST_AWAY_MS, now_ms))
+    Some(slots.next_ms(first_ms, gap_ms as Millis, MAX_RETRY_AFTER_MS, now_ms))
 }
--- a/crates/tinbay-gateway/src/orders/claiming.rs
+++ b/crates/tinbay-gateway/src/orders/claiming.rs
@@ -1,4 +1,4 @@
-//! Takes claims on servers that nobody holds.
+//! Claims servers that no box holds.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -19,16 +19,16 @@
 use crate::watch::boxes::{CLAIM_PREFIX, MEMBER_PREFIX};
 use crate::watch::counted;
 
-/// Pause between looks at the claims.
-const LOOK_PAUSE: Duration = Duration::from_millis(250);
+/// Interval between checks of the claims.
+const CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// The same just after the start, when own claims are taken up again.
-const START_LOOK_PAUSE: Duration = Duration::from_millis(20);
+/// Check interval right after startup, when this box resumes its own claims.
+const STARTUP_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Time after the start in which boxes come to know each other and no new claim is taken.
-const SETTLE_MS: Millis = 1_200;
+/// Time after startup without new claims, so that boxes can learn of each other first.
+const STARTUP_GRACE_MS: Millis = 1_200;
 
-/// Time by which each box lets the one before it go first.
+/// Delay per rank, so that a better-placed box claims a free server first.
 const RANK_DELAY_MS: Millis = 900;
 
 #[derive(Serialize)]
@@ -39,27 +39,28 @@
     before: Option<&'a str>,
 }
 
-/// Looks after claims until the box stops.
+/// Maintains this box's claims until it stops.
 pub async fn run(node: Rc<Node>) {
     let mut free_since_ms: HashMap<String, Millis> = HashMap::new();
     loop {
-        tokio::time::sleep(look_pause(&node)).await;
+        tokio::time::sleep(check_interval(&node)).await;
         if node.is_leaving.get() {
             continue;
         }
         era_mark::write_if_due(&node).await;
         for server in engine_servers(&node) {
-            look_after(&node, &server, &mut free_since_ms).await;
+            check_claim(&node, &server, &mut free_since_ms).await;
         }
     }
 }
 
-/// A box that starts again must know soon what its servers hold: all others wait for the status of these.
-fn look_pause(node: &Node) -> Duration {
-    if node.now_ms() < SETTLE_MS {
-        START_LOOK_PAUSE
+/// A restarted box checks its claims quickly, as all other boxes wait for the status of its
+/// servers.
+fn check_interval(node: &Node) -> Duration {
+    if node.now_ms() < STARTUP_GRACE_MS {
+        STARTUP_CHECK_INTERVAL
     } else {
-        LOOK_PAUSE
+        CHECK_INTERVAL
     }
 }
 
@@ -72,22 +73,22 @@
         .collect()
 }
 
-async fn look_after(
+async fn check_claim(
     node: &Rc<Node>,
     server: &Rc<Server>,
     free_since_ms: &mut HashMap<String, Millis>,
 ) {
-    if is_to_be_renewed(node, server) {
-        take(node, server).await;
+    if needs_renewal(node, server) {
+        claim_server(node, server).await;
         return;
     }
     if node.order_token(server).is_some() {
         free_since_ms.remove(&server.address_text);
-        holder::ensure(node, server);
+        holder::ensure_running(node, server);
         return;
     }
     let now_ms = node.now_ms();
-    if now_ms < SETTLE_MS {
+    if now_ms < STARTUP_GRACE_MS {
         return;
     }
     if !is_free(node, server, now_ms) || !node.proof.get().holds(&node.claim_terms(), now_ms) {
@@ -98,13 +99,13 @@
         .entry(server.address_text.clone())
         .or_insert(now_ms);
     if now_ms >= since_ms + own_rank(node, server) as Millis * RANK_DELAY_MS {
-        take(node, server).await;
+        claim_server(node, server).await;
     }
 }
 
-/// Whether this box holds a server by its last proof before the store came back, and is to write its
-/// claim again.
-fn is_to_be_renewed(node: &Node, server: &Server) -> bool {
+/// Whether the store returned from an outage with a new era, and this box still holds the server by
+/// a proof from before and has to write its claim again.
+fn needs_renewal(node: &Node, server: &Server) -> bool {
     let own_id = &node.settings.borrow().box_id;
     let claims = node.claims.borrow();
     claims.is_to_be_renewed(&server.address_text, own_id, node.now_ms())
@@ -129,15 +130,16 @@
     }
 }
 
-/// How many boxes stand before this one for a server: those of its zone first.
+/// Number of boxes that rank before this one for a server. Boxes in the server's zone come first,
+/// then the order is by rendezvous hash.
 fn own_rank(node: &Node, server: &Server) -> usize {
     let now_ms = node.now_ms();
     let own_id = node.settings.borrow().box_id.clone();
     let own = node.own_record();
     let zone = server.record().zone.clone();
     let score = |id: &str, box_zone: &str| {
-        let is_near = box_zone == zone;
-        (is_near, rendezvous::score(&server.address_text, id))
+        let is_same_zone = box_zone == zone;
+        (is_same_zone, rendezvous::score(&server.address_text, id))
     };
     let own_score = score(&own_id, &own.zone);
     let members = node.members.borrow();
@@ -148,7 +150,7 @@
         .count()
 }
 
-async fn take(node: &Rc<Node>, server: &Rc<Server>) {
+async fn claim_server(node: &Rc<Node>, server: &Rc<Server>) {
     let own_id = node.settings.borrow().box_id.clone();
     node.sync_era();
     let (before, stored) = {
@@ -187,7 +189,7 @@
                 before: before.as_ref().map(|claim| claim.value.holder.as_str()),
             };
             events::emit(part::ORDERS, Level::Info, "claim_taken", &event);
-            holder::ensure(node, server);
+            holder::ensure_running(node, server);
         }
         Err(StoreError::Conflict { items }) => {
             for item in items.iter().filter(|item| item.key == key) {
@@ -207,8 +209,8 @@
     serde_json::to_vec(&value).unwrap_or_default()
 }
 
-/// The transaction that releases claims.
-pub fn release(own_id: &str, held: &[(String, Position)]) -> Transaction {
+/// Builds the transaction that marks claims as released.
+pub fn release_transaction(own_id: &str, held: &[(String, Position)]) -> Transaction {
     let key = |address: &str| format!("{CLAIM_PREFIX}{address}");
     Transaction {
         expected: held
--- a/crates/tinbay-gateway/src/orders/era_mark.rs
+++ b/crates/tinbay-gateway/src/orders/era_mark.rs
@@ -1,7 +1,8 @@
-//! The mark in the store that all proofs of former eras are over.
+//! Marker in the store which says that all proofs from earlier eras have expired.
 //!
-//! A box that starts can't know when the store came back from a backup. Without the mark it would wait
-//! at each start for as long as a proof lasts before it takes a server that nobody holds.
+//! An era ends when the store is restored from a backup. A starting box can't know when that
+//! happened. Without the marker it would wait for the lifetime of a proof at each start before it
+//! claims a server that no box holds.
 
 use rand::RngExt;
 use serde::{Deserialize, Serialize};
@@ -12,17 +13,17 @@
 use crate::watch::boxes::PREFIX as BOXES_PREFIX;
 use crate::watch::counted;
 
-/// Key of the mark.
+/// Key of the marker in the store.
 pub const KEY: &str = "tinbay/settled";
 
-/// What the mark says.
+/// Value of the marker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 struct Mark {
-    /// The era in which no proof of a former one is left.
+    /// Era in which all proofs from earlier eras have expired.
     era: Era,
 }
 
-/// Takes the mark as the store shows it; one that can't be read says nothing.
+/// Applies the marker read from the store; an unreadable one is ignored.
 pub fn take(node: &Node, item: &Item) {
     if let Ok(mark) = serde_json::from_slice::<Mark>(&item.value) {
         node.claims.borrow_mut().note_settled(mark.era);
@@ -30,16 +31,18 @@
     }
 }
 
-/// What was read in this era is all there is once that is known to have lasted for long. Without this a
-/// box that starts would refuse all keys until its next read of the configuration, up to 2 s.
+/// Marks the replica as complete once the era is settled, as nothing from an earlier era can be
+/// missing then. Without this a starting box would refuse all keys until its next read of the
+/// configuration, which can take 2 s.
 fn note_complete(node: &Node) {
     if node.unsettled_era().is_none() && node.kept_items.borrow().is_empty() {
         node.replica.note_complete(&node.dialect.keys().operator);
     }
 }
 
-/// Writes the mark where it is missing and all proofs of former eras are over: so it is once this box
-/// has waited for that, and in the first era of a system that starts for the first time.
+/// Writes the marker if it is missing and all proofs from earlier eras have expired. That is the
+/// case once this box has waited for the lifetime of a proof, and in the first era of a new
+/// installation.
 pub async fn write_if_due(node: &Node) {
     node.sync_era();
     let Some(era) = node.store.era() else {
@@ -49,7 +52,7 @@
         let claims = node.claims.borrow();
         claims.is_settled(&node.claim_terms(), node.now_ms())
     };
-    if !is_settled || stored_mark(node) == Some(era) || !takes_turn(node) {
+    if !is_settled || stored_mark(node) == Some(era) || !is_chosen_to_write(node) {
         return;
     }
     let mark = Mark { era };
@@ -62,12 +65,12 @@
         )],
         ..Transaction::default()
     };
-    // Another box may have written it, and each look tries again.
+    // Another box may have written it first; a failed write is retried at the next check.
     let _ = counted(node, "commit", node.store.commit(&transaction).await);
 }
 
-/// One box in the mean tries at each look.
-fn takes_turn(node: &Node) -> bool {
+/// Limits the attempts to one box per check interval on average.
+fn is_chosen_to_write(node: &Node) -> bool {
     rand::rng().random_range(0..node.box_count.get().max(1)) == 0
 }
 
--- a/crates/tinbay-gateway/src/orders/held_server.rs
+++ b/crates/tinbay-gateway/src/orders/held_server.rs
@@ -1,4 +1,4 @@
-//! What this box knows of a server that it holds, and what it tells others of it.
+//! State of a server that this box holds, and the status it sends to other boxes.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -20,62 +20,63 @@
 use crate::servers::usage::UsageReport;
 use crate::servers::view::ViewEntry;
 
-/// Mistrust in a server that does not answer orders: about that of a failed connection.
-const DOUBT: f64 = 2.0;
+/// Mistrust in a server that doesn't answer orders, about that after a failed connection. Mistrust
+/// is the penalty that makes boxes prefer other servers; it decays over time.
+const UNRESPONSIVE_MISTRUST: f64 = 2.0;
 
-/// Pause between looks whether a server has started again; refusals for other reasons come in bursts, and
-/// each look costs a report.
-const CHECK_PAUSE_MS: Millis = 1_000;
+/// Least interval between checks for a restart of the server. Refusals for other reasons come in
+/// bursts, and each check costs a report.
+const MIN_CHECK_INTERVAL_MS: Millis = 1_000;
 
-/// How busy a server is.
+/// Current load of a server as seen by its holder.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Busyness {
-    /// Usual time to the first byte as a part of the objective.
+    /// Usual time to the first byte as a fraction of the objective.
     pub delay: f64,
-    /// Requests of other boxes.
+    /// Requests that other boxes have running there.
     pub running_elsewhere: usize,
-    /// What it has to read before it begins a new request, as time.
+    /// Time the server needs for the prompts queued ahead of a new request.
     pub backlog_ms: f64,
-    /// Mistrust by failures of requests of all boxes.
+    /// Penalty for failed requests of all boxes.
     pub mistrust: f64,
 }
 
-/// What this box knows of a server that it holds.
+/// State of a server that this box holds.
 #[derive(Debug)]
 pub struct HeldServer {
-    /// What the server holds.
+    /// Adapters that the server holds, loads or unloads.
     pub contents: RefCell<Contents>,
-    /// What is asked of it.
+    /// Load requests that are not fulfilled yet.
     pub wants: RefCell<Wants>,
-    /// Its room, while that is scarce.
+    /// Allocation of the server's capacity to boxes while it is scarce.
     pub room: RefCell<ServerRoom>,
-    /// Whether the server refused a request for what it should hold.
+    /// Set when the server refused a request for an adapter that it should hold.
     pub is_contradicted: Cell<bool>,
-    /// Whether those that use the server are to be told of its limit.
-    pub has_limit_news: Cell<bool>,
+    /// Set when the server's limit changed and its users have not been told yet.
+    pub limit_changed: Cell<bool>,
     checked_ms: Cell<Millis>,
     subscribers: RefCell<Subscribers>,
     spreads: RefCell<Spreads>,
 }
 
 impl HeldServer {
-    /// A server whose contents are to be learnt.
+    /// Creates the state of a server whose contents are still unknown.
     pub fn new(spec: &EngineSpec, now_ms: Millis) -> Self {
         Self {
             contents: RefCell::new(Contents::new(spec, now_ms)),
             wants: RefCell::default(),
             room: RefCell::default(),
             is_contradicted: Cell::default(),
-            has_limit_news: Cell::default(),
+            limit_changed: Cell::default(),
             checked_ms: Cell::default(),
             subscribers: RefCell::default(),
             spreads: RefCell::default(),
         }
     }
 
-    /// Whether it is to be looked now whether the server has started again.
-    pub fn takes_check(&self, now_ms: Millis) -> bool {
-        let is_due = now_ms >= self.checked_ms.get() + CHECK_PAUSE_MS;
+    /// Returns whether to check for a restart of the server now, and clears the request for it.
+    pub fn take_due_check(&self, now_ms: Millis) -> bool {
+        let is_due = now_ms >= self.checked_ms.get() + MIN_CHECK_INTERVAL_MS;
         if !is_due || !self.is_contradicted.take() {
             return false;
         }
@@ -83,24 +84,25 @@
         true
     }
 
-    /// Notes that the server does not answer orders: others are better used for a while.
-    pub fn note_doubtful(&self, now_ms: Millis) {
+    /// Records that the server doesn't answer orders, so that others are preferred for a while.
+    pub fn note_unresponsive(&self, now_ms: Millis) {
         let mut subscribers = self.subscribers.borrow_mut();
-        subscribers.note_failures(DOUBT, now_ms);
+        subscribers.note_failures(UNRESPONSIVE_MISTRUST, now_ms);
     }
 
-    /// Notes that the server took no connection: nobody should use it for a while.
+    /// Records that the server accepted no connection, so that no box uses it for a while.
     pub fn note_unreachable(&self, now_ms: Millis) {
         let mut subscribers = self.subscribers.borrow_mut();
         subscribers.note_failures(MOST_MISTRUST, now_ms);
     }
 
-    /// Notes that a box asked how the server stands.
+    /// Records that a box asked for the server's status.
     pub fn note_status_request(&self, box_id: &str, now_ms: Millis) {
         self.subscribers.borrow_mut().hear(box_id, now_ms);
     }
 
-    /// Notes what a box's request needs. An adapter that is there is kept for the request.
+    /// Records the adapter that a box's request needs. An adapter that is loaded already is kept
+    /// for the request.
     pub fn note_load_request(&self, box_id: &str, want: Want, now_ms: Millis) {
         let key = adapter_key(&want.adapter);
         let mut subscribers = self.subscribers.borrow_mut();
@@ -117,7 +119,7 @@
         self.wants.borrow_mut().ask(want, now_ms);
     }
 
-    /// Notes all that a box has running.
+    /// Records the requests that a box has running at the server.
     pub fn note_usage(&self, node: &Node, server: &Server, box_id: &str, report: UsageReport) {
         let now_ms = node.now_ms();
         let mut contents = self.contents.borrow_mut();
@@ -140,32 +142,32 @@
         subscribers.note_uses(box_id, report.uses, now_ms);
     }
 
-    /// Whether something is wanted.
+    /// Whether load requests are pending.
     pub fn has_wants(&self) -> bool {
         !self.wants.borrow().is_empty()
     }
 
-    /// Boxes that used the server lately.
+    /// Boxes that used the server recently.
     pub fn user_boxes(&self, now_ms: Millis) -> Vec<String> {
         let subscribers = self.subscribers.borrow();
         subscribers.boxes(now_ms).map(str::to_string).collect()
     }
 
-    /// Boxes that a change of its contents concerns.
-    pub fn concerned_boxes(&self, change: &ContentsChange, now_ms: Millis) -> Vec<String> {
+    /// Boxes affected by a change of the server's contents.
+    pub fn affected_boxes(&self, change: &ContentsChange, now_ms: Millis) -> Vec<String> {
         let subscribers = self.subscribers.borrow();
         let boxes = subscribers.concerned(change, now_ms);
         boxes.map(str::to_string).collect()
     }
 
-    /// Whether requests for an adapter run at the server.
+    /// Whether requests for an adapter are running at the server.
     pub fn is_in_use(&self, server: &Server, key: AdapterKey, now_ms: Millis) -> bool {
         let subscribers = self.subscribers.borrow();
         subscribers.is_in_use(key as Fingerprint, now_ms)
             || server.usage.borrow().running_for(key) > 0
     }
 
-    /// Whether a load could begin.
+    /// Whether the server could begin a load now.
     pub fn takes_loads(&self, node: &Node, server: &Server) -> bool {
         let now_ms = node.now_ms();
         if !server.takes_work(now_ms) {
@@ -176,13 +178,13 @@
         node.order_token(server).is_some() && contents.takes_loads(&is_in_use, now_ms)
     }
 
-    /// Expected time until a load that is asked for now is done.
+    /// Expected time until a load requested now is finished.
     pub fn load_wait_ms(&self) -> f64 {
         let awaited = self.wants.borrow().awaited();
         self.contents.borrow().load_wait_ms(awaited)
     }
 
-    /// What a box is told of the server; nothing before its contents are known.
+    /// Builds the status sent to a box; `None` until the server's contents are known.
     pub fn status(&self, node: &Node, server: ServerKey, box_id: &str) -> Option<StatusPart> {
         let server = node.servers.borrow().by_key(server)?;
         let takes_loads = self.takes_loads(node, &server);
@@ -213,7 +215,7 @@
         })
     }
 
-    /// How busy the server is, without what `box_id` has running there.
+    /// Load of the server without the requests of `box_id`.
     pub fn busyness(&self, box_id: &str, now_ms: Millis) -> Busyness {
         let subscribers = self.subscribers.borrow();
         Busyness {
@@ -224,26 +226,27 @@
         }
     }
 
-    /// Requests of all boxes, this one included, as far as they told.
+    /// Requests that all boxes, this one included, have reported as running.
     pub fn running(&self, now_ms: Millis) -> usize {
         self.subscribers.borrow().running(now_ms)
     }
 
-    /// What the server has to read before it begins a new request, as time.
+    /// Time the server needs for the prompts queued ahead of a new request.
     pub fn backlog_ms(&self, now_ms: Millis) -> f64 {
         self.subscribers.borrow().backlog_ms(now_ms)
     }
 
-    /// Servers of its order over which an adapter of the server is spread.
+    /// Number of servers over which an adapter is spread, counted along its order of preferred
+    /// servers.
     fn copies(&self, key: AdapterKey, slots: usize, now_ms: Millis) -> usize {
         let adapter = key as Fingerprint;
         let running = self.subscribers.borrow().running_for(adapter, now_ms);
-        let places_part = running as f64 / slots.max(1) as f64;
+        let running_share = running as f64 / slots.max(1) as f64;
         let mut spreads = self.spreads.borrow_mut();
-        spreads.copies(adapter, places_part, now_ms)
+        spreads.copies(adapter, running_share, now_ms)
     }
 
-    /// What the server holds of an adapter.
+    /// State of an adapter at the server; `None` if it isn't there.
     pub fn entry(&self, server: &Server, key: AdapterKey, now_ms: Millis) -> Option<ViewEntry> {
         let contents = self.contents.borrow();
         let held = contents.get(key)?;
@@ -254,7 +257,7 @@
         })
     }
 
-    /// All that the server holds.
+    /// State of all adapters at the server, by fingerprint.
     pub fn entries(&self, server: &Server, now_ms: Millis) -> HashMap<Fingerprint, ViewEntry> {
         let keys: Vec<AdapterKey> = {
             let contents = self.contents.borrow();
@@ -265,7 +268,7 @@
             .collect()
     }
 
-    /// Forgets boxes that have been silent, and adapters that nobody asks for.
+    /// Drops boxes that have been silent and adapters that are no longer requested.
     pub fn tidy(&self, now_ms: Millis) {
         self.subscribers.borrow_mut().tidy(now_ms);
         self.spreads.borrow_mut().tidy(now_ms);
--- a/crates/tinbay-gateway/src/orders/holder.rs
+++ b/crates/tinbay-gateway/src/orders/holder.rs
@@ -1,4 +1,4 @@
-//! Orders one server what to hold, while this box holds the claim on it.
+//! Sends load and unload orders to one server while this box holds the claim on it.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -27,35 +27,37 @@
 use crate::servers::{Server, ServerChange};
 use crate::watch::servers::log_change;
 
-/// Longest wait for a report.
+/// Time-out of a request for a server's report.
 const REPORT_TIMEOUT_MS: Millis = 500;
 
-/// Longest wait for the answer to an order; most come within a few milliseconds.
+/// Time-out of an order; most answers come within a few milliseconds.
 const ORDER_TIMEOUT_MS: Millis = 60;
 
-/// Copies of an order that are sent at once when one has no answer: all name the same count, so that
-/// one of them is taken at most. Where nine of ten orders were lost, 0.73 to 0.75 of the requests
-/// were served with four copies, 0.70 with one at a time (three simulated days).
-const COPIES: usize = 4;
+/// Copies of an order that are sent in parallel once the first send had no answer. All carry the
+/// same expected order count, so the server applies at most one of them. With nine of ten orders
+/// lost, four copies raised the share of requests served from 0.70 to between 0.73 and 0.75 over
+/// three simulated days.
+const PARALLEL_SENDS: usize = 4;
 
-/// How often an order is sent whose answer does not come. It may have been taken, or be taken
-/// later: each names the same count of orders taken before, so that only one of them is, and
-/// until it is known which one, no other order may name that count.
-const MOST_SENDS: usize = 16;
+/// Upper bound on rounds of resending an unanswered order. The server may have applied it already
+/// or may still apply it, and all sends carry the same expected order count so that only one takes
+/// effect. Until the result is known, no other order may use that count.
+const MAX_RESEND_ROUNDS: usize = 16;
 
-/// Sends without an answer after which other boxes are told to use other servers.
-const DOUBTFUL_SENDS: usize = 4;
+/// Unanswered rounds after which other boxes are told to prefer other servers.
+const ROUNDS_UNTIL_UNRESPONSIVE: usize = 4;
 
-/// Longest pause between looks at what is wanted; a new want ends it.
-const LONGEST_PAUSE_MS: Millis = 1_000;
+/// Longest wait before the next action is computed; a new load request ends it early.
+const MAX_PAUSE_MS: Millis = 1_000;
 
-/// Pause between looks while something is wanted that can't be loaded yet.
-const WANTED_PAUSE_MS: Millis = 30;
+/// Longest wait while a requested adapter can't be loaded yet.
+const PENDING_LOAD_PAUSE_MS: Millis = 30;
 
-/// Status by which a server refuses what was meant for another one, or is not there.
-const MISDIRECTED: u16 = 421;
+/// Status with which a server rejects a request addressed to another server, or to one that is not
+/// running.
+const MISDIRECTED_REQUEST: u16 = 421;
 
-/// Pause while there is no proof or another server has the address.
+/// Wait while this box lacks proof of its membership, or the server must not be contacted.
 const IDLE_PAUSE: Duration = Duration::from_millis(50);
 
 #[derive(Serialize)]
@@ -90,17 +92,17 @@
     error: String,
 }
 
-/// Which boxes are told how a server stands.
+/// Boxes that receive an update of a server's status.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Reach {
-    /// Those that the change of its contents concerns.
-    Concerned,
-    /// All that used it lately: its contents are known for the first time, or it fails.
+enum Audience {
+    /// Boxes affected by the change of the server's contents.
+    Affected,
+    /// All boxes that used the server recently, for its first known contents and for failures.
     Users,
 }
 
-/// Starts to hold a server, unless this box does so already.
-pub fn ensure(node: &Rc<Node>, server: &Rc<Server>) {
+/// Starts the order loop of a server unless it is running already.
+pub fn ensure_running(node: &Rc<Node>, server: &Rc<Server>) {
     if node.held_servers.borrow().contains_key(&server.key) {
         return;
     }
@@ -120,7 +122,7 @@
     tokio::task::spawn_local(holder.run());
 }
 
-/// This box's part of what the weight store allows, for one of its servers.
+/// This box's share of the weight store's load rate, applied to one of its servers.
 struct Allowance<'a> {
     holder: &'a Holder,
     now_ms: Millis,
@@ -155,23 +157,23 @@
                 tokio::time::sleep(IDLE_PAUSE).await;
                 continue;
             };
-            if self.held.has_limit_news.take() {
-                self.publish(Reach::Users);
+            if self.held.limit_changed.take() {
+                self.publish(Audience::Users);
             }
             let now_ms = self.node.now_ms();
-            if !self.may_ask(now_ms) {
+            if !self.may_contact(now_ms) {
                 tokio::time::sleep(IDLE_PAUSE).await;
                 continue;
             }
-            if self.held.takes_check(now_ms) {
-                // Only whether the report is of this incarnation matters.
-                let _ = self.report().await;
+            if self.held.take_due_check(now_ms) {
+                // Only the check for a new incarnation inside `fetch_report` matters here.
+                let _ = self.fetch_report().await;
                 continue;
             }
             let wants = self.held.wants.borrow_mut().current(now_ms);
             match self.next_action(&wants, now_ms) {
-                Some(Action::Learn) => self.learn().await,
-                Some(Action::Look) => self.look().await,
+                Some(Action::Learn) => self.learn_contents().await,
+                Some(Action::Look) => self.check_progress().await,
                 Some(action) => self.order(&action, token, &wants).await,
                 None => self.pause(&wants).await,
             }
@@ -188,8 +190,9 @@
         self.node.holder_of(&self.server).as_deref() == Some(own_id.as_str())
     }
 
-    /// Whether the server may be asked for anything: another one has its address, or it rests.
-    fn may_ask(&self, now_ms: Millis) -> bool {
+    /// Whether the server may be contacted: no other server answers at its address and it has not
+    /// asked for a pause.
+    fn may_contact(&self, now_ms: Millis) -> bool {
         !self.server.is_displaced(now_ms) && self.server.rest_until_ms(now_ms).is_none()
     }
 
@@ -209,32 +212,33 @@
 
     async fn pause(&self, wants: &[Want]) {
         let now_ms = self.node.now_ms();
-        let longest_ms = if wants.is_empty() {
-            LONGEST_PAUSE_MS
+        let max_ms = if wants.is_empty() {
+            MAX_PAUSE_MS
         } else {
-            WANTED_PAUSE_MS
+            PENDING_LOAD_PAUSE_MS
         };
-        let look_ms = self.held.contents.borrow().next_look_ms();
-        let pause_ms = look_ms.map_or(longest_ms, |look_ms| look_ms.saturating_sub(now_ms));
-        let pause = Duration::from_millis(pause_ms.clamp(1, longest_ms));
+        let next_check_ms = self.held.contents.borrow().next_look_ms();
+        let pause_ms =
+            next_check_ms.map_or(max_ms, |next_check_ms| next_check_ms.saturating_sub(now_ms));
+        let pause = Duration::from_millis(pause_ms.clamp(1, max_ms));
         let _ = tokio::time::timeout(pause, self.server.order_due.notified()).await;
     }
 
-    async fn learn(&self) {
-        let Some(report) = self.report().await else {
+    async fn learn_contents(&self) {
+        let Some(report) = self.fetch_report().await else {
             self.held.contents.borrow_mut().unlearn(self.node.now_ms());
             return;
         };
         self.log_report(&report);
-        let is_first = !self.held.contents.borrow().was_learnt();
+        let is_first_report = !self.held.contents.borrow().was_learnt();
         self.held
             .contents
             .borrow_mut()
             .note_report(&report, self.node.now_ms());
-        self.publish(if is_first {
-            Reach::Users
+        self.publish(if is_first_report {
+            Audience::Users
         } else {
-            Reach::Concerned
+            Audience::Affected
         });
     }
 
@@ -250,9 +254,9 @@
         events::emit(part::ORDERS, Level::Info, "report", &event);
     }
 
-    /// Sees by the server's report which loads and unloads are done.
-    async fn look(&self) {
-        let report = self.report().await;
+    /// Reads from the server's report which loads and unloads have finished.
+    async fn check_progress(&self) {
+        let report = self.fetch_report().await;
         let done = {
             let mut contents = self.held.contents.borrow_mut();
             contents.note_look(report.as_ref(), self.node.now_ms())
@@ -262,10 +266,10 @@
             wants.forget(key);
         }
         drop(wants);
-        self.publish(Reach::Concerned);
+        self.publish(Audience::Affected);
     }
 
-    async fn report(&self) -> Option<Report> {
+    async fn fetch_report(&self) -> Option<Report> {
         let path = self.node.dialect.report_path().to_string();
         let call = self.call(Method::GET, path, Bytes::new(), REPORT_TIMEOUT_MS);
         let asked_ms = self.node.now_ms();
@@ -278,19 +282,19 @@
         }
     }
 
-    /// Reads the answer to a question for a report, with what its head says of the server.
+    /// Decodes the answer to a report request and applies the notices in its headers.
     fn read_reply(&self, reply: &Reply, asked_ms: Millis) -> Option<Report> {
         if reply.status != 200 {
-            self.take_notice(AskedFor::Report, asked_ms, reply);
+            self.apply_notices(AskedFor::Report, asked_ms, reply);
             return None;
         }
         let report = self.read_report(&reply.body)?;
-        self.take_notice(AskedFor::Report, asked_ms, reply);
+        self.apply_notices(AskedFor::Report, asked_ms, reply);
         Some(report)
     }
 
-    fn take_notice(&self, asked_for: AskedFor<'_>, asked_ms: Millis, reply: &Reply) {
-        if self.is_of_another(reply) {
+    fn apply_notices(&self, asked_for: AskedFor<'_>, asked_ms: Millis, reply: &Reply) {
+        if self.is_from_another_server(reply) {
             return;
         }
         let head = AnswerHead {
@@ -301,12 +305,13 @@
             has_run: false,
         };
         if notices::take(&self.node, &self.server, &head) {
-            // Others ask for no load at a server that leaves or rests.
-            self.publish(Reach::Users);
+            // Other boxes stop requesting loads at a server that is leaving or paused.
+            self.publish(Audience::Users);
         }
     }
 
-    /// Reads a report; one of another incarnation says nothing of this one.
+    /// Decodes a report. Returns `None` for a report of another incarnation, which does not
+    /// describe this one.
     fn read_report(&self, body: &[u8]) -> Option<Report> {
         let report = match self.node.dialect.decode_report(body) {
             Ok(report) => report,
@@ -320,7 +325,8 @@
         {
             return Some(report);
         }
-        // The server has started again under its name, and its entry does not show it yet.
+        // The server restarted under the same id, and its entry in the store does not show that
+        // yet.
         let restarted = ServerRecord {
             born_ms: report.born_ms,
             order_count: report.order_count,
@@ -346,7 +352,7 @@
     }
 
     async fn order(&self, action: &Action, token: u64, wants: &[Want]) {
-        let Some(order) = self.order_of(action, token) else {
+        let Some(order) = self.build_order(action, token) else {
             return;
         };
         let began_ms = self.node.now_ms();
@@ -360,18 +366,21 @@
             wants.forget(adapter_key(&order.adapter));
         }
         self.log_order(&order, answer, now_ms - began_ms, wants);
-        self.publish(Reach::Concerned);
+        self.publish(Audience::Affected);
     }
 
-    /// Sends an order until it is known whether it was taken, or too often.
+    /// Sends an order until its result is known or the limit of rounds is reached.
     async fn send_until_answered(&self, action: &Action, order: &Order, token: u64) -> OrderAnswer {
         let mut answer = self.send(order).await;
         let mut unanswered = 0;
-        while answer == OrderAnswer::NoAnswer && unanswered < MOST_SENDS && self.may_order(token) {
+        while answer == OrderAnswer::NoAnswer
+            && unanswered < MAX_RESEND_ROUNDS
+            && self.may_order(token)
+        {
             unanswered += 1;
-            if unanswered == DOUBTFUL_SENDS {
-                self.held.note_doubtful(self.node.now_ms());
-                self.publish(Reach::Users);
+            if unanswered == ROUNDS_UNTIL_UNRESPONSIVE {
+                self.held.note_unresponsive(self.node.now_ms());
+                self.publish(Audience::Users);
             }
             answer = self.send_copies(order).await;
         }
@@ -379,14 +388,15 @@
         contents.settle(action, answer, unanswered, self.node.now_ms())
     }
 
-    /// Sends an order several times at once; the first answer that says what became of it.
+    /// Sends an order several times in parallel and returns the first conclusive answer.
     async fn send_copies(&self, order: &Order) -> OrderAnswer {
-        let mut copies: FuturesUnordered<_> = (0..COPIES).map(|_| self.send(order)).collect();
+        let mut copies: FuturesUnordered<_> =
+            (0..PARALLEL_SENDS).map(|_| self.send(order)).collect();
         let mut best = OrderAnswer::NoAnswer;
         while let Some(answer) = copies.next().await {
             match answer {
                 OrderAnswer::NoAnswer => {}
-                // Another copy may be the one that was taken.
+                // The conflict may be with another copy that was applied.
                 OrderAnswer::Conflict => best = answer,
                 _ => return answer,
             }
@@ -395,7 +405,7 @@
     }
 
     fn may_order(&self, token: u64) -> bool {
-        self.node.order_token(&self.server) == Some(token) && self.may_ask(self.node.now_ms())
+        self.node.order_token(&self.server) == Some(token) && self.may_contact(self.node.now_ms())
     }
 
     async fn send(&self, order: &Order) -> OrderAnswer {
@@ -405,10 +415,10 @@
         let asked_ms = self.node.now_ms();
         match self.caller.call(&call).await {
             Ok(reply) => {
-                if self.is_of_another(&reply) {
+                if self.is_from_another_server(&reply) {
                     self.note_displaced();
                 }
-                self.take_notice(AskedFor::Order, asked_ms, &reply);
+                self.apply_notices(AskedFor::Order, asked_ms, &reply);
                 match reply.status {
                     200 => OrderAnswer::Done,
                     202 => OrderAnswer::Accepted,
@@ -426,36 +436,37 @@
         }
     }
 
-    /// Whether another server answered an order that was meant for this one: it says so, or it refused
-    /// what was misdirected and another entry has the same address.
-    fn is_of_another(&self, reply: &Reply) -> bool {
+    /// Whether another server answered a request meant for this one: its id header differs, or it
+    /// rejected the request as misdirected and another entry has the same address.
+    fn is_from_another_server(&self, reply: &Reply) -> bool {
         let name = &self.node.dialect.headers().server_id;
         match text(&reply.headers, name) {
             Some(id) => id != self.server.record().id,
             None => {
                 let servers = self.node.servers.borrow();
-                reply.status == MISDIRECTED && servers.shares_address(&self.server)
+                reply.status == MISDIRECTED_REQUEST && servers.shares_address(&self.server)
             }
         }
     }
 
-    /// Another server has the address: its reports were taken for this one's.
+    /// Marks the server as displaced: another one answers at its address and its reports were
+    /// mistaken for this server's.
     fn note_displaced(&self) {
         let now_ms = self.node.now_ms();
         self.server.note_displaced(now_ms);
         self.held.note_unreachable(now_ms);
-        self.publish(Reach::Users);
+        self.publish(Audience::Users);
     }
 
-    /// Has all that use the server told that it takes no connection.
+    /// Tells all users of the server that it accepts no connections.
     fn note_unreachable(&self, error: CallError) {
         if error == CallError::NotConnected {
             self.held.note_unreachable(self.node.now_ms());
-            self.publish(Reach::Users);
+            self.publish(Audience::Users);
         }
     }
 
-    fn order_of(&self, action: &Action, token: u64) -> Option<Order> {
+    fn build_order(&self, action: &Action, token: u64) -> Option<Order> {
         let (action, adapter, expected_count) = match action {
             Action::Learn | Action::Look => return None,
             Action::Load {
@@ -527,24 +538,24 @@
         events::emit(part::ORDERS, Level::Info, "order", &event);
     }
 
-    /// Tells this box and others what the server holds now.
+    /// Updates this box's view of the server and tells other boxes.
     ///
-    /// An order only looks whether a load is done most of the time, and few boxes wait for what it
-    /// changes. Telling each change to all users of a server took 80 to 200 KB/s at the holder of
-    /// one server with 195 boxes, counted by kind of message on a day of trouble.
-    fn publish(&self, reach: Reach) {
+    /// Most of the time an order only checks whether a load has finished, and few boxes wait for
+    /// the result. Telling all users of a server about each change took 80 to 200 KB/s at the
+    /// holder of one server with 195 boxes during failures.
+    fn publish(&self, audience: Audience) {
         let Some(status) = self.own_status() else {
             return;
         };
         let now_ms = self.node.now_ms();
         let change = self.server.view.borrow_mut().note(status, now_ms);
         self.node.waiters.wake(&change.ready);
-        if change.has_lost || reach == Reach::Users {
+        if change.has_lost || audience == Audience::Users {
             self.server.status_came.notify_waiters();
         }
-        let boxes = match reach {
-            Reach::Concerned => self.held.concerned_boxes(&change, now_ms),
-            Reach::Users => self.held.user_boxes(now_ms),
+        let boxes = match audience {
+            Audience::Affected => self.held.affected_boxes(&change, now_ms),
+            Audience::Users => self.held.user_boxes(now_ms),
         };
         for box_id in boxes {
             self.node.outbox.tell_box(self.server.key, &box_id);
--- a/crates/tinbay-gateway/src/orders/membership.rs
+++ b/crates/tinbay-gateway/src/orders/membership.rs
@@ -1,4 +1,4 @@
-//! Keeps this box's leased entry in the store, and with it the proof that it may order.
+//! Maintains this box's leased entry in the store, which proves that it may send orders.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -15,29 +15,29 @@
 use crate::watch::boxes::{CLAIM_PREFIX, MEMBER_PREFIX, PREFIX as BOXES_PREFIX};
 use crate::watch::{counted, sleep_with_jitter};
 
-/// Life of the lease of the box's entry.
-const LEASE_LIFE_MS: Millis = 8_000;
+/// TTL of the lease on this box's entry.
+const LEASE_TTL_MS: Millis = 8_000;
 
-/// Pause between proofs; several fit into the life of one.
-const PROOF_PAUSE_MS: Millis = 3_000;
+/// Interval between renewals; several fit into the validity of one proof.
+const RENEWAL_INTERVAL_MS: Millis = 3_000;
 
-/// Time for which a watch may hear nothing of changes that are made: the store may drop its
-/// history then, and cut the watch a second later.
-const WATCH_BLIND_MS: Millis = 1_500;
+/// Longest time by which a watch may lag behind the store. The store may drop its history in that
+/// time and close the watch a second later.
+const MAX_WATCH_LAG_MS: Millis = 1_500;
 
-/// Age up to which what is seen of the store serves as proof; beyond it the store is read.
-const MOST_EVIDENCE_AGE_MS: Millis = 6_000;
+/// Oldest watch confirmation that renews the proof; beyond it the store is read.
+const MAX_WATCH_PROOF_AGE_MS: Millis = 6_000;
 
-/// First pause after a failed call.
+/// First wait after a failed call.
 const RETRY_PAUSE_MS: Millis = 300;
 
-/// Longest pause after failed calls. A box that is told what others see of the store is woken as
-/// soon as one of them sees it again; with 195 boxes and the store away for 14 s, a pause of
-/// 300 ms for all of them made some 9,000 calls in vain.
-const LONGEST_RETRY_PAUSE_MS: Millis = 2_400;
+/// Upper bound of the exponential backoff. A box that gets the store's contents relayed by other
+/// boxes wakes as soon as one of them reaches the store again. With 195 boxes and the store
+/// unreachable for 14 s, a fixed wait of 300 ms made some 9,000 failing calls.
+const MAX_RETRY_PAUSE_MS: Millis = 2_400;
 
-/// Time over which boxes that are woken together come back to the store.
-const RETURN_SPREAD_MS: Millis = 300;
+/// Jitter that spreads the calls of boxes woken together when the store is reachable again.
+const RECONNECT_JITTER_MS: Millis = 300;
 
 #[derive(Serialize)]
 struct ProofEvent {
@@ -45,7 +45,7 @@
     error: Option<String>,
 }
 
-/// The box's entry as it last wrote it.
+/// This box's entry in the store as last written.
 #[derive(Debug, Default)]
 struct Entry {
     lease: Option<Lease>,
@@ -54,7 +54,7 @@
     written_at: Position,
 }
 
-/// Keeps the entry until the box stops.
+/// Maintains the entry until the box stops.
 pub async fn keep(node: Rc<Node>) {
     let mut entry = Entry::default();
     let mut retry_ms = RETRY_PAUSE_MS;
@@ -62,10 +62,10 @@
         let result = renew(&node, &mut entry).await;
         let pause_ms = if result.is_ok() {
             retry_ms = RETRY_PAUSE_MS;
-            PROOF_PAUSE_MS
+            RENEWAL_INTERVAL_MS
         } else {
             let pause_ms = retry_ms;
-            retry_ms = (retry_ms * 2).min(LONGEST_RETRY_PAUSE_MS);
+            retry_ms = (retry_ms * 2).min(MAX_RETRY_PAUSE_MS);
             pause_ms
         };
         let held = node.proof.get().holds(&node.claim_terms(), node.now_ms());
@@ -75,13 +75,13 @@
             };
             events::emit(part::ORDERS, Level::Warn, "no_proof", &event);
         }
-        rest(&node, &entry, pause_ms, result.is_err()).await;
+        wait_for_renewal(&node, &entry, pause_ms, result.is_err()).await;
     }
 }
 
-/// Waits until the entry is to be renewed. What the watch sees meanwhile renews the proof, which
-/// costs no call: a proof that is as new as the watch outlasts longer outages of the store.
-async fn rest(node: &Node, entry: &Entry, pause_ms: Millis, has_failed: bool) {
+/// Waits for the next renewal. Watch confirmations renew the proof in the meantime at no cost in
+/// calls, and a proof as fresh as the watch lasts longer when the store fails.
+async fn wait_for_renewal(node: &Node, entry: &Entry, pause_ms: Millis, has_failed: bool) {
     let began_ms = node.now_ms();
     let mut pause = std::pin::pin!(sleep_with_jitter(pause_ms));
     loop {
@@ -93,8 +93,8 @@
         prove_by_watch(node, entry);
         let seen_ms = node.replica.confirmed_ms(BOXES_PREFIX);
         if has_failed && seen_ms.is_some_and(|seen_ms| seen_ms > began_ms) {
-            let spread_ms = rand::rng().random_range(0..RETURN_SPREAD_MS);
-            tokio::time::sleep(Duration::from_millis(spread_ms)).await;
+            let jitter_ms = rand::rng().random_range(0..RECONNECT_JITTER_MS);
+            tokio::time::sleep(Duration::from_millis(jitter_ms)).await;
             return;
         }
     }
@@ -105,7 +105,7 @@
         .lease
         .is_some_and(|lease| !node.store.is_present(lease.era))
     {
-        // The store came back without it.
+        // The store returned in a new era without this lease.
         *entry = Entry::default();
     }
     let lease = match entry.lease {
@@ -127,8 +127,8 @@
 
 async fn grant(node: &Node, entry: &mut Entry) -> StoreResult<Lease> {
     let shortest_ms = node.settings.borrow().bounds.shortest_lease_ms;
-    let life_ms = LEASE_LIFE_MS.max(shortest_ms);
-    let lease = counted(node, "grant", node.store.grant(life_ms).await)?;
+    let ttl_ms = LEASE_TTL_MS.max(shortest_ms);
+    let lease = counted(node, "grant", node.store.grant(ttl_ms).await)?;
     entry.lease = Some(lease);
     entry.is_written = false;
     Ok(lease)
@@ -156,7 +156,7 @@
     }
 }
 
-/// Shows that the own entry still stands: a renewed lease does not show that its keys do.
+/// Proves that this box's entry still exists: a renewed lease doesn't show that its keys do.
 async fn prove(node: &Node, entry: &mut Entry) -> StoreResult<()> {
     if prove_by_watch(node, entry) {
         return Ok(());
@@ -164,9 +164,9 @@
     read_back(node, entry).await
 }
 
-/// Renews the proof by what is watched; whether that shows the own entry.
+/// Renews the proof from the watch; returns whether the watch shows this box's entry.
 fn prove_by_watch(node: &Node, entry: &Entry) -> bool {
-    let Some(seen_ms) = seen_in_store(node, entry) else {
+    let Some(seen_ms) = entry_seen_ms(node, entry) else {
         return false;
     };
     set_proof(node, seen_ms);
@@ -174,7 +174,8 @@
 }
 
 fn set_proof(node: &Node, seen_ms: Millis) {
-    // What was held before a return is held by the proof of then.
+    // Claims held before the store returned count by the proof of that time, so the era is updated
+    // before the proof.
     node.sync_era();
     let mut proof = node.proof.get();
     if !proof.holds(&node.claim_terms(), node.now_ms()) {
@@ -185,17 +186,17 @@
     node.proof.set(proof);
 }
 
-/// When the own entry certainly stood, by what is watched. The claims are watched together with
-/// the entries, so that none of them has gone to others by then unseen.
-fn seen_in_store(node: &Node, entry: &Entry) -> Option<Millis> {
+/// Latest time at which the watch shows that this box's entry existed. Claims are watched together
+/// with the entries, so no claim can have moved to another box unseen by then.
+fn entry_seen_ms(node: &Node, entry: &Entry) -> Option<Millis> {
     let confirmed_ms = node.replica.confirmed_ms(BOXES_PREFIX)?;
     let item = node.replica.item(BOXES_PREFIX, &own_key(node))?;
-    let seen_ms = confirmed_ms.saturating_sub(WATCH_BLIND_MS);
-    let is_recent = node.now_ms() < seen_ms + MOST_EVIDENCE_AGE_MS;
+    let seen_ms = confirmed_ms.saturating_sub(MAX_WATCH_LAG_MS);
+    let is_recent = node.now_ms() < seen_ms + MAX_WATCH_PROOF_AGE_MS;
     (is_recent && item.position.covers(entry.written_at)).then_some(seen_ms)
 }
 
-/// Reads the own entry back from the store.
+/// Reads this box's entry from the store.
 async fn read_back(node: &Node, entry: &mut Entry) -> StoreResult<()> {
     let asked_ms = node.now_ms();
     let item = counted(node, "read", node.store.read(&own_key(node)).await)?;
@@ -210,7 +211,7 @@
     Ok(())
 }
 
-/// Reads all claims: some may have gone to others while there was no proof.
+/// Reads all claims, as some may have moved to other boxes while there was no proof.
 async fn read_claims(node: &Node) -> StoreResult<()> {
     let listing = counted(node, "list", node.store.list(CLAIM_PREFIX, false).await)?;
     for item in &listing.items {
@@ -225,7 +226,7 @@
     format!("{MEMBER_PREFIX}{}", node.settings.borrow().box_id)
 }
 
-/// Marks all own claims released; no order may be given after this begins.
+/// Marks all of this box's claims as released. No order may be sent once this has begun.
 pub async fn release_claims(node: &Node) {
     let own_id = node.settings.borrow().box_id.clone();
     let held: Vec<(String, Position)> = {
@@ -237,7 +238,7 @@
             .collect()
     };
     for chunk in held.chunks(MOST_ENTRIES) {
-        let transaction = super::claiming::release(&own_id, chunk);
+        let transaction = super::claiming::release_transaction(&own_id, chunk);
         let committing = node.store.commit(&transaction);
         let result = tokio::time::timeout(RELEASE_TIMEOUT, committing).await;
         if let Ok(result) = result {
@@ -246,5 +247,5 @@
     }
 }
 
-/// Longest time for the release at a planned stop.
+/// Time-out of each release transaction at a planned stop.
 const RELEASE_TIMEOUT: Duration = Duration::from_millis(800);
--- a/crates/tinbay-gateway/src/orders/mod.rs
+++ b/crates/tinbay-gateway/src/orders/mod.rs
@@ -1,4 +1,4 @@
-//! Claims on servers, and orders to them.
+//! Claims on servers, and the load and unload orders sent to them.
 
 pub mod claiming;
 pub mod era_mark;
--- a/crates/tinbay-gateway/src/orders/quota.rs
+++ b/crates/tinbay-gateway/src/orders/quota.rs
@@ -1,4 +1,4 @@
-//! This box's part of what the weight store allows.
+//! Divides the weight store's load rate among the boxes.
 
 use std::collections::BTreeMap;
 
@@ -6,8 +6,9 @@
 
 use crate::node::Node;
 
-/// Loads this box may begin within a window: by the engines it holds among those whose
-/// holders can order. None for a service without engines.
+/// Loads this box may begin within a window: its share of the service's allowance, in proportion to
+/// the engines it holds among those whose holders can send orders. `None` for a service without
+/// engines.
 pub fn of_service(node: &Node, service: &str) -> Option<usize> {
     let loads_per_s = node.loads_per_s(service)?;
     let servers = node.servers.borrow();
--- a/crates/tinbay-gateway/src/peers/exchange.rs
+++ b/crates/tinbay-gateway/src/peers/exchange.rs
@@ -81,7 +81,7 @@
 
 /// Tells what ended at servers with too little room, and lets requests in there; whether there is any.
 fn look_at_scarce(node: &Node) -> bool {
-    if !holder::shares_room(node) {
+    if !holder::has_accounts(node) {
         return false;
     }
     let now_ms = node.now_ms();
@@ -95,7 +95,7 @@
             node.outbox.tell_uses(server.key);
         }
     }
-    holder::tick(node);
+    holder::decide_all(node);
     !scarce.is_empty()
 }
 
@@ -222,7 +222,7 @@
     if let Some(held) = node.held_server(server.key) {
         let own_id = node.settings.borrow().box_id.clone();
         held.note_usage(node, &server, &own_id, report);
-        holder::settle(node, &server, &held);
+        holder::decide_waiting(node, &server, &held);
         return None;
     }
     let part = UsagePart {
--- a/crates/tinbay-gateway/src/peers/frame.rs
+++ b/crates/tinbay-gateway/src/peers/frame.rs
@@ -11,7 +11,7 @@
 use crate::limits::limited::LimitKey;
 use crate::limits::notices::LimitNoticePart;
 use crate::members::MemberRecord;
-use crate::sharing::messages::{RoomRequestPart, RoomWordPart};
+use crate::sharing::messages::{RoomReplyPart, RoomRequestPart};
 
 /// Longest datagram: what fits into one packet of any usual link.
 pub const MOST_BYTES: usize = 1_300;
@@ -65,7 +65,7 @@
     /// A request that asks for room at a server that the receiver holds.
     RoomRequest(RoomRequestPart),
     /// What becomes of a request that asked for room.
-    RoomWord(RoomWordPart),
+    RoomReply(RoomReplyPart),
 }
 
 impl FramePart {
@@ -88,7 +88,7 @@
             FramePart::Usage(_) => "usage",
             FramePart::Status(_) => "status",
             FramePart::RoomRequest(_) => "room_request",
-            FramePart::RoomWord(_) => "room_word",
+            FramePart::RoomReply(_) => "room_word",
         }
     }
 }
@@ -132,11 +132,11 @@
     /// Units that the box would use soon besides.
     pub ahead: u32,
     /// Boxes that said of themselves that they can't keep the limit.
-    pub without: Vec<Fingerprint>,
+    pub excluded: Vec<Fingerprint>,
     /// What the sender knows of a server's limit.
     pub notice: Option<LimitNoticePart>,
     /// The try for which units are needed, where that matters for who gets them.
-    pub of: Option<CallerTryPart>,
+    pub caller_try: Option<CallerTryPart>,
 }
 
 /// One try of a caller.
--- a/crates/tinbay-gateway/src/peers/inbox.rs
+++ b/crates/tinbay-gateway/src/peers/inbox.rs
@@ -98,8 +98,8 @@
             FramePart::ZonesHeard(zones) => take_zones_heard(node, &zones, now_ms),
             FramePart::CrashReport(part) => spread::take_report(node, &part),
             FramePart::Refused(parts) => spread::take_refused(node, &parts),
-            FramePart::LimitRequest(part) => limits::take_request(node, &frame.box_id, &part),
-            FramePart::LimitGrant(part) => limits::take_grant(node, &part),
+            FramePart::LimitRequest(part) => limits::handle_request(node, &frame.box_id, &part),
+            FramePart::LimitGrant(part) => limits::handle_grant(node, &part),
             FramePart::ServerLimit(part) => {
                 notices::take(node, LimitKey::Server(part.server), Some(&part.notice));
             }
@@ -108,8 +108,8 @@
                 take_status_request(node, &frame.box_id, server, now_ms)
             }
             FramePart::Contradiction(server) => take_contradiction(node, server),
-            FramePart::RoomRequest(part) => holder::take_request(node, &frame.box_id, &part),
-            FramePart::RoomWord(part) => node.sharing.take_word(part),
+            FramePart::RoomRequest(part) => holder::handle_request(node, &frame.box_id, &part),
+            FramePart::RoomReply(part) => node.sharing.take_reply(part),
             FramePart::Usage(uses) => {
                 if advance(seen.uses.entry(uses.server).or_default(), frame.sequence) {
                     take_uses(node, &frame.box_id, uses);
@@ -219,7 +219,7 @@
         delay: part.delay_percent.map(from_percent),
     };
     held.note_usage(node, &server, box_id, report);
-    holder::settle(node, &server, &held);
+    holder::decide_waiting(node, &server, &held);
     if held.has_wants() {
         server.order_due.notify_one();
     }
--- a/crates/tinbay-gateway/src/servers/notices.rs
+++ b/crates/tinbay-gateway/src/servers/notices.rs
@@ -100,7 +100,7 @@
     let limit_before = server.take_limit_news();
     if let Some(before_per_s) = limit_before {
         tell_limit(node, server, head, before_per_s);
-        limit_notices::tell(node, server);
+        limit_notices::notify_home_and_holder(node, server);
     }
     let turns_away = notice.is_leaving || notice.rest_ms.is_some();
     if turns_away {
--- a/crates/tinbay-gateway/src/sharing/asking.rs
+++ b/crates/tinbay-gateway/src/sharing/asking.rs
@@ -1,4 +1,5 @@
-//! Asks the holder of a server for room, and goes by the box's own part where none answers.
+//! Requests capacity at a scarce server from its holder, with a fallback for holders that don't
+//! answer.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -7,60 +8,60 @@
 use tinbay_core::units::Millis;
 
 use super::links::{RoomHolder, RoomLinks};
-use super::messages::{RoomRequestPart, RoomWord};
+use super::messages::{RoomReply, RoomRequestPart};
 use super::taken::RoomOutcome;
 use crate::servers::Server;
 
-/// Pause after which a holder is asked again, as messages may be lost; it also tells that the request still
-/// waits.
-const ASK_AGAIN: Duration = Duration::from_millis(100);
+/// Interval between repeated requests, as messages may be lost. A repeated request also shows the
+/// holder that the caller is still waiting.
+const RESEND_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Times that a holder is asked without a word before it counts as silent.
-const MOST_ASKS: u32 = 2;
+/// Consecutive requests without a reply after which a holder counts as silent.
+const MAX_UNANSWERED_SENDS: u32 = 2;
 
-/// Times that a holder is asked beyond those until the request can't be in time: by then it has decided, or it
-/// never will.
-const MOST_ASKS_BEYOND: u32 = 3;
+/// Further requests after the caller's time limit. A holder that has not decided by then never
+/// will.
+const MAX_LATE_SENDS: u32 = 3;
 
-/// How long a silent holder is not asked.
-const SILENT_LIFE_MS: Millis = 1_000;
+/// Time for which a silent holder is not asked again.
+const SILENT_HOLDER_PAUSE_MS: Millis = 1_000;
 
-/// Requests that a box may have running at a scarce server whose holder is silent: as many boxes know of
-/// that server, they still give it no more than a few.
-const OWN_PART: usize = 1;
+/// Requests that a box may have running at a scarce server whose holder is silent. It is small
+/// because many boxes share the server, and together they should give it only a few requests.
+const MAX_RUNNING_WITHOUT_HOLDER: usize = 1;
 
-/// When a caller comes back that finds no holder: by then there is another one, or the server is used as
-/// before.
-const NO_ANSWER_AWAY_MS: Millis = 1_000;
+/// Retry delay for callers rejected while the holder is silent. By then another box holds the
+/// server or the server is no longer scarce.
+const NO_ANSWER_RETRY_AFTER_MS: Millis = 1_000;
 
-/// What a request asks for.
+/// Request for capacity at a server.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RoomWish {
-    /// Its client account, by its name.
+    /// Fingerprint of the client account's name.
     pub account: Fingerprint,
-    /// Its rank, 0 first.
+    /// Priority rank; 0 is served first.
     pub rank: u8,
-    /// Tokens it has the server read and make.
+    /// Prompt and output tokens that the request costs.
     pub units: u32,
-    /// Time in which the server reads its prompt.
+    /// Time the server needs to process the prompt.
     pub reading_ms: Millis,
-    /// Time within which it must begin to be in time.
+    /// Time within which the request must start in order to meet its objective.
     pub in_time_ms: Millis,
-    /// Tells it from others; the same when it comes back.
+    /// Identifies the request; a retry has the same value.
     pub digest: u64,
 }
 
-/// What became of a question for room.
+/// Result of a request for capacity.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct RoomAnswered {
-    /// What let the request in, or turned it away.
+pub struct RoomResult {
+    /// Whether and by whom the request was admitted.
     pub outcome: RoomOutcome,
-    /// Where it is turned away: when to come back.
+    /// Retry delay for a rejected request; `None` for an admitted one.
     pub turn_in_ms: Option<Millis>,
 }
 
-impl RoomAnswered {
-    fn let_in(outcome: RoomOutcome) -> Self {
+impl RoomResult {
+    fn admitted(outcome: RoomOutcome) -> Self {
         let turn_in_ms = None;
         Self {
             outcome,
@@ -68,7 +69,7 @@
         }
     }
 
-    fn turned_away(outcome: RoomOutcome, turn_in_ms: Millis) -> Self {
+    fn rejected(outcome: RoomOutcome, turn_in_ms: Millis) -> Self {
         let turn_in_ms = Some(turn_in_ms);
         Self {
             outcome,
@@ -77,76 +78,80 @@
     }
 }
 
-/// Asks for room at a server; nothing where it has plenty.
+/// Requests capacity at a server. Returns `None` where none has to be requested.
 pub async fn ask(
     links: &dyn RoomLinks,
     server: &Rc<Server>,
-    wish: RoomWish,
-) -> Option<RoomAnswered> {
+    request: RoomWish,
+) -> Option<RoomResult> {
     if !links.is_scarce(server) {
         return None;
     }
     let holder = links.room_holder(server)?;
     if is_silent(links, &holder) {
-        return Some(take_own_part(server));
+        return Some(admit_without_holder(server));
     }
     let (number, receiver) = links.sharing().begin();
-    let part = question(server, number, wish);
-    let word = repeat_question(links, &holder, server, part, receiver).await;
+    let part = build_request(server, number, request);
+    let reply = request_until_decided(links, &holder, server, part, receiver).await;
     links.sharing().end(number);
-    let answered = match word {
-        Some(RoomWord::LetIn) => RoomAnswered::let_in(RoomOutcome::Holder),
-        Some(RoomWord::TurnedAway { turn_in_ms }) => {
-            RoomAnswered::turned_away(RoomOutcome::TurnedAway, Millis::from(turn_in_ms))
+    let result = match reply {
+        Some(RoomReply::Admitted) => RoomResult::admitted(RoomOutcome::Holder),
+        Some(RoomReply::Rejected { turn_in_ms }) => {
+            RoomResult::rejected(RoomOutcome::Rejected, Millis::from(turn_in_ms))
         }
-        Some(RoomWord::NotHeld | RoomWord::Waits) | None => {
+        Some(RoomReply::NotHolder | RoomReply::Queued) | None => {
             note_silent(links, &holder);
-            take_own_part(server)
+            admit_without_holder(server)
         }
     };
-    Some(answered)
+    Some(result)
 }
 
-fn question(server: &Server, number: u32, wish: RoomWish) -> RoomRequestPart {
+fn build_request(server: &Server, number: u32, request: RoomWish) -> RoomRequestPart {
     RoomRequestPart {
         server: server.fingerprint(),
         number,
-        account: wish.account,
-        rank: wish.rank,
-        units: wish.units,
-        reading_ms: u16::try_from(wish.reading_ms).unwrap_or(u16::MAX),
-        in_time_ms: u16::try_from(wish.in_time_ms).unwrap_or(u16::MAX),
-        digest: wish.digest,
+        account: request.account,
+        rank: request.rank,
+        units: request.units,
+        reading_ms: u16::try_from(request.reading_ms).unwrap_or(u16::MAX),
+        in_time_ms: u16::try_from(request.in_time_ms).unwrap_or(u16::MAX),
+        digest: request.digest,
     }
 }
 
-/// Asks until the holder decides; nothing where it does not answer.
-async fn repeat_question(
+/// Repeats the request until the holder decides; `None` if it doesn't answer.
+async fn request_until_decided(
     links: &dyn RoomLinks,
     holder: &RoomHolder,
     server: &Rc<Server>,
     part: RoomRequestPart,
-    mut receiver: tokio::sync::oneshot::Receiver<RoomWord>,
-) -> Option<RoomWord> {
-    let mut unheard = 0;
-    for _ in 0..most_asks(part) {
-        if unheard >= MOST_ASKS {
+    mut receiver: tokio::sync::oneshot::Receiver<RoomReply>,
+) -> Option<RoomReply> {
+    let mut unacknowledged = 0;
+    for _ in 0..max_sends(part) {
+        if unacknowledged >= MAX_UNANSWERED_SENDS {
             break;
         }
         links.ask(holder, server, part);
-        if let Ok(word) = tokio::time::timeout(ASK_AGAIN, &mut receiver).await {
-            return word.ok();
+        if let Ok(reply) = tokio::time::timeout(RESEND_INTERVAL, &mut receiver).await {
+            return reply.ok();
         }
-        let is_heard = links.sharing().take_heard(part.number);
-        unheard = if is_heard { 0 } else { unheard + 1 };
+        let is_acknowledged = links.sharing().take_acknowledged(part.number);
+        unacknowledged = if is_acknowledged {
+            0
+        } else {
+            unacknowledged + 1
+        };
     }
     None
 }
 
-fn most_asks(part: RoomRequestPart) -> u32 {
+fn max_sends(part: RoomRequestPart) -> u32 {
     let in_time = Duration::from_millis(u64::from(part.in_time_ms));
-    let until_late = in_time.as_millis() / ASK_AGAIN.as_millis();
-    until_late as u32 + MOST_ASKS_BEYOND
+    let sends_in_time = in_time.as_millis() / RESEND_INTERVAL.as_millis();
+    sends_in_time as u32 + MAX_LATE_SENDS
 }
 
 fn is_silent(links: &dyn RoomLinks, holder: &RoomHolder) -> bool {
@@ -158,15 +163,15 @@
 
 fn note_silent(links: &dyn RoomLinks, holder: &RoomHolder) {
     if let RoomHolder::Other(holder) = holder {
-        let until_ms = links.now_ms() + SILENT_LIFE_MS;
+        let until_ms = links.now_ms() + SILENT_HOLDER_PAUSE_MS;
         links.sharing().note_silent(holder, until_ms);
     }
 }
 
-/// Without a holder each box gives a scarce server a request at a time.
-fn take_own_part(server: &Server) -> RoomAnswered {
-    if server.usage.borrow().running() < OWN_PART {
-        return RoomAnswered::let_in(RoomOutcome::OwnPart);
+/// Admits one request at a time per box while a scarce server has no holder that answers.
+fn admit_without_holder(server: &Server) -> RoomResult {
+    if server.usage.borrow().running() < MAX_RUNNING_WITHOUT_HOLDER {
+        return RoomResult::admitted(RoomOutcome::OwnPart);
     }
-    RoomAnswered::turned_away(RoomOutcome::NoAnswer, NO_ANSWER_AWAY_MS)
+    RoomResult::rejected(RoomOutcome::NoAnswer, NO_ANSWER_RETRY_AFTER_MS)
 }
--- a/crates/tinbay-gateway/src/sharing/holder.rs
+++ b/crates/tinbay-gateway/src/sharing/holder.rs
@@ -1,4 +1,4 @@
-//! Deals the room of the servers that this box holds.
+//! Allocates the capacity of the scarce servers that this box holds.
 
 use std::rc::Rc;
 
@@ -9,7 +9,7 @@
 use tinbay_core::sharing::scarcity::Fullness;
 use tinbay_core::units::Millis;
 
-use super::messages::{RoomRequestPart, RoomWord, RoomWordPart};
+use super::messages::{RoomReply, RoomReplyPart, RoomRequestPart};
 use crate::events::{self, part};
 use crate::members::box_fingerprint;
 use crate::node::{InForce, Node};
@@ -17,8 +17,8 @@
 use crate::peers::frame::FramePart;
 use crate::servers::Server;
 
-/// Objective of a service that no route names.
-const USUAL_OBJECTIVE_MS: Millis = 1_000;
+/// Default objective for a service without a route.
+const DEFAULT_OBJECTIVE_MS: Millis = 1_000;
 
 #[derive(Serialize)]
 struct ScarcityEvent<'a> {
@@ -29,46 +29,47 @@
     backlog_ms: f64,
 }
 
-/// Takes a request of another box that asks for room.
-pub fn take_request(node: &Node, box_id: &str, part: &RoomRequestPart) {
+/// Handles a request for capacity from another box.
+pub fn handle_request(node: &Node, box_id: &str, part: &RoomRequestPart) {
     let server = node.servers.borrow().by_fingerprint(part.server);
     let held = server
         .as_ref()
         .and_then(|server| node.held_server(server.key));
     let (Some(server), Some(held)) = (server, held) else {
-        let word = RoomWord::NotHeld;
-        return tell(node, box_id, part.number, word);
+        let reply = RoomReply::NotHolder;
+        return send_reply(node, box_id, part.number, reply);
     };
     let ask = part.to_ask(box_fingerprint(box_id));
     held.room.borrow_mut().ask(ask, node.now_ms());
-    settle(node, &server, &held);
+    decide_waiting(node, &server, &held);
     if held.room.borrow().is_waiting(ask.id) {
-        tell(node, box_id, part.number, RoomWord::Waits);
+        send_reply(node, box_id, part.number, RoomReply::Queued);
     }
 }
 
-/// Takes a request of this box.
-pub fn take_own_request(node: &Node, server: &Rc<Server>, part: RoomRequestPart) {
+/// Handles a request for capacity from this box.
+pub fn handle_own_request(node: &Node, server: &Rc<Server>, part: RoomRequestPart) {
     let number = part.number;
     let Some(held) = node.held_server(server.key) else {
-        let word = RoomWord::NotHeld;
-        return node.sharing.take_word(RoomWordPart { number, word });
+        let reply = RoomReply::NotHolder;
+        return node.sharing.take_reply(RoomReplyPart { number, reply });
     };
-    let word = RoomWord::Waits;
-    node.sharing.take_word(RoomWordPart { number, word });
+    let reply = RoomReply::Queued;
+    node.sharing.take_reply(RoomReplyPart { number, reply });
     let ask = part.to_ask(own_key(node));
     held.room.borrow_mut().ask(ask, node.now_ms());
-    settle(node, server, &held);
+    decide_waiting(node, server, &held);
 }
 
-/// Whether there are client accounts to share room among.
-pub fn shares_room(node: &Node) -> bool {
+/// Whether client accounts exist that have to share capacity.
+pub fn has_accounts(node: &Node) -> bool {
     let in_force = node.in_force();
     in_force.is_some_and(|in_force| !in_force.configuration.accounts.is_empty())
 }
 
-/// Lets in and turns away who can be decided on now. Without client accounts there is nothing to share.
-pub fn settle(node: &Node, server: &Rc<Server>, held: &HeldServer) {
+/// Admits or rejects the waiting requests that can be decided now. Without client accounts there is
+/// nothing to share.
+pub fn decide_waiting(node: &Node, server: &Rc<Server>, held: &HeldServer) {
     let Some(in_force) = node.in_force() else {
         return;
     };
@@ -84,15 +85,15 @@
         room.decide(fullness, &in_force.weights, now_ms)
     };
     for decision in decisions {
-        answer(node, decision);
+        send_decision(node, decision);
     }
     if held.room.borrow().is_scarce() != was_scarce {
         log_change(server, fullness, !was_scarce);
     }
 }
 
-/// Looks at all servers that this box holds.
-pub fn tick(node: &Node) {
+/// Decides on waiting requests at all scarce servers that this box holds.
+pub fn decide_all(node: &Node) {
     let held: Vec<_> = {
         let held = node.held_servers.borrow();
         held.iter()
@@ -102,12 +103,12 @@
     for (key, held) in held {
         let server = node.servers.borrow().by_key(key);
         if let Some(server) = server.filter(|_| held.room.borrow().is_scarce()) {
-            settle(node, &server, &held);
+            decide_waiting(node, &server, &held);
         }
     }
 }
 
-/// Servers of this box that have too little room, and requests that wait for them.
+/// Number of scarce servers that this box holds, and number of requests waiting for them.
 pub fn counts(node: &Node) -> (usize, usize) {
     let held_servers = node.held_servers.borrow();
     let rooms = || held_servers.values().map(|held| held.room.borrow());
@@ -123,28 +124,28 @@
         running: held.running(now_ms),
         slots: record.slots,
         backlog_ms: held.backlog_ms(now_ms),
-        objective_ms: objective_ms.unwrap_or(USUAL_OBJECTIVE_MS),
+        objective_ms: objective_ms.unwrap_or(DEFAULT_OBJECTIVE_MS),
     }
 }
 
-fn answer(node: &Node, decision: Decision) {
-    let word = RoomWord::from(decision.answer);
+fn send_decision(node: &Node, decision: Decision) {
+    let reply = RoomReply::from(decision.answer);
     let number = decision.id.number;
     if decision.id.box_key == own_key(node) {
-        return node.sharing.take_word(RoomWordPart { number, word });
+        return node.sharing.take_reply(RoomReplyPart { number, reply });
     }
     let members = node.members.borrow();
     let box_id = members.id_of(decision.id.box_key).cloned();
     drop(members);
-    // A box that is not known any more asks again once it is.
+    // A box that is no longer known repeats its request once it is known again.
     if let Some(box_id) = box_id {
-        tell(node, &box_id, number, word);
+        send_reply(node, &box_id, number, reply);
     }
 }
 
-fn tell(node: &Node, box_id: &str, number: u32, word: RoomWord) {
-    let part = RoomWordPart { number, word };
-    node.outbox.post(box_id, FramePart::RoomWord(part));
+fn send_reply(node: &Node, box_id: &str, number: u32, reply: RoomReply) {
+    let part = RoomReplyPart { number, reply };
+    node.outbox.post(box_id, FramePart::RoomReply(part));
 }
 
 fn own_key(node: &Node) -> Fingerprint {
--- a/crates/tinbay-gateway/src/sharing/links.rs
+++ b/crates/tinbay-gateway/src/sharing/links.rs
@@ -1,4 +1,4 @@
-//! What asking for room needs of a box.
+//! Connects requests for capacity with the box they are made on.
 
 use std::rc::Rc;
 
@@ -11,31 +11,32 @@
 use crate::servers::Server;
 use crate::sharing::holder;
 
-/// The box that deals a server's room.
+/// Box that allocates a server's capacity.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RoomHolder {
     /// This box.
     Own,
-    /// Another one.
+    /// Another box, by its id.
     Other(String),
 }
 
-/// What asking for room needs of a box.
+/// What a request for capacity needs from its box.
 pub trait RoomLinks {
-    /// Milliseconds on the clock by which ages are told.
+    /// Milliseconds on the monotonic clock of this process.
     fn now_ms(&self) -> Millis;
 
-    /// Requests of this box that ask for room.
+    /// State of this box's pending requests for capacity.
     fn sharing(&self) -> &Sharing;
 
-    /// Whether requests have to ask for room at a server: its holder told so lately, or all its places are
-    /// taken by what this box knows, as a surge begins faster than holders tell.
+    /// Whether requests need the holder's admission at a server: the holder reported it as scarce
+    /// recently, or all its slots are taken as far as this box knows. The latter covers a surge,
+    /// which begins faster than holders report.
     fn is_scarce(&self, server: &Server) -> bool;
 
-    /// The box that deals a server's room; none where nobody does.
+    /// Box that allocates a server's capacity; `None` if no box holds the server.
     fn room_holder(&self, server: &Server) -> Option<RoomHolder>;
 
-    /// Asks for room; the word comes to [`Sharing::take_word`].
+    /// Sends a request for capacity. The reply is delivered through [`Sharing::take_reply`].
     fn ask(&self, holder: &RoomHolder, server: &Rc<Server>, part: RoomRequestPart);
 }
 
@@ -50,11 +51,11 @@
 
     fn is_scarce(&self, server: &Server) -> bool {
         let now_ms = self.now_ms();
-        let is_told = match self.held_server(server.key) {
+        let is_reported = match self.held_server(server.key) {
             Some(held) => held.room.borrow().is_scarce(),
             None => server.view.borrow().is_scarce(now_ms),
         };
-        is_told || server.running(now_ms) >= server.record().slots.max(1)
+        is_reported || server.running(now_ms) >= server.record().slots.max(1)
     }
 
     fn room_holder(&self, server: &Server) -> Option<RoomHolder> {
@@ -66,7 +67,7 @@
 
     fn ask(&self, room_holder: &RoomHolder, server: &Rc<Server>, part: RoomRequestPart) {
         match room_holder {
-            RoomHolder::Own => holder::take_own_request(self, server, part),
+            RoomHolder::Own => holder::handle_own_request(self, server, part),
             RoomHolder::Other(holder) => self.outbox.post(holder, FramePart::RoomRequest(part)),
         }
     }
--- a/crates/tinbay-gateway/src/sharing/messages.rs
+++ b/crates/tinbay-gateway/src/sharing/messages.rs
@@ -1,33 +1,33 @@
-//! What boxes tell each other of room at a server.
+//! Messages between boxes about capacity at a scarce server.
 
 use serde::{Deserialize, Serialize};
 use tinbay_core::serving::servers::Fingerprint;
 use tinbay_core::sharing::room::{AskId, RoomAnswer, RoomAsk};
 use tinbay_core::units::Millis;
 
-/// A request that asks for room.
+/// Request for capacity at a server that the receiver holds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RoomRequestPart {
-    /// The server.
+    /// Server at which the request would run.
     pub server: Fingerprint,
-    /// Number of the question, which the answer repeats.
+    /// Number chosen by the sender, which the reply repeats.
     pub number: u32,
-    /// Its client account, by its name.
+    /// Fingerprint of the client account's name.
     pub account: Fingerprint,
-    /// Its rank, 0 first.
+    /// Priority rank; 0 is served first.
     pub rank: u8,
-    /// Tokens it has the server read and make.
+    /// Prompt and output tokens that the request costs.
     pub units: u32,
-    /// Time in which the server reads its prompt, in ms.
+    /// Time the server needs to process the prompt, in ms.
     pub reading_ms: u16,
-    /// Time within which it must begin to be in time, in ms.
+    /// Time within which the request must start in order to meet its objective, in ms.
     pub in_time_ms: u16,
-    /// Tells it from others; the same when it comes back.
+    /// Identifies the request; a retry has the same value.
     pub digest: u64,
 }
 
 impl RoomRequestPart {
-    /// The question as one of a box.
+    /// Converts the message into a request of the box `box_key`.
     pub fn to_ask(self, box_key: Fingerprint) -> RoomAsk {
         let number = self.number;
         RoomAsk {
@@ -42,36 +42,36 @@
     }
 }
 
-/// What the holder of a server says to a request that asked for room.
+/// Reply of a server's holder to a request for capacity.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct RoomWordPart {
-    /// Number of the question.
+pub struct RoomReplyPart {
+    /// Number of the request that is answered.
     pub number: u32,
-    /// What becomes of it.
-    pub word: RoomWord,
+    /// State of the request at the holder.
+    pub reply: RoomReply,
 }
 
-/// What becomes of a request that asked for room.
+/// State of a request for capacity at the holder.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum RoomWord {
-    /// It waits.
-    Waits,
-    /// It is let in.
-    LetIn,
-    /// It can't be in time: it does not run.
-    TurnedAway {
-        /// When to come back, in ms.
+pub enum RoomReply {
+    /// The request is queued; another reply follows.
+    Queued,
+    /// The request may run.
+    Admitted,
+    /// The request can't start in time and must not run.
+    Rejected {
+        /// Time after which a retry can succeed, in ms.
         turn_in_ms: u16,
     },
-    /// The box that was asked does not hold the server.
-    NotHeld,
+    /// The receiver of the request doesn't hold the server.
+    NotHolder,
 }
 
-impl From<RoomAnswer> for RoomWord {
+impl From<RoomAnswer> for RoomReply {
     fn from(answer: RoomAnswer) -> Self {
         match answer {
-            RoomAnswer::LetIn => RoomWord::LetIn,
-            RoomAnswer::TurnedAway { turn_in_ms } => RoomWord::TurnedAway {
+            RoomAnswer::LetIn => RoomReply::Admitted,
+            RoomAnswer::TurnedAway { turn_in_ms } => RoomReply::Rejected {
                 turn_in_ms: u16::try_from(turn_in_ms).unwrap_or(u16::MAX),
             },
         }
--- a/crates/tinbay-gateway/src/sharing/mod.rs
+++ b/crates/tinbay-gateway/src/sharing/mod.rs
@@ -1,8 +1,7 @@
-//! Scarce room shared among client accounts: asks the holder of a server to let requests in, and lets them
-//! in where this box is the holder.
+//! Fair sharing of a scarce server's capacity ("room") among client accounts. Requests ask the
+//! holder of the server for admission; the holder admits them by account, rank and deadline.
 //!
-//! Only while a holder says that its server has too little room, and only where requests have client
-//! accounts, is anything asked.
+//! Requests ask only while the server is scarce, and only if they belong to a client account.
 
 pub mod asking;
 pub mod holder;
@@ -16,42 +15,43 @@
 use tinbay_core::units::Millis;
 use tokio::sync::oneshot;
 
-use self::messages::{RoomWord, RoomWordPart};
+use self::messages::{RoomReply, RoomReplyPart};
 
-/// A request of this box that waits for the word of a holder.
+/// A request of this box that waits for a holder's decision.
 #[derive(Debug)]
 struct Waiting {
-    sender: oneshot::Sender<RoomWord>,
-    /// Whether the holder was heard since it was last asked.
-    is_heard: bool,
+    sender: oneshot::Sender<RoomReply>,
+    /// Whether the holder has replied since the last request was sent.
+    is_acknowledged: bool,
 }
 
-/// Requests of this box that ask for room.
+/// State of this box's pending requests for capacity.
 #[derive(Debug, Default)]
 pub struct Sharing {
     waiting: RefCell<HashMap<u32, Waiting>>,
     last_number: Cell<u32>,
-    /// Holders that did not answer, and until when they are not asked.
+    /// Holders that did not answer, with the time until which they are not asked.
     silent: RefCell<HashMap<String, Millis>>,
 }
 
 impl Sharing {
-    /// Takes the word of a holder on one question; one whose request is gone is passed over.
-    pub fn take_word(&self, part: RoomWordPart) {
+    /// Delivers a holder's reply to the waiting request; ignores replies to requests that have
+    /// ended.
+    pub fn take_reply(&self, part: RoomReplyPart) {
         let mut waiting = self.waiting.borrow_mut();
-        if part.word == RoomWord::Waits {
+        if part.reply == RoomReply::Queued {
             if let Some(waiting) = waiting.get_mut(&part.number) {
-                waiting.is_heard = true;
+                waiting.is_acknowledged = true;
             }
             return;
         }
         if let Some(waiting) = waiting.remove(&part.number) {
-            // A request that is gone meanwhile wants no answer.
-            let _ = waiting.sender.send(part.word);
+            // The receiver is dropped if the request has ended in the meantime.
+            let _ = waiting.sender.send(part.reply);
         }
     }
 
-    /// Forgets questions whose requests are gone, and holders that may answer again.
+    /// Drops entries of requests that have ended and of holders that may be asked again.
     pub fn tidy(&self, now_ms: Millis) {
         let mut waiting = self.waiting.borrow_mut();
         waiting.retain(|_, waiting| !waiting.sender.is_closed());
@@ -59,12 +59,15 @@
         silent.retain(|_, until_ms| now_ms < *until_ms);
     }
 
-    fn begin(&self) -> (u32, oneshot::Receiver<RoomWord>) {
+    fn begin(&self) -> (u32, oneshot::Receiver<RoomReply>) {
         let number = self.last_number.get().wrapping_add(1);
         self.last_number.set(number);
         let (sender, receiver) = oneshot::channel();
-        let is_heard = false;
-        let waiting = Waiting { sender, is_heard };
+        let is_acknowledged = false;
+        let waiting = Waiting {
+            sender,
+            is_acknowledged,
+        };
         self.waiting.borrow_mut().insert(number, waiting);
         (number, receiver)
     }
@@ -73,11 +76,11 @@
         self.waiting.borrow_mut().remove(&number);
     }
 
-    /// Whether the holder was heard since the last look.
-    fn take_heard(&self, number: u32) -> bool {
+    /// Whether the holder has replied since the last call, which clears the flag.
+    fn take_acknowledged(&self, number: u32) -> bool {
         let mut waiting = self.waiting.borrow_mut();
         let waiting = waiting.get_mut(&number);
-        waiting.is_some_and(|waiting| std::mem::take(&mut waiting.is_heard))
+        waiting.is_some_and(|waiting| std::mem::take(&mut waiting.is_acknowledged))
     }
 
     fn note_silent(&self, holder: &str, until_ms: Millis) {
--- a/crates/tinbay-gateway/src/sharing/taken.rs
+++ b/crates/tinbay-gateway/src/sharing/taken.rs
@@ -1,36 +1,37 @@
-//! What one request was told of room at servers, for its line and its next try.
+//! Outcomes of one request's attempts to get capacity at scarce servers, for its log line and its
+//! retries.
 
 use std::cell::{Cell, RefCell};
 
 use tinbay_core::serving::servers::ServerKey;
 use tinbay_core::units::Millis;
 
-/// What let a request in while its server had too little room, or turned it away.
+/// Outcome of a request for capacity at a scarce server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RoomOutcome {
-    /// The server's holder let it in.
+    /// The server's holder admitted the request.
     Holder,
-    /// The holder did not answer, and this box had nothing running there.
+    /// The holder did not answer; admitted as this box had no request running there.
     OwnPart,
-    /// The holder turned it away.
-    TurnedAway,
-    /// The holder did not answer, and this box had something running there.
+    /// The holder rejected the request.
+    Rejected,
+    /// The holder did not answer; rejected as this box had requests running there.
     NoAnswer,
 }
 
 impl RoomOutcome {
-    /// Name for logs and measures.
+    /// Name in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             RoomOutcome::Holder => "holder",
             RoomOutcome::OwnPart => "own_part",
-            RoomOutcome::TurnedAway => "turned_away",
+            RoomOutcome::Rejected => "turned_away",
             RoomOutcome::NoAnswer => "no_answer",
         }
     }
 }
 
-/// What one request was told of room at servers.
+/// Outcomes of one request's attempts to get capacity.
 #[derive(Debug, Default)]
 pub struct RoomTaken {
     outcome: Cell<Option<RoomOutcome>>,
@@ -39,34 +40,34 @@
 }
 
 impl RoomTaken {
-    /// Notes how a question for room ended, and how long that took.
+    /// Records the outcome of an attempt and how long it took.
     pub fn note(&self, outcome: RoomOutcome, took_ms: Millis) {
         self.outcome.set(Some(outcome));
         let before_ms = self.wait_ms.get().unwrap_or_default();
         self.wait_ms.set(Some(before_ms + took_ms));
     }
 
-    /// Notes a server without room for it.
+    /// Records a server that had no capacity for the request.
     pub fn note_without(&self, server: ServerKey) {
         self.without.borrow_mut().push(server);
     }
 
-    /// Whether a server had no room for it.
+    /// Whether a server had no capacity for the request.
     pub fn is_without(&self, server: ServerKey) -> bool {
         self.without.borrow().contains(&server)
     }
 
-    /// Servers that had no room for it.
+    /// Number of servers that had no capacity for the request.
     pub fn without_count(&self) -> usize {
         self.without.borrow().len()
     }
 
-    /// How the last question ended; none where none was asked.
+    /// Outcome of the last attempt; `None` if there was none.
     pub fn outcome(&self) -> Option<RoomOutcome> {
         self.outcome.get()
     }
 
-    /// How long it waited in all; none where none was asked.
+    /// Total time spent waiting for decisions; `None` if there was no attempt.
     pub fn wait_ms(&self) -> Option<Millis> {
         self.wait_ms.get()
     }
--- a/crates/tinbay-gateway/tests/sharing_asking_test.rs
+++ b/crates/tinbay-gateway/tests/sharing_asking_test.rs
@@ -1,4 +1,4 @@
-//! Asking the holder of a server for room, with a holder that answers, is lost, or is silent.
+//! Requests for capacity to a holder that answers, loses messages or is silent.
 
 use std::cell::{Cell, RefCell};
 use std::future::Future;
@@ -9,9 +9,9 @@
 use tinbay_gateway::clock::Clock;
 use tinbay_gateway::servers::{Server, ServerTable};
 use tinbay_gateway::sharing::Sharing;
-use tinbay_gateway::sharing::asking::{RoomAnswered, RoomWish, ask};
+use tinbay_gateway::sharing::asking::{RoomResult, RoomWish, ask};
 use tinbay_gateway::sharing::links::{RoomHolder, RoomLinks};
-use tinbay_gateway::sharing::messages::{RoomRequestPart, RoomWord, RoomWordPart};
+use tinbay_gateway::sharing::messages::{RoomReply, RoomReplyPart, RoomRequestPart};
 use tinbay_gateway::sharing::taken::RoomOutcome;
 
 const WISH: RoomWish = RoomWish {
@@ -23,23 +23,24 @@
     digest: 9,
 };
 
-/// A box whose holder says a word to each question in turn, and then nothing.
+/// A box whose holder gives the listed replies in turn and then stays silent; `None` is a lost
+/// message.
 struct FakeLinks {
     sharing: Sharing,
     is_scarce: bool,
-    words: RefCell<Vec<Option<RoomWord>>>,
-    asked: Cell<u32>,
+    replies: RefCell<Vec<Option<RoomReply>>>,
+    sends: Cell<u32>,
     numbers: RefCell<Vec<u32>>,
     now_ms: Cell<Millis>,
 }
 
 impl FakeLinks {
-    fn new(words: &[Option<RoomWord>]) -> Self {
+    fn new(replies: &[Option<RoomReply>]) -> Self {
         Self {
             sharing: Sharing::default(),
             is_scarce: true,
-            words: RefCell::new(words.iter().rev().copied().collect()),
-            asked: Cell::new(0),
+            replies: RefCell::new(replies.iter().rev().copied().collect()),
+            sends: Cell::new(0),
             numbers: RefCell::default(),
             now_ms: Cell::new(1_000),
         }
@@ -64,11 +65,11 @@
     }
 
     fn ask(&self, _holder: &RoomHolder, _server: &Rc<Server>, part: RoomRequestPart) {
-        self.asked.set(self.asked.get() + 1);
+        self.sends.set(self.sends.get() + 1);
         self.numbers.borrow_mut().push(part.number);
         let number = part.number;
-        if let Some(Some(word)) = self.words.borrow_mut().pop() {
-            self.sharing.take_word(RoomWordPart { number, word });
+        if let Some(Some(reply)) = self.replies.borrow_mut().pop() {
+            self.sharing.take_reply(RoomReplyPart { number, reply });
         }
     }
 }
@@ -89,99 +90,106 @@
         models: Vec::new(),
         adapters: Vec::new(),
     });
-    table.get("i-1").expect("it is there")
+    table.get("i-1").expect("server i-1 is listed")
 }
 
 fn run<T>(future: impl Future<Output = T>) -> T {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_time()
         .build();
-    runtime.expect("a runtime").block_on(future)
+    runtime.expect("the runtime starts").block_on(future)
 }
 
-fn outcome(answered: Option<RoomAnswered>) -> Option<(RoomOutcome, Option<Millis>)> {
-    answered.map(|answered| (answered.outcome, answered.turn_in_ms))
+fn outcome(result: Option<RoomResult>) -> Option<(RoomOutcome, Option<Millis>)> {
+    result.map(|result| (result.outcome, result.turn_in_ms))
 }
 
 #[test]
-fn ask_plenty_asks_nothing() {
+fn ask_not_scarce_sends_nothing() {
     let links = FakeLinks {
         is_scarce: false,
         ..FakeLinks::new(&[])
     };
     assert_eq!(run(ask(&links, &server(), WISH)), None);
-    assert_eq!(links.asked.get(), 0);
+    assert_eq!(links.sends.get(), 0);
 }
 
 #[test]
-fn ask_let_in_and_turned_away() {
-    let turned_away = RoomWord::TurnedAway { turn_in_ms: 700 };
-    let links = FakeLinks::new(&[Some(RoomWord::LetIn), Some(turned_away)]);
+fn ask_admitted_and_rejected() {
+    let rejected = RoomReply::Rejected { turn_in_ms: 700 };
+    let links = FakeLinks::new(&[Some(RoomReply::Admitted), Some(rejected)]);
     let first = run(ask(&links, &server(), WISH));
     assert_eq!(outcome(first), Some((RoomOutcome::Holder, None)));
     let second = run(ask(&links, &server(), WISH));
-    let expected = Some((RoomOutcome::TurnedAway, Some(700)));
+    let expected = Some((RoomOutcome::Rejected, Some(700)));
     assert_eq!(outcome(second), expected);
 }
 
-/// A question whose answer is lost is asked again under its number, also after the holder had it wait.
+/// A request whose answer is lost is sent again under the same number, also after it was queued.
 #[test]
-fn ask_lost_message_is_asked_again() {
-    let links = FakeLinks::new(&[None, Some(RoomWord::Waits), None, Some(RoomWord::LetIn)]);
-    let answered = run(ask(&links, &server(), WISH));
-    assert_eq!(outcome(answered), Some((RoomOutcome::Holder, None)));
+fn ask_lost_message_is_resent() {
+    let links = FakeLinks::new(&[
+        None,
+        Some(RoomReply::Queued),
+        None,
+        Some(RoomReply::Admitted),
+    ]);
+    let result = run(ask(&links, &server(), WISH));
+    assert_eq!(outcome(result), Some((RoomOutcome::Holder, None)));
     assert_eq!(*links.numbers.borrow(), vec![1; 4]);
 }
 
-/// Without a holder a box has one request at a time at the server, asks no more for a while and then again.
+/// With a silent holder, a box admits one request at a time at the server. It doesn't ask the
+/// holder for a while and then asks again.
 #[test]
-fn ask_silent_holder_own_part() {
+fn ask_silent_holder_limits_own_requests() {
     let links = FakeLinks::new(&[]);
     let server = server();
     let first = run(ask(&links, &server, WISH));
     assert_eq!(outcome(first), Some((RoomOutcome::OwnPart, None)));
-    let asked = links.asked.get();
+    let sends = links.sends.get();
     let running = server.begin_request(Some(7), 100);
-    let second = run(ask(&links, &server, WISH)).expect("an answer");
+    let second = run(ask(&links, &server, WISH)).expect("a result while the server is scarce");
     assert_eq!(second.outcome, RoomOutcome::NoAnswer);
     assert!(second.turn_in_ms > Some(0));
-    assert_eq!(links.asked.get(), asked);
+    assert_eq!(links.sends.get(), sends);
     drop(running);
     links.now_ms.set(3_000);
-    links.words.borrow_mut().push(Some(RoomWord::LetIn));
+    links.replies.borrow_mut().push(Some(RoomReply::Admitted));
     let third = run(ask(&links, &server, WISH));
     assert_eq!(outcome(third), Some((RoomOutcome::Holder, None)));
 }
 
-/// A box that is taken for the holder and is not.
+/// The box sends is no longer the holder.
 #[test]
-fn ask_not_held_own_part() {
-    let links = FakeLinks::new(&[Some(RoomWord::NotHeld)]);
-    let answered = run(ask(&links, &server(), WISH));
-    assert_eq!(outcome(answered), Some((RoomOutcome::OwnPart, None)));
-    assert_eq!(links.asked.get(), 1);
+fn ask_not_holder_limits_own_requests() {
+    let links = FakeLinks::new(&[Some(RoomReply::NotHolder)]);
+    let result = run(ask(&links, &server(), WISH));
+    assert_eq!(outcome(result), Some((RoomOutcome::OwnPart, None)));
+    assert_eq!(links.sends.get(), 1);
 }
 
-/// A holder that has a request wait and never decides: it is not waited for beyond what the request can bear.
+/// A holder that queues a request and never decides. The request must not wait for it beyond its
+/// time limit.
 #[test]
-fn ask_holder_never_decides_own_part() {
-    let links = FakeLinks::new(&[Some(RoomWord::Waits); 50]);
-    let answered = run(ask(&links, &server(), WISH));
-    assert_eq!(outcome(answered), Some((RoomOutcome::OwnPart, None)));
-    let in_time_ms = u32::try_from(WISH.in_time_ms).expect("a short time");
-    assert!(links.asked.get() <= in_time_ms / 100 + 3);
+fn ask_undecided_holder_limits_own_requests() {
+    let links = FakeLinks::new(&[Some(RoomReply::Queued); 50]);
+    let result = run(ask(&links, &server(), WISH));
+    assert_eq!(outcome(result), Some((RoomOutcome::OwnPart, None)));
+    let in_time_ms = u32::try_from(WISH.in_time_ms).expect("fits into u32");
+    assert!(links.sends.get() <= in_time_ms / 100 + 3);
 }
 
-/// Words that nobody waits for any more change nothing.
+/// Replies without a waiting request must change nothing.
 #[test]
-fn take_word_late_or_unknown_is_passed_over() {
-    let links = FakeLinks::new(&[Some(RoomWord::LetIn), Some(RoomWord::LetIn)]);
+fn take_reply_late_or_unknown_is_ignored() {
+    let links = FakeLinks::new(&[Some(RoomReply::Admitted), Some(RoomReply::Admitted)]);
     run(ask(&links, &server(), WISH));
     for number in [1, 77] {
-        for word in [RoomWord::LetIn, RoomWord::Waits, RoomWord::NotHeld] {
-            links.sharing.take_word(RoomWordPart { number, word });
+        for reply in [RoomReply::Admitted, RoomReply::Queued, RoomReply::NotHolder] {
+            links.sharing.take_reply(RoomReplyPart { number, reply });
         }
     }
-    let answered = run(ask(&links, &server(), WISH));
-    assert_eq!(outcome(answered), Some((RoomOutcome::Holder, None)));
+    let result = run(ask(&links, &server(), WISH));
+    assert_eq!(outcome(result), Some((RoomOutcome::Holder, None)));
 }
