--- a/crates/tinbay-gateway/src/crashes/check.rs
+++ b/crates/tinbay-gateway/src/crashes/check.rs
@@ -1,4 +1,4 @@
-//! Finds out whether a server that broke off answers has crashed.
+//! Checks whether a server that cut answers short has crashed.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -13,20 +13,20 @@
 use crate::node::Node;
 use crate::servers::Server;
 
-/// Pause before the check: a process that ends closes its connections one after the other, within
-/// a few milliseconds.
-const GATHER_PAUSE: Duration = Duration::from_millis(2);
+/// Delay before the check. A process that ends closes its connections one by one within a few
+/// milliseconds, and one check covers all requests that they carried.
+const CHECK_DELAY: Duration = Duration::from_millis(2);
 
-/// Longest time until a connection stands; a server is at most a few milliseconds away, and the
-/// request may be waiting to be sent again.
-const PROBE_WITHIN: Duration = Duration::from_millis(100);
+/// Time-out of the connection attempt. A server is at most a few milliseconds away, and the request
+/// may be waiting for a retry.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// A request that a server broke off.
+/// A request whose answer a server cut short.
 #[derive(Debug, Clone)]
 pub struct CutRequest {
-    /// Id of the caller's try.
+    /// Id of the caller's attempt.
     pub id: String,
-    /// What it has in common with others that are the same.
+    /// Digest of the content, equal for equal requests.
     pub digest: RequestDigest,
 }
 
@@ -45,7 +45,8 @@
     server: &'a str,
 }
 
-/// Notes that a server broke off an answer or closed without one, and has it checked.
+/// Records that a server cut an answer short or closed the connection without one, and starts a
+/// check unless one is pending.
 pub fn note_cut(node: &Rc<Node>, server: &Rc<Server>, request: CutRequest) {
     node.crashes.begin_check(request.digest);
     let mut cut = server.cut.borrow_mut();
@@ -56,15 +57,16 @@
     }
 }
 
-/// A process that ended takes no connection; one that only closed a few still does. One that said
-/// before that it leaves has not crashed.
+/// Probes the server. A process that has ended refuses connections, while one that closed only some
+/// of them still accepts new ones. A server that announced before that it would leave has not
+/// crashed.
 async fn check(node: Rc<Node>, server: Rc<Server>) {
     let is_planned = !is_expected_to_run(&node, &server);
-    tokio::time::sleep(GATHER_PAUSE).await;
+    tokio::time::sleep(CHECK_DELAY).await;
     let outcome = if server.pool.has_live_rest() {
         ProbeOutcome::Takes
     } else {
-        probe(server.record().address, PROBE_WITHIN).await
+        probe(server.record().address, PROBE_TIMEOUT).await
     };
     let cut = server.cut.take();
     let record = server.record();
@@ -85,7 +87,7 @@
     }
 }
 
-/// Whether a server is entered in the store, and not as leaving.
+/// Whether the server is still listed in the store and is not leaving.
 fn is_expected_to_run(node: &Node, server: &Rc<Server>) -> bool {
     let record = server.record();
     let entered = node.servers.borrow().get(&record.id);
@@ -93,7 +95,8 @@
     is_entered && !server.is_leaving()
 }
 
-/// Each incarnation of a server crashes once, whichever boxes see it.
+/// Counts a crash under each of the cut requests. An incarnation of a server crashes once, so all
+/// boxes report it under the same key.
 fn note_crash(node: &Rc<Node>, server: &Server, cut: &[CutRequest]) {
     for request in cut {
         let event = SuspectEvent {
--- a/crates/tinbay-gateway/src/crashes/entries.rs
+++ b/crates/tinbay-gateway/src/crashes/entries.rs
@@ -1,5 +1,5 @@
-//! Entries in the store for requests that are refused, so that boxes that start later refuse them
-//! as well, also where all were restarted.
+//! Store entries for quarantined requests, so that boxes that start later refuse them as well, even
+//! after a restart of all boxes.
 
 use std::rc::Rc;
 
@@ -15,14 +15,15 @@
 use crate::port::store::{Item, StoreError, StoreResult, Transaction};
 use crate::watch::{counted, sleep_with_jitter};
 
-/// Prefix of the entries, which go with their leases.
+/// Key prefix of the entries, which expire with their leases.
 pub const PREFIX: &str = "tinbay/refused/";
 
-/// First pause after a failed call.
+/// First wait after a failed call.
 const RETRY_PAUSE_MS: Millis = 500;
 
-/// Longest pause after failed calls: the boxes that run know meanwhile.
-const LONGEST_RETRY_PAUSE_MS: Millis = 8_000;
+/// Upper bound of the exponential backoff. It may be long, as the running boxes know the request
+/// already.
+const MAX_RETRY_PAUSE_MS: Millis = 8_000;
 
 #[derive(Serialize)]
 struct EntryEvent {
@@ -31,7 +32,7 @@
     error: Option<String>,
 }
 
-/// Writes what this box has found until it stops.
+/// Writes entries for the requests that this box has quarantined, until the box stops.
 pub async fn keep(node: Rc<Node>) {
     let mut pause_ms = RETRY_PAUSE_MS;
     loop {
@@ -49,7 +50,7 @@
             pause_ms = RETRY_PAUSE_MS;
         } else {
             sleep_with_jitter(pause_ms).await;
-            pause_ms = (pause_ms * 2).min(LONGEST_RETRY_PAUSE_MS);
+            pause_ms = (pause_ms * 2).min(MAX_RETRY_PAUSE_MS);
         }
     }
 }
@@ -62,7 +63,7 @@
     unsaved.front().copied()
 }
 
-/// Writes one entry, unless there is one.
+/// Writes one entry unless it exists.
 async fn write(node: &Node, digest: RequestDigest) -> StoreResult<()> {
     let lease = counted(node, "grant", node.store.grant(QUARANTINE_LIFE_MS).await)?;
     let missing = Position::missing(lease.era);
@@ -78,13 +79,14 @@
     }
 }
 
-/// Takes an entry; its lease alone says how long it counts for boxes that start later.
+/// Applies an entry read from the store. It holds no age: for boxes that start later, only its
+/// lease limits how long it counts.
 pub fn take(node: &Node, item: &Item) {
     let Some(digest) = item.key.strip_prefix(PREFIX) else {
         return;
     };
     match digest.parse() {
-        Ok(digest) => super::take_stored(node, digest),
+        Ok(digest) => super::apply_stored(node, digest),
         Err(error) => {
             let event = EntryEvent {
                 digest: digest.to_string(),
--- a/crates/tinbay-gateway/src/crashes/mod.rs
+++ b/crates/tinbay-gateway/src/crashes/mod.rs
@@ -1,8 +1,9 @@
-//! Requests under which servers crash: seen, told to the boxes that judge, and refused by all.
+//! Quarantine of requests under which servers crash.
 //!
-//! A box tells each crash that it saw to the few boxes that judge the request; one that has counted
-//! enough has the request refused, tells all boxes, and writes it into the store for those that
-//! start later. So a crash costs some messages, and only what is refused goes to every box.
+//! A box reports each crash that it sees to the few boxes that track the request. A tracker that
+//! has counted enough crashes quarantines the request, announces that to all boxes, and writes it
+//! to the store for boxes that start later. So a crash costs a few messages, and only quarantined
+//! requests are announced to every box.
 
 pub mod check;
 pub mod entries;
@@ -23,29 +24,29 @@
 use crate::events::{self, part};
 use crate::node::Node;
 
-/// What this box knows of requests under which servers crash.
+/// State of this box about requests under which servers crash.
 #[derive(Debug, Default)]
 pub struct Crashes {
     ledger: RefCell<CrashLedger>,
     proven: RefCell<ProvenRequests>,
     quarantine: RefCell<Quarantine>,
-    /// Requests that were cut by servers that are still being checked, as often as they were.
+    /// Requests cut short by servers that are being checked, with the number of cuts.
     in_check: RefCell<HashMap<RequestDigest, usize>>,
-    /// Told when a check is done.
+    /// Notified when a check has finished.
     check_done: Notify,
-    /// Requests that this box has found and that the store does not have yet.
+    /// Requests quarantined by this box that have no entry in the store yet.
     unsaved: RefCell<VecDeque<RequestDigest>>,
     save_due: Notify,
 }
 
-/// How this box came to refuse a request.
+/// How this box learned that a request is quarantined.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Source {
-    /// It counted the crashes.
+    /// This box counted the crashes.
     Counted,
-    /// Another box told it.
-    Told,
-    /// The store has it.
+    /// Another box announced it.
+    Announced,
+    /// It was read from the store.
     Stored,
 }
 
@@ -53,7 +54,7 @@
     fn name(self) -> &'static str {
         match self {
             Source::Counted => "counted",
-            Source::Told => "told",
+            Source::Announced => "told",
             Source::Stored => "stored",
         }
     }
@@ -68,7 +69,7 @@
 }
 
 impl Crashes {
-    /// Forgets what is over.
+    /// Drops expired quarantines.
     pub fn tidy(&self, now_ms: Millis) {
         self.quarantine.borrow_mut().tidy(now_ms);
     }
@@ -88,14 +89,14 @@
         self.check_done.notify_waiters();
     }
 
-    /// How many requests are refused, and how many are suspected.
+    /// Number of quarantined requests and of suspected ones.
     pub fn counts(&self, now_ms: Millis) -> (usize, usize) {
         let refused = self.quarantine.borrow().ages(now_ms).len();
         (refused, self.ledger.borrow().len())
     }
 }
 
-/// Whether a request is refused; not where this box has seen it end well.
+/// Whether a request is quarantined. A request that this box has seen complete is never refused.
 pub fn is_refused(node: &Node, digest: RequestDigest) -> bool {
     let is_held = node
         .crashes
@@ -105,8 +106,9 @@
     is_held && !node.crashes.proven.borrow().contains(digest)
 }
 
-/// Waits until it is known whether servers crashed that cut a request just now, some milliseconds.
-/// One that came back within that time crashed ten servers before the first one was counted.
+/// Waits for the checks of servers that just cut the request short, which takes some milliseconds.
+/// Without the wait a request that was retried within that time crashed ten servers before the
+/// first crash was counted.
 pub async fn wait_for_checks(node: &Node, digest: RequestDigest) {
     loop {
         let done = node.crashes.check_done.notified();
@@ -117,13 +119,13 @@
     }
 }
 
-/// Notes that a request ended well.
+/// Records that a request completed, which clears its crashes.
 pub fn note_proven(node: &Node, digest: RequestDigest) {
     node.crashes.proven.borrow_mut().note(digest);
     node.crashes.ledger.borrow_mut().clear(digest);
 }
 
-/// Counts a crash under a request, seen by this box or told by another one.
+/// Counts a crash under a request, seen by this box or reported by another one.
 pub fn count(node: &Node, digest: RequestDigest, crash: CrashKey) {
     if node.crashes.proven.borrow().contains(digest) {
         return;
@@ -133,11 +135,12 @@
     if crashes >= CRASHES_TO_REFUSE && refuse(node, digest, 0, Source::Counted) {
         node.crashes.unsaved.borrow_mut().push_back(digest);
         node.crashes.save_due.notify_one();
-        spread::post_news(node, digest, spread::Audience::AllZones);
+        spread::announce(node, digest, spread::Audience::AllZones);
     }
 }
 
-/// Has the entries of all refused requests written again: the store has lost them. How many there are.
+/// Queues the entries of all quarantined requests to be written again after the store lost them.
+/// Returns their number.
 pub fn save_again(node: &Node) -> usize {
     let refused = node.crashes.quarantine.borrow().ages(node.now_ms());
     let mut unsaved = node.crashes.unsaved.borrow_mut();
@@ -150,19 +153,19 @@
     refused.len()
 }
 
-/// Takes another box's word on a request that is refused.
-pub fn take_word(node: &Node, digest: RequestDigest, age_ms: Millis) {
-    if refuse(node, digest, age_ms, Source::Told) {
-        spread::post_news(node, digest, spread::Audience::AsRelay);
+/// Applies another box's announcement of a quarantined request.
+pub fn apply_announcement(node: &Node, digest: RequestDigest, age_ms: Millis) {
+    if refuse(node, digest, age_ms, Source::Announced) {
+        spread::announce(node, digest, spread::Audience::AsRelay);
     }
 }
 
-/// Takes a request that is refused from the store.
-pub fn take_stored(node: &Node, digest: RequestDigest) {
+/// Applies a quarantined request read from the store.
+pub fn apply_stored(node: &Node, digest: RequestDigest) {
     refuse(node, digest, 0, Source::Stored);
 }
 
-/// Refuses a request; whether that is new.
+/// Quarantines a request; returns whether that is new.
 fn refuse(node: &Node, digest: RequestDigest, age_ms: Millis, source: Source) -> bool {
     let now_ms = node.now_ms();
     let is_new = node
--- a/crates/tinbay-gateway/src/crashes/spread.rs
+++ b/crates/tinbay-gateway/src/crashes/spread.rs
@@ -1,4 +1,5 @@
-//! Tells crashes to the boxes that judge, and what is refused to all.
+//! Reports crashes to the boxes that track a request, and announces quarantined requests to all
+//! boxes.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -14,37 +15,42 @@
 use crate::peers::gossip::near_boxes;
 use crate::watch::relay;
 
-/// Boxes that judge a request: with two, its crashes are counted on while one of them is gone.
-const JUDGES: usize = 2;
+/// Boxes that track the crashes of a request. With two, crashes are still counted while one of them
+/// is down.
+const TRACKERS: usize = 2;
 
-/// How often a crash is told, as messages may be lost; counting it twice changes nothing.
-const TELLS: usize = 2;
+/// Number of times that a crash is reported, as messages may be lost. Counting a report twice has
+/// no effect.
+const REPORT_SENDS: usize = 2;
 
-/// Pause between them: who judges may have changed by then, as a box has been missed.
-const TELL_PAUSE: Duration = Duration::from_millis(600);
+/// Pause between the reports. A box that has failed is noticed within this time, and the report
+/// then goes to its replacement.
+const REPORT_PAUSE: Duration = Duration::from_millis(600);
 
-/// Boxes of the zone that are told at once what is refused, and tell it on.
-const NEWS_PEERS: usize = 4;
+/// Boxes in the zone to which a quarantine is announced directly, and which pass it on.
+const ZONE_PEERS: usize = 4;
 
-/// Most requests that are named in one message; all of them go around in turns.
-const MOST_NAMED: usize = 24;
+/// Upper bound on requests listed in one message. A random selection is sent each time, so that all
+/// are listed in time.
+const MAX_LISTED: usize = 24;
 
-/// Who is told at once what is refused.
+/// Zones to which a quarantine is announced directly.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Audience {
-    /// All zones: this box has found it.
+    /// All zones, as this box quarantined the request.
     AllZones,
-    /// Other zones only where this box reads the store for its own.
+    /// This zone, and other zones only if this box is one of the relays that read the store for its
+    /// zone.
     AsRelay,
 }
 
-/// Tells the boxes that judge some requests that a server crashed under these.
+/// Reports a server's crash to the boxes that track the requests.
 pub fn report(node: &Rc<Node>, digests: Vec<RequestDigest>, crash: CrashKey) {
     let node = Rc::clone(node);
     tokio::task::spawn_local(async move {
-        for tell in 0..TELLS {
-            if tell > 0 {
-                tokio::time::sleep(TELL_PAUSE).await;
+        for send in 0..REPORT_SENDS {
+            if send > 0 {
+                tokio::time::sleep(REPORT_PAUSE).await;
             }
             for digest in &digests {
                 report_once(&node, *digest, crash);
@@ -54,14 +60,14 @@
 }
 
 fn report_once(node: &Node, digest: RequestDigest, crash: CrashKey) {
-    for judge in judges(node, digest) {
+    for tracker in trackers(node, digest) {
         let part = CrashReportPart { digest, crash };
-        node.outbox.post(&judge, FramePart::CrashReport(part));
+        node.outbox.post(&tracker, FramePart::CrashReport(part));
     }
 }
 
-/// The other boxes that judge a request; this one counts what it sees in any case.
-fn judges(node: &Node, digest: RequestDigest) -> Vec<String> {
+/// Other boxes that track a request. This box counts the crashes that it sees in any case.
+fn trackers(node: &Node, digest: RequestDigest) -> Vec<String> {
     let now_ms = node.now_ms();
     let settings = node.settings.borrow();
     let members = node.members.borrow();
@@ -71,18 +77,19 @@
         capacity: settings.resources.capacity(),
     };
     let boxes: Vec<RankedBox<'_>> = others.chain([own]).collect();
-    capacity::draw(&digest.to_string(), &boxes, JUDGES)
+    capacity::draw(&digest.to_string(), &boxes, TRACKERS)
         .into_iter()
         .filter(|id| *id != settings.box_id)
         .map(str::to_string)
         .collect()
 }
 
-/// Tells some boxes at once that a request is refused.
-pub fn post_news(node: &Node, digest: RequestDigest, audience: Audience) {
-    let news = vec![RefusedPart { digest, age_s: 0 }];
-    for box_id in near_boxes(node).sample(&mut rand::rng(), NEWS_PEERS) {
-        node.outbox.post(box_id, FramePart::Refused(news.clone()));
+/// Announces a quarantined request to some boxes directly.
+pub fn announce(node: &Node, digest: RequestDigest, audience: Audience) {
+    let refused = vec![RefusedPart { digest, age_s: 0 }];
+    for box_id in near_boxes(node).sample(&mut rand::rng(), ZONE_PEERS) {
+        node.outbox
+            .post(box_id, FramePart::Refused(refused.clone()));
     }
     let relays = relay::relays(node);
     if audience == Audience::AsRelay && !relays.is_one {
@@ -90,19 +97,20 @@
     }
     for zone in relays.far_by_zone {
         if let Some(box_id) = zone.choose(&mut rand::rng()) {
-            node.outbox.post(box_id, FramePart::Refused(news.clone()));
+            node.outbox
+                .post(box_id, FramePart::Refused(refused.clone()));
         }
     }
 }
 
-/// What is refused, for a round of gossip; none where nothing is.
+/// Quarantined requests for a round of gossip; `None` if there are none.
 pub fn refused_part(node: &Node) -> Option<FramePart> {
     let mut ages = node.crashes.quarantine.borrow().ages(node.now_ms());
     if ages.is_empty() {
         return None;
     }
     ages.shuffle(&mut rand::rng());
-    ages.truncate(MOST_NAMED);
+    ages.truncate(MAX_LISTED);
     let refused = ages.into_iter().map(|(digest, age_ms)| RefusedPart {
         digest,
         age_s: (age_ms / MS_PER_SECOND) as u16,
@@ -110,15 +118,15 @@
     Some(FramePart::Refused(refused.collect()))
 }
 
-/// Takes a report of another box.
-pub fn take_report(node: &Node, part: &CrashReportPart) {
+/// Handles another box's report of a crash.
+pub fn handle_report(node: &Node, part: &CrashReportPart) {
     super::count(node, part.digest, part.crash);
 }
 
-/// Takes what another box refuses.
-pub fn take_refused(node: &Node, parts: &[RefusedPart]) {
+/// Handles another box's list of quarantined requests.
+pub fn handle_refused(node: &Node, parts: &[RefusedPart]) {
     for part in parts {
         let age_ms = Millis::from(part.age_s) * MS_PER_SECOND;
-        super::take_word(node, part.digest, age_ms);
+        super::apply_announcement(node, part.digest, age_ms);
     }
 }
--- a/crates/tinbay-gateway/src/limits/notices.rs
+++ b/crates/tinbay-gateway/src/limits/notices.rs
@@ -87,8 +87,8 @@
         limit: Some(part.to_notice(now_ms)),
         ..AnswerNotice::default()
     };
-    server.note_said(notice, now_ms);
-    if server.take_limit_news().is_some() {
+    server.apply_notice(notice, now_ms);
+    if server.take_limit_change().is_some() {
         apply_change(node, &server);
     }
 }
--- a/crates/tinbay-gateway/src/limits/permits.rs
+++ b/crates/tinbay-gateway/src/limits/permits.rs
@@ -69,7 +69,7 @@
         }
         Err(room_in_ms) => {
             let room_in_ms = room_in_ms.min(limited.terms.longest_away_ms);
-            server.pass_over_until(now_ms + room_in_ms);
+            server.skip_until(now_ms + room_in_ms);
             None
         }
     }
--- a/crates/tinbay-gateway/src/orders/held_server.rs
+++ b/crates/tinbay-gateway/src/orders/held_server.rs
@@ -44,7 +44,7 @@
 /// State of a server that this box holds.
 #[derive(Debug)]
 pub struct HeldServer {
-    /// Adapters that the server holds, loads or unloads.
+    /// Adapters and base models that the server holds or loads.
     pub contents: RefCell<Contents>,
     /// Load requests that are not fulfilled yet.
     pub wants: RefCell<Wants>,
--- a/crates/tinbay-gateway/src/peers/exchange.rs
+++ b/crates/tinbay-gateway/src/peers/exchange.rs
@@ -218,7 +218,7 @@
 fn uses(node: &Node, server: ServerKey) -> Option<(String, FramePart)> {
     let server = node.servers.borrow().by_key(server)?;
     let holder = node.holder_of(&server)?;
-    let report = server.usage.borrow_mut().tell(node.now_ms());
+    let report = server.usage.borrow_mut().take_report(node.now_ms());
     if let Some(held) = node.held_server(server.key) {
         let own_id = node.settings.borrow().box_id.clone();
         held.note_usage(node, &server, &own_id, report);
--- a/crates/tinbay-gateway/src/peers/inbox.rs
+++ b/crates/tinbay-gateway/src/peers/inbox.rs
@@ -96,8 +96,8 @@
             FramePart::ZoneWord(word) => take_zone_word(node, &frame.box_id, &word, now_ms),
             FramePart::Silent(silent) => take_silent(node, &silent, now_ms),
             FramePart::ZonesHeard(zones) => take_zones_heard(node, &zones, now_ms),
-            FramePart::CrashReport(part) => spread::take_report(node, &part),
-            FramePart::Refused(parts) => spread::take_refused(node, &parts),
+            FramePart::CrashReport(part) => spread::handle_report(node, &part),
+            FramePart::Refused(parts) => spread::handle_refused(node, &parts),
             FramePart::LimitRequest(part) => limits::handle_request(node, &frame.box_id, &part),
             FramePart::LimitGrant(part) => limits::handle_grant(node, &part),
             FramePart::ServerLimit(part) => {
--- a/crates/tinbay-gateway/src/servers/departed.rs
+++ b/crates/tinbay-gateway/src/servers/departed.rs
@@ -1,7 +1,7 @@
-//! What servers said of themselves whose entries are gone, as entries come back.
+//! Notices of servers whose entries are gone from the store, as entries may come back.
 //!
-//! An entry lapses while the store is away and is written again after it, and a listing may show one
-//! that was gone. What a server said binds the box beyond that.
+//! An entry expires while the store is unreachable and is written again afterwards, and a listing
+//! may contain one that was gone. The notices of a server stay in force beyond that.
 
 use std::cell::RefCell;
 use std::collections::{HashMap, VecDeque};
@@ -11,61 +11,62 @@
 use tinbay_core::serving::notices::Said;
 use tinbay_core::serving::servers::ServerRecord;
 
-/// Most servers that are remembered: all of a system of 7,700, whose entries may be gone at once.
-const MOST_REMEMBERED: usize = 8_192;
+/// Upper bound on servers that are remembered. It covers a system of 7,700 servers whose entries
+/// all disappear at once.
+const MAX_REMEMBERED: usize = 8_192;
 
-/// What an incarnation of a server said, shared by all that know it.
-pub type SharedSaid = Rc<RefCell<Said>>;
+/// Notices of an incarnation of a server, shared by all that refer to it.
+pub type SharedNotices = Rc<RefCell<Said>>;
 
 #[derive(Debug)]
 struct Departure {
     born_ms: Option<u64>,
     address: SocketAddr,
-    said: SharedSaid,
+    notices: SharedNotices,
 }
 
-/// Servers whose entries are gone, the last incarnation of each.
+/// Last known incarnation of each server whose entry is gone.
 #[derive(Debug, Default)]
 pub struct Departed {
     by_id: HashMap<String, Departure>,
-    /// Oldest first; each id once.
+    /// Ids in order of departure, oldest first, without duplicates.
     order: VecDeque<String>,
 }
 
 impl Departed {
-    /// Remembers an incarnation whose entry went.
-    pub fn remember(&mut self, record: &ServerRecord, said: &SharedSaid) {
+    /// Remembers an incarnation whose entry is gone.
+    pub fn remember(&mut self, record: &ServerRecord, notices: &SharedNotices) {
         let departure = Departure {
             born_ms: record.born_ms,
             address: record.address,
-            said: Rc::clone(said),
+            notices: Rc::clone(notices),
         };
         if self.by_id.insert(record.id.clone(), departure).is_none() {
             self.order.push_back(record.id.clone());
         }
-        if self.order.len() > MOST_REMEMBERED
+        if self.order.len() > MAX_REMEMBERED
             && let Some(oldest) = self.order.pop_front()
         {
             self.by_id.remove(&oldest);
         }
     }
 
-    /// What the incarnation of an entry that came has said so far.
-    pub fn said_by(&self, record: &ServerRecord) -> SharedSaid {
+    /// Returns the notices known of the incarnation in an entry that appeared.
+    pub fn notices_of(&self, record: &ServerRecord) -> SharedNotices {
         let Some(known) = self.by_id.get(&record.id) else {
-            return SharedSaid::default();
+            return SharedNotices::default();
         };
         let is_later = record.born_ms > known.born_ms && known.born_ms.is_some();
         if record.address != known.address || is_later {
-            return SharedSaid::default();
+            return SharedNotices::default();
         }
         let is_earlier = record.born_ms < known.born_ms && record.born_ms.is_some();
         if is_earlier {
-            // A later incarnation was seen: this one has ended.
-            let mut said = Said::default();
-            said.note_leaving();
-            return Rc::new(RefCell::new(said));
+            // A later incarnation is known, so this one has ended.
+            let mut notices = Said::default();
+            notices.note_leaving();
+            return Rc::new(RefCell::new(notices));
         }
-        Rc::clone(&known.said)
+        Rc::clone(&known.notices)
     }
 }
--- a/crates/tinbay-gateway/src/servers/mod.rs
+++ b/crates/tinbay-gateway/src/servers/mod.rs
@@ -1,4 +1,4 @@
-//! The servers this box knows, and what it has running at each.
+//! Table of the servers that this box knows, with its state for each.
 
 mod departed;
 pub mod notices;
@@ -17,11 +17,11 @@
 use tinbay_core::units::Millis;
 
 use self::departed::Departed;
-use self::service::ServiceSight;
+use self::service::ServiceStats;
 use crate::clock::Clock;
 use crate::http::reuse::ReuseLedger;
 
-/// All servers known, each in its newest incarnation.
+/// Known servers, each in its latest incarnation.
 #[derive(Debug)]
 pub struct ServerTable {
     clock: Clock,
@@ -29,25 +29,25 @@
     ids: HashMap<ServerKey, String>,
     keys: HashMap<Fingerprint, ServerKey>,
     departed: Departed,
-    services: HashMap<String, Rc<ServiceSight>>,
-    connections_measure: Option<IntCounterVec>,
+    services: HashMap<String, Rc<ServiceStats>>,
+    connections_metric: Option<IntCounterVec>,
 }
 
-/// What a record changed.
+/// Effect of a record on the table.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ServerChange {
     /// The server is new.
     Arrived,
-    /// It has started again, or moved: nothing that was believed of it holds.
+    /// The server restarted or moved to another address, so that all earlier knowledge is void.
     Restarted,
-    /// Its state changed.
+    /// The server has begun to leave.
     StateChanged,
-    /// Nothing that decides anything.
+    /// Nothing that affects decisions changed.
     Same,
 }
 
 impl ServerChange {
-    /// Name for logs.
+    /// Name in logs.
     pub fn name(self) -> &'static str {
         match self {
             ServerChange::Arrived => "arrived",
@@ -59,7 +59,7 @@
 }
 
 impl ServerTable {
-    /// A table of no server, with the clock of the process.
+    /// Creates an empty table with the clock of the process.
     pub fn new(clock: Clock) -> Self {
         Self {
             clock,
@@ -68,40 +68,42 @@
             keys: HashMap::new(),
             departed: Departed::default(),
             services: HashMap::new(),
-            connections_measure: None,
+            connections_metric: None,
         }
     }
 
-    /// The same with a measure of what becomes of connections to servers.
+    /// Returns the table with a metric for connections to servers.
     pub fn with_measure(self, measure: IntCounterVec) -> Self {
         Self {
-            connections_measure: Some(measure),
+            connections_metric: Some(measure),
             ..self
         }
     }
 
-    fn service(&mut self, name: &str) -> Rc<ServiceSight> {
+    fn service(&mut self, name: &str) -> Rc<ServiceStats> {
         if let Some(service) = self.services.get(name) {
             return Rc::clone(service);
         }
-        let reuse = ReuseLedger::new(name, self.clock, self.connections_measure.clone());
-        let service = Rc::new(ServiceSight::new(reuse));
+        let reuse = ReuseLedger::new(name, self.clock, self.connections_metric.clone());
+        let service = Rc::new(ServiceStats::new(reuse));
         self.services.insert(name.to_string(), Rc::clone(&service));
         service
     }
 
-    /// Notes a server's entry. One of an earlier incarnation that comes late changes nothing.
+    /// Adds or updates a server by its entry. A late entry of an earlier incarnation changes
+    /// nothing.
     ///
-    /// A new incarnation is another server under the same name: it gets a key, a view and connections
-    /// of its own. Where boxes went on believing what the older one held, up to 667 requests a day were
-    /// refused by servers that had started again (three simulated days, 0.01 to 0.11 of the worth).
+    /// A new incarnation is another server under the same id, with its own key, view and
+    /// connections. When boxes kept the view of the old incarnation, up to 667 requests a day were
+    /// refused by servers that had restarted, which cost 0.01 to 0.11 of the score in three
+    /// simulated days.
     pub fn put(&mut self, record: ServerRecord) -> ServerChange {
         let Some(server) = self.by_id.get(&record.id) else {
             self.insert(record);
             return ServerChange::Arrived;
         };
         let known = server.record();
-        // An entry that does not say when its server started tells nothing of a restart.
+        // An entry without a start time doesn't show a restart.
         let born_ms = record.born_ms.or(known.born_ms);
         let known_born_ms = known.born_ms.or(born_ms);
         if born_ms < known_born_ms {
@@ -123,54 +125,54 @@
 
     fn insert(&mut self, record: ServerRecord) {
         let id = record.id.clone();
-        let said = self.departed.said_by(&record);
+        let notices = self.departed.notices_of(&record);
         let service = self.service(&record.service);
-        let server = Server::new(record, said, self.clock, service);
+        let server = Server::new(record, notices, self.clock, service);
         self.keys.insert(server.fingerprint(), server.key);
         self.ids.insert(server.key, id.clone());
         self.by_id.insert(id, Rc::new(server));
     }
 
-    /// Forgets a server.
+    /// Removes a server; returns whether it was known.
     pub fn remove(&mut self, id: &str) -> bool {
         let Some(server) = self.by_id.remove(id) else {
             return false;
         };
         self.ids.remove(&server.key);
         self.keys.remove(&server.fingerprint());
-        self.departed.remember(&server.record(), &server.said);
+        self.departed.remember(&server.record(), &server.notices);
         server.pool.clear();
         true
     }
 
-    /// A server by its name.
+    /// Returns a server by its id.
     pub fn get(&self, id: &str) -> Option<Rc<Server>> {
         self.by_id.get(id).cloned()
     }
 
-    /// A server by its short name.
+    /// Returns a server by its key.
     pub fn by_key(&self, key: ServerKey) -> Option<Rc<Server>> {
         self.get(self.ids.get(&key)?)
     }
 
-    /// A server by the short form of its key.
+    /// Returns a server by its fingerprint.
     pub fn by_fingerprint(&self, fingerprint: Fingerprint) -> Option<Rc<Server>> {
         self.by_key(*self.keys.get(&fingerprint)?)
     }
 
-    /// Whether another server is entered with the same address.
+    /// Whether another known server has the same address.
     pub fn shares_address(&self, server: &Server) -> bool {
         let address = server.record().address;
         let mut others = self.by_id.values().filter(|other| other.key != server.key);
         others.any(|other| other.record.borrow().address == address)
     }
 
-    /// All servers.
+    /// Iterates over all servers in no particular order.
     pub fn all(&self) -> impl Iterator<Item = &Rc<Server>> {
         self.by_id.values()
     }
 
-    /// Servers of a service that take work from this box.
+    /// Servers of a service to which this box may send requests now.
     pub fn ready(&self, service: &str) -> Vec<Rc<Server>> {
         let now_ms = self.clock.now_ms();
         self.of_service(service)
@@ -179,7 +181,7 @@
             .collect()
     }
 
-    /// Servers of a service that are there to stay.
+    /// Servers of a service that are running and not about to leave, including paused ones.
     pub fn staying(&self, service: &str) -> Vec<Rc<Server>> {
         let now_ms = self.clock.now_ms();
         self.of_service(service)
@@ -188,13 +190,13 @@
             .collect()
     }
 
-    /// When the first of a service's servers that rest or are at their limits takes work again; none where
-    /// there is no such one.
+    /// Earliest time at which one of a service's servers that are paused or at their limits accepts
+    /// requests again; `None` if there is no such server.
     pub fn first_rest_end_ms(&self, service: &str) -> Option<Millis> {
         let now_ms = self.clock.now_ms();
         let end_ms = |server: &Rc<Server>| {
-            let rest_ms = server.rest_until_ms(now_ms);
-            rest_ms.max(server.at_limit_until_ms(now_ms))
+            let paused_until_ms = server.paused_until_ms(now_ms);
+            paused_until_ms.max(server.at_limit_until_ms(now_ms))
         };
         self.of_service(service)
             .filter(|server| server.is_ready(now_ms))
@@ -202,7 +204,7 @@
             .min()
     }
 
-    /// Requests a second that the servers of a service take which name limits.
+    /// Sum of the limits that servers of a service announced, in requests per second.
     pub fn limits_per_s(&self, service: &str) -> f64 {
         let now_ms = self.clock.now_ms();
         self.of_service(service)
@@ -216,12 +218,12 @@
         servers.filter(move |server| server.record.borrow().service == service)
     }
 
-    /// How many are known.
+    /// Number of known servers.
     pub fn len(&self) -> usize {
         self.by_id.len()
     }
 
-    /// Whether none is known.
+    /// Whether no server is known.
     pub fn is_empty(&self) -> bool {
         self.by_id.is_empty()
     }
--- a/crates/tinbay-gateway/src/servers/notices.rs
+++ b/crates/tinbay-gateway/src/servers/notices.rs
@@ -1,4 +1,5 @@
-//! Takes what servers say of themselves in the heads of their answers, whatever was asked.
+//! Notices that servers send about themselves in the headers of any answer: that they are leaving,
+//! want a pause, or have a limit.
 
 use std::rc::Rc;
 
@@ -15,14 +16,14 @@
 use crate::node::Node;
 use crate::port::dialect::DecodeError;
 
-/// What a server was asked when it answered.
+/// Kind of request that a server answered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AskedFor<'a> {
-    /// To run a request.
+    /// A caller's request, by its id.
     Request(&'a str),
-    /// To carry out an order.
+    /// A load or unload order.
     Order,
-    /// For its report.
+    /// A request for its report.
     Report,
 }
 
@@ -43,19 +44,20 @@
     }
 }
 
-/// The head of an answer that is a server's own.
+/// Status and headers of an answer that a server itself gave.
 #[derive(Debug, Clone, Copy)]
 pub struct AnswerHead<'a> {
-    /// What the server was asked.
+    /// Kind of request.
     pub asked_for: AskedFor<'a>,
-    /// When it was asked.
+    /// Time at which the request was sent.
     pub asked_ms: Millis,
-    /// Its status.
+    /// HTTP status.
     pub status: u16,
-    /// Its headers.
+    /// HTTP headers.
     pub headers: &'a HeaderMap,
-    /// Whether it is the answer to a request that has run. Only what servers always do tells by not being
-    /// there, and nobody says that refusals and answers to orders name limits.
+    /// Whether this is the answer to a request that was run. Such answers always name the server's
+    /// limit, so a missing header means that there is none. Refusals and answers to orders need not
+    /// name it.
     pub has_run: bool,
 }
 
@@ -69,7 +71,7 @@
     is_leaving: bool,
     #[serde(skip_serializing_if = "Option::is_none")]
     rest_ms: Option<Millis>,
-    /// What this box believed until then.
+    /// State of the server as this box knew it before.
     state: &'static str,
 }
 
@@ -79,9 +81,9 @@
     asked_for: &'static str,
     #[serde(skip_serializing_if = "Option::is_none")]
     request: Option<&'a str>,
-    /// Requests a second from now on; none where the limit is over.
+    /// Requests per second from now on; `None` if the limit has ended.
     limit_per_s: Option<f64>,
-    /// The same until then.
+    /// Requests per second until now; `None` if there was no limit.
     before_per_s: Option<f64>,
     asked_ms_ago: Millis,
 }
@@ -92,37 +94,37 @@
     error: String,
 }
 
-/// Takes what a server says of itself in the head of an answer that is its own; whether it says anything
-/// new.
+/// Applies the notices in the head of a server's own answer. Returns whether they changed anything
+/// that other boxes have to know.
 pub fn take(node: &Node, server: &Rc<Server>, head: &AnswerHead<'_>) -> bool {
     let notice = read(node, server, head);
-    server.note_said(notice, node.now_ms());
-    let limit_before = server.take_limit_news();
+    server.apply_notice(notice, node.now_ms());
+    let limit_before = server.take_limit_change();
     if let Some(before_per_s) = limit_before {
-        tell_limit(node, server, head, before_per_s);
+        log_limit_change(node, server, head, before_per_s);
         limit_notices::notify_home_and_holder(node, server);
     }
-    let turns_away = notice.is_leaving || notice.rest_ms.is_some();
-    if turns_away {
-        tell(node, server, head, notice);
+    let refuses_work = notice.is_leaving || notice.rest_ms.is_some();
+    if refuses_work {
+        log_notice(node, server, head, notice);
     }
-    turns_away || limit_before.is_some()
+    refuses_work || limit_before.is_some()
 }
 
-/// What the head says; what can't be read in it is told and says nothing.
+/// Decodes the notices in the head; an unreadable one is logged and ignored.
 fn read(node: &Node, server: &Server, head: &AnswerHead<'_>) -> AnswerNotice {
     let is_leaving = node.dialect.decode_leaving(head.headers);
     let rest_ms = node.dialect.decode_rest(head.status, head.headers);
     let limit = node.dialect.decode_limit(head.headers);
     AnswerNotice {
         is_leaving: is_leaving
-            .map_err(|error| tell_unreadable(node, server, &error))
+            .map_err(|error| log_unreadable(node, server, &error))
             .unwrap_or_default(),
         rest_ms: rest_ms
-            .map_err(|error| tell_unreadable(node, server, &error))
+            .map_err(|error| log_unreadable(node, server, &error))
             .unwrap_or_default(),
         limit: limit
-            .map_err(|error| tell_unreadable(node, server, &error))
+            .map_err(|error| log_unreadable(node, server, &error))
             .ok()
             .filter(|per_s| per_s.is_some() || head.has_run)
             .map(|per_s| LimitNotice {
@@ -133,7 +135,7 @@
     }
 }
 
-fn tell(node: &Node, server: &Server, head: &AnswerHead<'_>, notice: AnswerNotice) {
+fn log_notice(node: &Node, server: &Server, head: &AnswerHead<'_>, notice: AnswerNotice) {
     let notices = &node.metrics.server_notices;
     if notice.is_leaving {
         notices.with_label_values(&["leaving"]).inc();
@@ -153,8 +155,13 @@
     events::emit(part::SERVERS, Level::Info, "server_notice", &event);
 }
 
-/// Tells that a limit begins, changes or ends; answers that name the same one again have no line.
-fn tell_limit(node: &Node, server: &Server, head: &AnswerHead<'_>, before_per_s: Option<f64>) {
+/// Logs that a limit begins, changes or ends. Answers that repeat the known limit are not logged.
+fn log_limit_change(
+    node: &Node,
+    server: &Server,
+    head: &AnswerHead<'_>,
+    before_per_s: Option<f64>,
+) {
     let limit_per_s = server.limit_per_s();
     let notice = match limit_per_s {
         Some(_) => "limit",
@@ -173,7 +180,7 @@
     events::emit(part::SERVERS, Level::Info, "server_limit", &event);
 }
 
-fn tell_unreadable(node: &Node, server: &Server, error: &DecodeError) {
+fn log_unreadable(node: &Node, server: &Server, error: &DecodeError) {
     let unreadable = &node.metrics.unreadable;
     unreadable.with_label_values(&["answer_head"]).inc();
     let event = UnreadableEvent {
--- a/crates/tinbay-gateway/src/servers/server.rs
+++ b/crates/tinbay-gateway/src/servers/server.rs
@@ -1,4 +1,4 @@
-//! One incarnation of a server, and what this box believes of it.
+//! One incarnation of a server and its state as this box knows it.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -14,8 +14,8 @@
 use tokio::sync::Notify;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-use super::departed::SharedSaid;
-use super::service::ServiceSight;
+use super::departed::SharedNotices;
+use super::service::ServiceStats;
 use super::usage::Usage;
 use super::view::{View, ViewEntry};
 use super::waiting::WaitingBytes;
@@ -23,65 +23,65 @@
 use crate::crashes::check::CutRequest;
 use crate::http::pool::Pool;
 
-/// Weight of a new head's time.
+/// Weight of a new sample in the moving average of the time to the response head.
 const DELAY_WEIGHT: f64 = 0.15;
 
-/// Longest time of a head that counts, as a part of the objective.
-const MOST_DELAY: f64 = 3.0;
+/// Upper bound of a sample, as a fraction of the objective.
+const MAX_DELAY: f64 = 3.0;
 
-/// Half-life of the time to the head where no new one comes.
+/// Half-life of the average while no new samples arrive.
 const DELAY_HALF_LIFE_MS: f64 = 1_500.0;
 
-/// How long a server is left out at whose address another one answered; its entry should be gone by
-/// then, and one request shows whether it is there after all.
-const DISPLACED_LIFE_MS: Millis = 10_000;
+/// Time for which a server is skipped after another one answered at its address. Its entry should
+/// be gone by then; if not, one request shows whether the server is there after all.
+const DISPLACED_PAUSE_MS: Millis = 10_000;
 
-/// Part of the answers of a service that are no slower than the usual one.
-const USUAL_PART: f64 = 0.5;
+/// Quantile of a service's answer times that counts as its usual one.
+const MEDIAN: f64 = 0.5;
 
-/// Part of the objective that a request takes at an idle server, until answers tell.
-const OWN_PART: f64 = 0.2;
+/// Assumed answer time at an idle server as a fraction of the objective, until samples arrive.
+const DEFAULT_ANSWER_SHARE: f64 = 0.2;
 
 /// One incarnation of a server.
 #[derive(Debug)]
 pub struct Server {
-    /// Its short name.
+    /// Hash of its id, address and start time.
     pub key: ServerKey,
-    /// Where it listens, as text.
+    /// Address at which it listens, as text.
     pub address_text: String,
-    /// Told when its holder may have something to order.
+    /// Notified when its holder may have an order to send.
     pub order_due: Notify,
-    /// Told when its holder has sent its status.
+    /// Notified when a status from its holder has arrived.
     pub status_came: Notify,
-    /// What its holder told.
+    /// View by the status messages of its holder.
     pub view: RefCell<View>,
-    /// What this box has running there.
+    /// Requests that this box has running there.
     pub usage: RefCell<Usage>,
-    /// Requests that it broke off and that it is to be checked for.
+    /// Requests that it cut short and for which a check is pending.
     pub cut: RefCell<Vec<CutRequest>>,
-    /// Connections to it.
+    /// Pool of connections to it.
     pub pool: Rc<Pool>,
     /// Bytes of this box's requests that it has not begun to answer.
     pub waiting: WaitingBytes,
     pub(super) record: RefCell<Rc<ServerRecord>>,
-    /// What it said of itself, which outlasts its entry.
-    pub(super) said: SharedSaid,
+    /// Notices that it sent, which stay in force when its entry expires.
+    pub(super) notices: SharedNotices,
     clock: Clock,
-    service: Rc<ServiceSight>,
-    /// Its speed against the service's, by answers of this box.
+    service: Rc<ServiceStats>,
+    /// Its speed relative to its service, from answers to this box.
     slowness: Cell<Slowness>,
-    /// Until when it is slow from its start.
+    /// End of its slow phase after a start.
     slow_until_ms: Cell<Millis>,
     mistrust: Cell<(f64, Millis)>,
     displaced_until_ms: Cell<Millis>,
-    /// Its limit as it was last told, by a line and to others.
-    limit_told: Cell<Option<f64>>,
-    /// Until when its limit is taken to have no room.
+    /// Its limit as last logged and passed on to other boxes.
+    reported_limit: Cell<Option<f64>>,
+    /// Time until which its limit has no capacity.
     at_limit_until_ms: Cell<Millis>,
     delay: Cell<(f64, Millis)>,
 }
 
-/// One request of this box at a server, counted while it lives.
+/// A request that this box has running at a server, counted until it is dropped.
 #[derive(Debug)]
 pub struct RunningRequest {
     server: Rc<Server>,
@@ -89,7 +89,7 @@
 }
 
 impl RunningRequest {
-    /// The server the request runs at.
+    /// Server at which the request runs.
     pub fn server(&self) -> Rc<Server> {
         Rc::clone(&self.server)
     }
@@ -101,7 +101,7 @@
     }
 }
 
-/// The short name of an incarnation.
+/// Key of an incarnation.
 fn server_key(record: &ServerRecord) -> ServerKey {
     let name = format!("{} {}", record.id, record.address);
     xxh3_64_with_seed(name.as_bytes(), record.born_ms.unwrap_or_default())
@@ -110,9 +110,9 @@
 impl Server {
     pub(super) fn new(
         record: ServerRecord,
-        said: SharedSaid,
+        notices: SharedNotices,
         clock: Clock,
-        service: Rc<ServiceSight>,
+        service: Rc<ServiceStats>,
     ) -> Self {
         let key = server_key(&record);
         let server = Self {
@@ -135,10 +135,10 @@
             slow_until_ms: Cell::default(),
             waiting: WaitingBytes::default(),
             record: RefCell::new(Rc::new(record.clone())),
-            said,
+            notices,
             mistrust: Cell::default(),
             displaced_until_ms: Cell::default(),
-            limit_told: Cell::default(),
+            reported_limit: Cell::default(),
             at_limit_until_ms: Cell::default(),
             delay: Cell::default(),
         };
@@ -147,13 +147,14 @@
         server
     }
 
-    /// Takes a newer entry of this incarnation. One that is late or old does not make it stay: with
-    /// the state of the entry seen last, a server that leaves got 10 to 14 of 24 requests.
+    /// Applies an entry of this incarnation. Leaving is final: an entry that is late or old does
+    /// not revert it. When the state of the last entry was used, a leaving server got 10 to 14 of
+    /// 24 requests.
     pub(super) fn set_record(&self, record: ServerRecord) {
         if record.state == ServerState::Draining {
-            self.said.borrow_mut().note_leaving();
+            self.notices.borrow_mut().note_leaving();
         }
-        // An entry that comes again, as it was, tells nothing new of the time that is left.
+        // A repeated entry tells nothing new about the remaining time.
         if record.slow_for_ms != self.record().slow_for_ms {
             self.note_slow_start(record.slow_for_ms);
         }
@@ -170,10 +171,10 @@
         self.slow_until_ms.set(self.clock.now_ms() + slow_for_ms);
     }
 
-    /// Notes how long an answer took that needed nothing special of the server.
+    /// Records the time of an answer without special costs, such as a load.
     pub fn note_answer_time(&self, took_ms: f64, now_ms: Millis) {
         let mut times = self.service.times.borrow_mut();
-        if let Some(usual_ms) = times.quantile_ms(USUAL_PART) {
+        if let Some(usual_ms) = times.quantile_ms(MEDIAN) {
             let mut slowness = self.slowness.get();
             slowness.note(usual_ms, took_ms, now_ms);
             self.slowness.set(slowness);
@@ -181,11 +182,13 @@
         times.note(took_ms, now_ms);
     }
 
-    /// How busy it counts with such a load, by its speed against its service's.
+    /// Adjusts a load by the server's speed relative to its service.
     pub fn slowed_load(&self, load: f64, objective_ms: Millis, now_ms: Millis) -> f64 {
-        let usual_ms = self.service.times.borrow().quantile_ms(USUAL_PART);
-        let own_part = usual_ms.map_or(OWN_PART, |usual_ms| usual_ms / objective_ms.max(1) as f64);
-        slowed_load(load, own_part, self.slowness_factor(now_ms))
+        let usual_ms = self.service.times.borrow().quantile_ms(MEDIAN);
+        let answer_share = usual_ms.map_or(DEFAULT_ANSWER_SHARE, |usual_ms| {
+            usual_ms / objective_ms.max(1) as f64
+        });
+        slowed_load(load, answer_share, self.slowness_factor(now_ms))
     }
 
     fn slowness_factor(&self, now_ms: Millis) -> f64 {
@@ -196,111 +199,113 @@
         seen
     }
 
-    /// What the servers of its service have in common.
-    pub fn service(&self) -> &ServiceSight {
+    /// Statistics of its service.
+    pub fn service(&self) -> &ServiceStats {
         &self.service
     }
 
-    /// Notes what it says of itself in an answer of its own.
-    pub fn note_said(&self, notice: AnswerNotice, now_ms: Millis) {
-        self.said.borrow_mut().note(notice, now_ms);
+    /// Applies a notice that it sent about itself.
+    pub fn apply_notice(&self, notice: AnswerNotice, now_ms: Millis) {
+        self.notices.borrow_mut().note(notice, now_ms);
         if notice.is_leaving {
             let record = ServerRecord::clone(&self.record());
             self.set_record(record);
         }
     }
 
-    /// Requests a second that it takes from all boxes together; none where it named no limit.
+    /// Requests per second that it accepts from all boxes together; `None` if it announced no
+    /// limit.
     pub fn limit_per_s(&self) -> Option<f64> {
-        self.said.borrow().limit().per_s()
+        self.notices.borrow().limit().per_s()
     }
 
-    /// What it says about itself.
+    /// Its entry in the store, with the state that this box derived.
     pub fn record(&self) -> Rc<ServerRecord> {
         Rc::clone(&self.record.borrow())
     }
 
-    /// What is believed of one adapter here.
+    /// State of one adapter there, by its holder's last status.
     pub fn adapter(&self, key: AdapterKey) -> Option<ViewEntry> {
         self.view.borrow().entry(key as Fingerprint)
     }
 
-    /// Notes that the server refused a request as it does not hold the adapter.
+    /// Records that the server refused a request because it doesn't hold the adapter.
     pub fn note_missing(&self, key: AdapterKey) {
         self.view.borrow_mut().note_missing(key as Fingerprint);
     }
 
-    /// Whether it leaves, by its entry or by its own word.
+    /// Whether it is leaving, by its entry or by a notice.
     pub fn is_leaving(&self) -> bool {
-        self.said.borrow().is_leaving()
+        self.notices.borrow().is_leaving()
     }
 
-    /// Until when it wants nothing from this box; none where it takes what comes.
-    pub fn rest_until_ms(&self, now_ms: Millis) -> Option<Millis> {
-        self.said.borrow().rest_until_ms(now_ms)
+    /// End of a pause that it asked for; `None` if it accepts requests.
+    pub fn paused_until_ms(&self, now_ms: Millis) -> Option<Millis> {
+        self.notices.borrow().rest_until_ms(now_ms)
     }
 
-    /// Whether it is there to stay.
+    /// Whether it is running and not about to leave.
     pub fn is_ready(&self, now_ms: Millis) -> bool {
         !self.is_leaving() && !self.is_displaced(now_ms)
     }
 
-    /// Whether it takes work from this box now.
+    /// Whether this box may send it a request for which it has no permit yet.
     pub fn takes_work(&self, now_ms: Millis) -> bool {
         self.may_be_sent(now_ms) && self.at_limit_until_ms(now_ms).is_none()
     }
 
-    /// The same for a request that has leave to be sent within the server's limit.
+    /// Whether this box may send it a request that has a permit within the server's limit.
     pub fn may_be_sent(&self, now_ms: Millis) -> bool {
-        let is_willing = self.is_ready(now_ms) && self.rest_until_ms(now_ms).is_none();
-        is_willing && self.waiting.takes_more()
+        let accepts_requests = self.is_ready(now_ms) && self.paused_until_ms(now_ms).is_none();
+        accepts_requests && self.waiting.takes_more()
     }
 
-    /// Notes that its limit has no room until then.
-    pub fn pass_over_until(&self, until_ms: Millis) {
+    /// Skips the server until then, as its limit has no capacity.
+    pub fn skip_until(&self, until_ms: Millis) {
         self.at_limit_until_ms.set(until_ms);
     }
 
-    /// Until when its limit is taken to have no room; none where it may have some.
+    /// Time until which its limit has no capacity; `None` if it may have some.
     pub fn at_limit_until_ms(&self, now_ms: Millis) -> Option<Millis> {
         let until_ms = self.at_limit_until_ms.get();
         (now_ms < until_ms && self.limit_per_s().is_some()).then_some(until_ms)
     }
 
-    /// For how long it has been known to have a limit.
+    /// Time for which it has been known to have a limit.
     pub fn limit_known_for_ms(&self, now_ms: Millis) -> Millis {
-        self.said.borrow().limit().known_for_ms(now_ms)
+        self.notices.borrow().limit().known_for_ms(now_ms)
     }
 
-    /// Whether its limit has changed so much that others should know; and what it was when they were last
-    /// told.
-    pub fn take_limit_news(&self) -> Option<Option<f64>> {
-        let (told, now) = (self.limit_told.get(), self.limit_per_s());
-        is_news(told, now).then(|| self.limit_told.replace(now))
+    /// Returns the previously reported limit if the limit has changed so much that others should
+    /// know, and marks the new one as reported.
+    pub fn take_limit_change(&self) -> Option<Option<f64>> {
+        let (reported, now) = (self.reported_limit.get(), self.limit_per_s());
+        is_news(reported, now).then(|| self.reported_limit.replace(now))
     }
 
-    /// What is known of its limit, to tell others.
+    /// Its limit with the time of its announcement, to pass on to other boxes.
     pub fn limit_notice(&self) -> Option<LimitNotice> {
-        self.said.borrow().limit().notice()
+        self.notices.borrow().limit().notice()
     }
 
-    /// Notes that another server answers at its address: it has ended, whatever its entry says. Entries
-    /// of servers that ended come back at times, beside those of the ones that took their addresses.
+    /// Records that another server answers at its address, so that it has ended whatever its entry
+    /// says. Entries of ended servers reappear at times next to those of servers that took over
+    /// their addresses.
     pub fn note_displaced(&self, now_ms: Millis) {
-        self.displaced_until_ms.set(now_ms + DISPLACED_LIFE_MS);
+        self.displaced_until_ms.set(now_ms + DISPLACED_PAUSE_MS);
     }
 
-    /// Whether another server was seen at its address lately.
+    /// Whether another server was seen at its address recently.
     pub fn is_displaced(&self, now_ms: Millis) -> bool {
         now_ms < self.displaced_until_ms.get()
     }
 
-    /// The short form of its key in messages.
+    /// Shortened key for messages between boxes.
     pub fn fingerprint(&self) -> Fingerprint {
         self.key as Fingerprint
     }
 
-    /// Counts a request of this box with so many tokens to read, for an adapter if it names one.
+    /// Counts a request of this box with `tokens` prompt tokens, for an adapter if it names one.
     pub fn begin_request(
         self: &Rc<Self>,
         adapter: Option<AdapterKey>,
@@ -313,22 +318,22 @@
         }
     }
 
-    /// Requests of all boxes that run here, as far as the holder told.
+    /// Requests that all boxes have running there, as far as the holder reported.
     pub fn running(&self, now_ms: Millis) -> usize {
         self.usage.borrow().running() + self.view.borrow().running_elsewhere(now_ms)
     }
 
-    /// Notes how a head's time stood to its objective.
+    /// Records a time to the response head as a fraction of its objective.
     pub fn note_delay(&self, part_of_objective: f64, now_ms: Millis) {
-        let part = part_of_objective.min(MOST_DELAY);
+        let part = part_of_objective.min(MAX_DELAY);
         let known = self.own_delay(now_ms);
         let delay = known + DELAY_WEIGHT * (part - known);
         self.delay.set((delay, now_ms));
         self.usage.borrow_mut().note_delay(part);
     }
 
-    /// Usual time to the head as a part of the objective, fading with time: what this box saw,
-    /// or what all boxes saw where that is more.
+    /// Usual time to the response head as a fraction of the objective, which decays over time: the
+    /// larger of this box's own value and the value over all boxes.
     pub fn delay(&self, now_ms: Millis) -> f64 {
         self.own_delay(now_ms).max(self.view.borrow().delay(now_ms))
     }
@@ -338,11 +343,11 @@
         faded(amount, noted_ms, DELAY_HALF_LIFE_MS, now_ms)
     }
 
-    /// Mistrust in the server, fading with time: by what this box saw, or what all boxes saw
-    /// where that is more.
+    /// Penalty for failures, which decays over time: the larger of this box's own value and the
+    /// value over all boxes.
     pub fn mistrust(&self, now_ms: Millis) -> f64 {
-        let told = self.view.borrow().mistrust(now_ms);
-        self.own_mistrust(now_ms).max(told)
+        let reported = self.view.borrow().mistrust(now_ms);
+        self.own_mistrust(now_ms).max(reported)
     }
 
     fn own_mistrust(&self, now_ms: Millis) -> f64 {
@@ -350,7 +355,7 @@
         faded(amount, noted_ms, MISTRUST_HALF_LIFE_MS, now_ms)
     }
 
-    /// Adds mistrust after a failure.
+    /// Adds a penalty after a failure.
     pub fn add_mistrust(&self, amount: f64, now_ms: Millis) {
         let sum = (self.own_mistrust(now_ms) + amount).min(MOST_MISTRUST);
         self.mistrust.set((sum, now_ms));
--- a/crates/tinbay-gateway/src/servers/service.rs
+++ b/crates/tinbay-gateway/src/servers/service.rs
@@ -1,4 +1,4 @@
-//! What the servers of one service have in common, as this box sees it.
+//! Statistics that this box shares among the servers of one service.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -7,17 +7,17 @@
 
 use crate::http::reuse::ReuseLedger;
 
-/// What the servers of one service have in common.
+/// Statistics shared by the servers of one service.
 #[derive(Debug)]
-pub struct ServiceSight {
-    /// What their kept connections are trusted with.
+pub struct ServiceStats {
+    /// How long idle connections can be reused safely.
     pub reuse: Rc<ReuseLedger>,
-    /// How long answers take.
+    /// Distribution of answer times.
     pub times: RefCell<AnswerTimes>,
 }
 
-impl ServiceSight {
-    /// Nothing was seen yet.
+impl ServiceStats {
+    /// Creates statistics without samples.
     pub fn new(reuse: ReuseLedger) -> Self {
         Self {
             reuse: Rc::new(reuse),
--- a/crates/tinbay-gateway/src/servers/usage.rs
+++ b/crates/tinbay-gateway/src/servers/usage.rs
@@ -1,4 +1,4 @@
-//! What this box has running at one server.
+//! Requests that this box has running at one server.
 
 use std::collections::HashMap;
 
@@ -7,8 +7,8 @@
 use tinbay_core::serving::subscribers::AdapterUse;
 use tinbay_core::units::Millis;
 
-/// Pause after which the holder is told again what still runs, as messages may be lost.
-const REFRESH_MS: Millis = 1_000;
+/// Interval at which running requests are reported again, as messages may be lost.
+const REPORT_INTERVAL_MS: Millis = 1_000;
 
 #[derive(Debug, Default, Clone, Copy)]
 struct Requests {
@@ -17,30 +17,30 @@
     begun_tokens: u32,
 }
 
-/// What this box has running at one server.
+/// Requests that this box has running at one server.
 #[derive(Debug, Default)]
 pub struct Usage {
     running: usize,
     by_adapter: HashMap<AdapterKey, Requests>,
     is_changed: bool,
-    told_ms: Millis,
+    reported_ms: Millis,
     last_delay: Option<f64>,
     mistrust: f64,
 }
 
-/// What the holder of a server is told.
+/// Report of this box's requests to the holder of a server.
 #[derive(Debug, Clone, PartialEq)]
 pub struct UsageReport {
-    /// All that runs, by adapter.
+    /// Running and newly begun requests by adapter.
     pub uses: Vec<AdapterUse>,
-    /// Mistrust by failures since the last report.
+    /// Penalty for failures since the last report.
     pub mistrust: f64,
-    /// The last time to the first byte as a part of its objective, if one is new.
+    /// Last time to the first byte as a fraction of its objective; `None` if there is no new one.
     pub delay: Option<f64>,
 }
 
 impl Usage {
-    /// A request with so many tokens to read begins, for an adapter if it names one.
+    /// Counts a request with `tokens` prompt tokens as begun, for an adapter if it names one.
     pub fn begin(&mut self, adapter: Option<AdapterKey>, tokens: u32) {
         self.running += 1;
         if let Some(adapter) = adapter {
@@ -52,7 +52,7 @@
         }
     }
 
-    /// A request ends.
+    /// Counts a request as ended.
     pub fn end(&mut self, adapter: Option<AdapterKey>) {
         self.running -= 1;
         if let Some(requests) = adapter.and_then(|key| self.by_adapter.get_mut(&key)) {
@@ -61,35 +61,36 @@
         }
     }
 
-    /// Requests that run.
+    /// Number of running requests.
     pub fn running(&self) -> usize {
         self.running
     }
 
-    /// Requests that run for one adapter.
+    /// Number of running requests for one adapter.
     pub fn running_for(&self, adapter: AdapterKey) -> usize {
         let requests = self.by_adapter.get(&adapter);
         requests.map_or(0, |requests| usize::from(requests.running))
     }
 
-    /// Notes how the last time to the first byte stood to its objective.
+    /// Records the last time to the first byte as a fraction of its objective.
     pub fn note_delay(&mut self, part_of_objective: f64) {
         self.last_delay = Some(part_of_objective);
     }
 
-    /// Notes a failure there.
+    /// Adds the penalty of a failure.
     pub fn note_failure(&mut self, mistrust: f64) {
         self.mistrust += mistrust;
         self.is_changed = true;
     }
 
-    /// Whether the holder is to be told.
+    /// Whether a report to the holder is due.
     pub fn is_due(&self, now_ms: Millis) -> bool {
-        self.is_changed || (!self.by_adapter.is_empty() && now_ms >= self.told_ms + REFRESH_MS)
+        self.is_changed
+            || (!self.by_adapter.is_empty() && now_ms >= self.reported_ms + REPORT_INTERVAL_MS)
     }
 
-    /// What the holder is told now.
-    pub fn tell(&mut self, now_ms: Millis) -> UsageReport {
+    /// Builds the report for the holder and resets the counts since the last one.
+    pub fn take_report(&mut self, now_ms: Millis) -> UsageReport {
         let uses = self
             .by_adapter
             .iter()
@@ -106,7 +107,7 @@
         }
         self.by_adapter.retain(|_, requests| requests.running > 0);
         self.is_changed = false;
-        self.told_ms = now_ms;
+        self.reported_ms = now_ms;
         UsageReport {
             uses,
             mistrust: std::mem::take(&mut self.mistrust),
--- a/crates/tinbay-gateway/src/servers/waiting.rs
+++ b/crates/tinbay-gateway/src/servers/waiting.rs
@@ -1,4 +1,4 @@
-//! Bytes of requests that a server was sent and has not begun to answer.
+//! Bytes of requests that were sent to a server which has not begun to answer them.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -9,10 +9,10 @@
 #[derive(Debug, Default)]
 pub struct WaitingBytes {
     bytes: Rc<Cell<u64>>,
-    bound_bytes: Cell<Option<u64>>,
+    max_bytes: Cell<Option<u64>>,
 }
 
-/// Bytes of one request, until the server begins to answer it or it is given up.
+/// Share of one request, held until the server begins to answer it or it is given up.
 #[derive(Debug)]
 pub struct WaitingRequest {
     sum: Rc<Cell<u64>>,
@@ -20,15 +20,16 @@
 }
 
 impl WaitingBytes {
-    /// Whether the server may be sent one more request.
+    /// Whether one more request may be sent to the server.
     pub fn takes_more(&self) -> bool {
-        let bound_bytes = self.bound_bytes.get().unwrap_or(u64::MAX);
-        waiting::takes_more(self.bytes.get(), bound_bytes)
+        let max_bytes = self.max_bytes.get().unwrap_or(u64::MAX);
+        waiting::takes_more(self.bytes.get(), max_bytes)
     }
 
-    /// Counts a request of one of so many boxes.
+    /// Counts a request. The limit depends on the number of boxes, as all of them send to the
+    /// server.
     pub fn begin(&self, bytes: u64, boxes: usize) -> WaitingRequest {
-        self.bound_bytes.set(Some(waiting::bound_bytes(boxes)));
+        self.max_bytes.set(Some(waiting::bound_bytes(boxes)));
         self.bytes.set(self.bytes.get() + bytes);
         WaitingRequest {
             sum: Rc::clone(&self.bytes),
--- a/crates/tinbay-gateway/tests/asking_test.rs
+++ b/crates/tinbay-gateway/tests/asking_test.rs
@@ -1,4 +1,5 @@
-//! When a box asks others: for loads, and the store while relays give nothing.
+//! When a box requests loads from holders, and when it reads the store itself while relays don't
+//! answer.
 
 use tinbay_gateway::front::choice::Asked;
 use tinbay_gateway::port::store::StoreError;
@@ -27,7 +28,8 @@
     assert!(asked.is_coming(SERVER, 1_799) && !asked.is_coming(SERVER, 1_800));
 }
 
-/// Later answers tell how long a load takes that is asked for then.
+/// Only the first answer tells how long the requested load takes; later ones are for loads
+/// requested at that time.
 #[test]
 fn note_wait_first_answer_counts() {
     let mut asked = Asked::default();
@@ -39,8 +41,8 @@
     assert_eq!(asked.expected_ms(SERVER), Some(1_250));
 }
 
-/// While the store is away for all, each box that should ask relays makes one call in two
-/// seconds, whichever prefix it is for.
+/// While the store is unreachable for all boxes, each box that should ask relays makes one call in
+/// two seconds over all prefixes.
 #[test]
 fn store_turn_one_call_until_one_succeeds() {
     let turn = StoreTurn::default();
@@ -63,8 +65,8 @@
     }
 }
 
-/// The store serves this box and turns its relays away: the configuration is read at once,
-/// whatever was read before.
+/// The store may answer this box and reject its relays. The configuration must then be read at
+/// once, whatever was read before.
 #[test]
 fn store_turns_of_the_configuration_wait_for_no_other_prefix() {
     let turns = StoreTurns::default();
@@ -73,7 +75,7 @@
     assert!(turns.of(pace(true)).take(2_000, 10));
 }
 
-/// A box that reads the store for its zone asks others first while the store turns it away.
+/// A box that reads the store for its zone asks other boxes first while the store rejects it.
 #[test]
 fn note_failure_until_a_read_succeeds() {
     let turn = StoreTurn::default();
@@ -86,8 +88,8 @@
     assert!(!turn.is_failing());
 }
 
-/// A relay that the store turned away goes on looking for it, also while others answer: else it
-/// stays out of touch for its zone.
+/// A relay rejected by the store must keep trying it even while other boxes answer. Otherwise it
+/// would stay out of touch with the store for its zone.
 #[test]
 fn takes_relay_looks_again_after_a_failure() {
     let turn = StoreTurn::default();
@@ -100,7 +102,7 @@
     assert!(turn.takes_relay(1_220) && turn.takes_relay(1_230));
 }
 
-/// A store that is slow is still heard: the first answer that is given up makes room for the next.
+/// A slow store must still be read: a late answer raises the time-out for the next read.
 #[test]
 fn patience_grows_with_a_slow_store_and_falls_again() {
     let turn = StoreTurn::default();
--- a/crates/tinbay-gateway/tests/server_view_test.rs
+++ b/crates/tinbay-gateway/tests/server_view_test.rs
@@ -1,4 +1,4 @@
-//! What a box believes of a server by its holder, and what it tells the holder.
+//! The view of a server by its holder's status, and the usage reports to the holder.
 
 use std::collections::HashMap;
 
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn note_tells_what_can_serve_now() {
+fn note_returns_newly_ready_adapters() {
     let mut view = View::default();
     let loading = entry(1, HeldState::Loading);
     let ready = entry(1, HeldState::Ready);
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn note_tells_what_can_serve_no_more() {
+fn note_returns_lost_adapters() {
     let mut view = View::default();
     let ready = entry(1, HeldState::Ready);
     let loading = entry(1, HeldState::Loading);
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn note_of_the_same_changes_nothing() {
+fn note_same_status_returns_no_change() {
     let mut view = View::default();
     let entries = [
         (4, entry(1, HeldState::Ready)),
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn status_counts_for_a_while_and_contents_longer() {
+fn status_values_expire_before_contents() {
     let mut view = View::default();
     view.note(status(&[(4, entry(1, HeldState::Ready))]), 1_000);
     assert!(view.is_fresh(1_299) && !view.is_fresh(1_300));
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn is_silent_from_the_first_question_until_it_answers_or_is_tried_again() {
+fn is_silent_until_answer_or_retry() {
     let mut view = View::default();
     view.note_asked(0);
     view.note_asked(50);
@@ -90,32 +90,32 @@
 }
 
 #[test]
-fn tell_gives_what_runs_and_what_began_once() {
+fn take_report_returns_running_and_newly_begun() {
     let key = adapter_key("m/a");
     let mut usage = Usage::default();
     usage.begin(Some(key), 500);
     usage.begin(Some(key), 700);
     usage.end(Some(key));
-    let report = usage.tell(0);
+    let report = usage.take_report(0);
     assert_eq!(report.uses[0].running, 1);
     assert_eq!(report.uses[0].begun, 2);
     assert_eq!(report.uses[0].begun_tokens, 1_200);
-    assert_eq!(usage.tell(10).uses[0].begun, 0);
+    assert_eq!(usage.take_report(10).uses[0].begun, 0);
 }
 
 #[test]
-fn is_due_when_something_changed_or_still_runs() {
+fn is_due_after_change_or_while_running() {
     let key = adapter_key("m/a");
     let mut usage = Usage::default();
     assert!(!usage.is_due(0));
     usage.begin(Some(key), 1);
     assert!(usage.is_due(0));
-    usage.tell(0);
+    usage.take_report(0);
     assert!(!usage.is_due(999) && usage.is_due(1_000));
     usage.end(Some(key));
     assert!(usage.is_due(10));
-    usage.tell(10);
+    usage.take_report(10);
     assert!(!usage.is_due(60_000));
     usage.note_failure(2.0);
-    assert_eq!(usage.tell(70_000).mistrust, 2.0);
+    assert_eq!(usage.take_report(70_000).mistrust, 2.0);
 }
--- a/crates/tinbay-gateway/tests/servers_test.rs
+++ b/crates/tinbay-gateway/tests/servers_test.rs
@@ -1,4 +1,4 @@
-//! Servers and their incarnations, as a box keeps them.
+//! The table of servers and their incarnations.
 
 use quickcheck::QuickCheck;
 use tinbay_core::serving::notices::AnswerNotice;
@@ -27,9 +27,9 @@
 fn put_restart_is_another_server() {
     let mut table = ServerTable::new(Clock::start());
     assert_eq!(table.put(record(Some(5), 1)), ServerChange::Arrived);
-    let first = table.get("i-1").expect("it is there");
+    let first = table.get("i-1").expect("server i-1 is listed");
     assert_eq!(table.put(record(Some(6), 1)), ServerChange::Restarted);
-    let next = table.get("i-1").expect("it is there");
+    let next = table.get("i-1").expect("server i-1 is listed");
     assert_ne!(first.key, next.key);
     assert!(table.by_key(first.key).is_none());
     assert!(table.by_fingerprint(first.fingerprint()).is_none());
@@ -41,12 +41,12 @@
     let mut table = ServerTable::new(Clock::start());
     table.put(record(Some(5), 1));
     assert_eq!(table.put(record(Some(5), 2)), ServerChange::Restarted);
-    let server = table.get("i-1").expect("it is there");
+    let server = table.get("i-1").expect("server i-1 is listed");
     assert_eq!(server.address_text, "127.0.0.1:2");
 }
 
 #[test]
-fn put_without_a_start_changes_no_incarnation() {
+fn put_without_start_time_keeps_incarnation() {
     let mut table = ServerTable::new(Clock::start());
     table.put(record(Some(5), 1));
     let leaving = ServerRecord {
@@ -58,8 +58,8 @@
     assert_eq!(table.put(record(Some(6), 1)), ServerChange::Restarted);
 }
 
-/// In whatever order entries come, the newest incarnation stands, and no key of an older one leads
-/// anywhere.
+/// Whatever the order of entries, the latest incarnation stays and keys of earlier ones find
+/// nothing.
 #[test]
 fn put_in_any_order_keeps_the_newest() {
     fn keeps(births: Vec<u8>) -> bool {
@@ -72,7 +72,7 @@
         let Some(newest) = births.iter().max() else {
             return table.is_empty();
         };
-        let server = table.get("i-1").expect("it is there");
+        let server = table.get("i-1").expect("server i-1 is listed");
         let known = keys.iter().filter(|key| table.by_key(**key).is_some());
         server.record().born_ms == Some(u64::from(*newest))
             && known.into_iter().all(|key| *key == server.key)
@@ -83,11 +83,11 @@
         .quickcheck(keeps as fn(Vec<u8>) -> bool);
 }
 
-/// An entry that says `ready` comes after one that says `draining`, from a listing through a box that
-/// was behind, or after the entry was gone for a while: the incarnation leaves all the same. Its state
-/// was that of the entry seen last.
+/// Leaving is final for an incarnation. An entry that says `ready` can arrive after one that says
+/// `draining`: from a listing by a box that was behind, or when an entry reappears. The server once
+/// took the state of the last entry.
 #[test]
-fn put_leaving_is_final_for_an_incarnation() {
+fn put_leaving_is_final() {
     let leaving = ServerRecord {
         state: ServerState::Draining,
         ..record(Some(5), 1)
@@ -95,61 +95,65 @@
     let mut table = ServerTable::new(Clock::start());
     table.put(leaving);
     assert_eq!(table.put(record(Some(5), 1)), ServerChange::Same);
-    assert!(table.ready("engine").is_empty(), "an older entry came late");
+    assert!(
+        table.ready("engine").is_empty(),
+        "an older entry arrived late"
+    );
     table.remove("i-1");
     table.put(record(Some(5), 1));
-    assert!(table.ready("engine").is_empty(), "its entry came back");
+    assert!(table.ready("engine").is_empty(), "its entry reappeared");
     table.put(record(Some(6), 1));
-    assert_eq!(table.ready("engine").len(), 1, "it has started again");
+    assert_eq!(table.ready("engine").len(), 1, "it restarted");
 }
 
-/// A server that says that it leaves and wants rest, noted on what a request under way holds.
-fn say_all(server: &Server) {
+/// Applies a notice of leaving and of a pause, as a request in progress does.
+fn announce_leaving_and_pause(server: &Server) {
     let notice = AnswerNotice {
         is_leaving: true,
         rest_ms: Some(60_000),
         limit: None,
     };
-    server.note_said(notice, 1);
+    server.apply_notice(notice, 1);
 }
 
 #[test]
-fn said_outlasts_an_entry_that_goes_and_comes_back() {
+fn notices_survive_a_lapsed_entry() {
     let mut table = ServerTable::new(Clock::start());
     table.put(record(None, 1));
-    let server = table.get("i-1").expect("it is there");
+    let server = table.get("i-1").expect("server i-1 is listed");
     table.remove("i-1");
-    say_all(&server);
+    announce_leaving_and_pause(&server);
     table.put(record(None, 1));
-    let again = table.get("i-1").expect("it is there again");
+    let again = table.get("i-1").expect("server i-1 is listed again");
     assert!(again.is_leaving());
-    assert!(again.rest_until_ms(2).is_some());
+    assert!(again.paused_until_ms(2).is_some());
     table.remove("i-1");
     table.put(record(Some(5), 1));
     assert!(
         table.ready("engine").is_empty(),
-        "nothing says that it started"
+        "no earlier start time, so no sign of a restart"
     );
 }
 
 #[test]
-fn said_does_not_bind_a_later_incarnation() {
+fn notices_do_not_apply_to_a_later_incarnation() {
     let mut table = ServerTable::new(Clock::start());
     table.put(record(Some(5), 1));
-    let server = table.get("i-1").expect("it is there");
-    say_all(&server);
+    let server = table.get("i-1").expect("server i-1 is listed");
+    announce_leaving_and_pause(&server);
     assert!(table.ready("engine").is_empty());
     assert_eq!(table.put(record(Some(6), 1)), ServerChange::Restarted);
     assert_eq!(table.ready("engine").len(), 1);
-    say_all(&server);
+    announce_leaving_and_pause(&server);
     assert_eq!(
         table.ready("engine").len(),
         1,
-        "a late word of the earlier one"
+        "a late notice of the earlier incarnation"
     );
 }
 
-/// Entries of an incarnation come back after those of the next one have gone: it has ended.
+/// An entry of an incarnation can reappear after those of the next one are gone. That incarnation
+/// has ended and must get no requests.
 #[test]
 fn put_earlier_incarnation_takes_no_work() {
     let mut table = ServerTable::new(Clock::start());
@@ -162,19 +166,19 @@
 }
 
 #[test]
-fn ready_leaves_out_who_rests_until_the_end() {
+fn ready_excludes_paused_until_the_end() {
     let mut table = ServerTable::new(Clock::start());
     table.put(record(Some(5), 1));
-    let server = table.get("i-1").expect("it is there");
+    let server = table.get("i-1").expect("server i-1 is listed");
     let notice = AnswerNotice {
         is_leaving: false,
         rest_ms: Some(60_000),
         limit: None,
     };
-    server.note_said(notice, 1);
+    server.apply_notice(notice, 1);
     assert!(table.ready("engine").is_empty());
     let end_ms = table.first_rest_end_ms("engine");
-    assert_eq!(end_ms, server.rest_until_ms(1));
-    assert!(server.takes_work(end_ms.expect("it rests")));
+    assert_eq!(end_ms, server.paused_until_ms(1));
+    assert!(server.takes_work(end_ms.expect("the server is paused")));
     assert_eq!(table.first_rest_end_ms("plain"), None);
 }
