--- a/crates/tinbay-gateway/src/crashes/spread.rs
+++ b/crates/tinbay-gateway/src/crashes/spread.rs
@@ -12,7 +12,7 @@
 
 use crate::node::Node;
 use crate::peers::frame::{CrashReportPart, FramePart, RefusedPart};
-use crate::peers::gossip::near_boxes;
+use crate::peers::gossip::zone_boxes;
 use crate::watch::relay;
 
 /// Boxes that track the crashes of a request. With two, crashes are still counted while one of them
@@ -87,7 +87,7 @@
 /// Announces a quarantined request to some boxes directly.
 pub fn announce(node: &Node, digest: RequestDigest, audience: Audience) {
     let refused = vec![RefusedPart { digest, age_s: 0 }];
-    for box_id in near_boxes(node).sample(&mut rand::rng(), ZONE_PEERS) {
+    for box_id in zone_boxes(node).sample(&mut rand::rng(), ZONE_PEERS) {
         node.outbox
             .post(box_id, FramePart::Refused(refused.clone()));
     }
--- a/crates/tinbay-gateway/src/limits/notices.rs
+++ b/crates/tinbay-gateway/src/limits/notices.rs
@@ -146,12 +146,12 @@
     let mut rng = rand::rng();
     let mut boxes = Vec::new();
     boxes.extend(
-        gossip::near_boxes(node)
+        gossip::zone_boxes(node)
             .sample(&mut rng, ZONE_PEERS)
             .cloned(),
     );
     boxes.extend(
-        gossip::far_boxes(node)
+        gossip::other_zone_boxes(node)
             .sample(&mut rng, OTHER_ZONE_PEERS)
             .cloned(),
     );
--- a/crates/tinbay-gateway/src/orders/holder.rs
+++ b/crates/tinbay-gateway/src/orders/holder.rs
@@ -558,7 +558,7 @@
             Audience::Users => self.held.user_boxes(now_ms),
         };
         for box_id in boxes {
-            self.node.outbox.tell_box(self.server.key, &box_id);
+            self.node.outbox.post_status(self.server.key, &box_id);
         }
     }
 
--- a/crates/tinbay-gateway/src/peers/exchange.rs
+++ b/crates/tinbay-gateway/src/peers/exchange.rs
@@ -1,4 +1,4 @@
-//! Sends the messages between boxes.
+//! Sends messages to other boxes.
 
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
@@ -10,7 +10,7 @@
 use tinbay_core::serving::servers::ServerKey;
 use tokio::net::UdpSocket;
 
-use super::frame::{Frame, FramePart, MOST_BYTES, UsagePart, to_percent};
+use super::frame::{Frame, FramePart, MAX_FRAME_BYTES, UsagePart, to_percent};
 use super::gossip;
 use super::outbox::Due;
 use crate::events::{self, part};
@@ -19,23 +19,23 @@
 use crate::sharing::holder;
 use crate::sharing::links::RoomLinks;
 
-/// Pause between looks at what ended and what is to be repeated.
+/// Interval at which ended requests are reported and running ones reported again.
 const TICK: Duration = Duration::from_millis(250);
 
-/// Pause between looks at what ended at servers with too little room: who waits for a place is let in when
-/// its holder hears of one.
+/// Report interval while servers are scarce, as a waiting request is admitted once the holder
+/// learns that another has ended.
 const SCARCE_TICK: Duration = Duration::from_millis(50);
 
-/// Ticks between two rounds of gossip.
+/// Ticks per round of gossip.
 const GOSSIP_TICKS: u64 = 2;
 
-/// Pause after messages, so that several changes go together.
-const GAP: Duration = Duration::from_millis(2);
+/// Pause after sending, so that several changes share a message.
+const SEND_PAUSE: Duration = Duration::from_millis(2);
 
-/// Bytes that a frame takes besides its parts: names, numbers, lengths.
-const FRAME_BYTES: usize = 80;
+/// Size reserved in a frame for everything but its parts.
+const FRAME_OVERHEAD_BYTES: usize = 80;
 
-/// Sends what is due until the box stops.
+/// Sends due messages until the box stops.
 pub async fn send(node: Rc<Node>, socket: Rc<UdpSocket>) {
     let mut sender = Sender {
         node,
@@ -45,22 +45,26 @@
     };
     let mut ticks = 0;
     let mut next_tick = tokio::time::Instant::now();
-    let mut next_look = next_tick;
+    let mut next_scarce_tick = next_tick;
     loop {
         if tokio::time::Instant::now() >= next_tick {
             next_tick = tokio::time::Instant::now() + TICK;
             tick(&sender.node, ticks);
             ticks += 1;
         }
-        if tokio::time::Instant::now() >= next_look {
-            let is_any_scarce = look_at_scarce(&sender.node);
-            let pause = if is_any_scarce { SCARCE_TICK } else { TICK };
-            next_look = tokio::time::Instant::now() + pause;
+        if tokio::time::Instant::now() >= next_scarce_tick {
+            let has_scarce_servers = scarce_tick(&sender.node);
+            let pause = if has_scarce_servers {
+                SCARCE_TICK
+            } else {
+                TICK
+            };
+            next_scarce_tick = tokio::time::Instant::now() + pause;
         }
         sender.send_due().await;
-        tokio::time::sleep(GAP).await;
+        tokio::time::sleep(SEND_PAUSE).await;
         tokio::select! {
-            () = tokio::time::sleep_until(next_tick.min(next_look)) => {}
+            () = tokio::time::sleep_until(next_tick.min(next_scarce_tick)) => {}
             () = sender.node.outbox.wait() => {}
         }
     }
@@ -79,8 +83,9 @@
     }
 }
 
-/// Tells what ended at servers with too little room, and lets requests in there; whether there is any.
-fn look_at_scarce(node: &Node) -> bool {
+/// Reports usage at scarce servers and decides on waiting requests there; returns whether any
+/// server is scarce.
+fn scarce_tick(node: &Node) -> bool {
     if !holder::has_accounts(node) {
         return false;
     }
@@ -122,7 +127,7 @@
 impl Sender {
     async fn send_due(&mut self) {
         let due = self.node.outbox.take();
-        for (box_id, parts) in by_box(&self.node, due) {
+        for (box_id, parts) in parts_by_box(&self.node, due) {
             let Some(address) = peer_address(&self.node, &box_id) else {
                 continue;
             };
@@ -130,17 +135,17 @@
         }
     }
 
-    /// Sends parts in as few frames as they fit into.
+    /// Sends parts in as few frames as possible.
     async fn send_parts(&mut self, box_id: &str, address: SocketAddr, parts: Vec<FramePart>) {
         let mut frame = Vec::new();
-        let mut bytes = FRAME_BYTES;
+        let mut bytes = FRAME_OVERHEAD_BYTES;
         for part in parts {
             let size = postcard::to_stdvec(&part).map_or(0, |encoded| encoded.len());
             self.node.metrics.count_part(part.kind(), size);
-            if bytes + size > MOST_BYTES && !frame.is_empty() {
+            if bytes + size > MAX_FRAME_BYTES && !frame.is_empty() {
                 self.send_frame(box_id, address, std::mem::take(&mut frame))
                     .await;
-                bytes = FRAME_BYTES;
+                bytes = FRAME_OVERHEAD_BYTES;
             }
             bytes += size;
             frame.push(part);
@@ -170,7 +175,8 @@
         }
     }
 
-    /// A message that is not sent is like one that gets lost: it is asked again, or repeated.
+    /// Counts a failed send. It needs no retry here: as after a lost datagram, requests and reports
+    /// are repeated.
     fn note_failure(&self, box_id: &str, error: String) {
         self.node.metrics.count_frame("send_failed", 0);
         let event = SendFailedEvent { to: box_id, error };
@@ -183,17 +189,17 @@
     members.get(box_id).map(|member| member.record.peer)
 }
 
-/// All that is due, by the box it goes to.
-fn by_box(node: &Node, due: Due) -> HashMap<String, Vec<FramePart>> {
+/// Groups the due parts by receiver.
+fn parts_by_box(node: &Node, due: Due) -> HashMap<String, Vec<FramePart>> {
     let mut by_box = due.parts;
     for (server, boxes) in due.statuses {
         for (box_id, status) in statuses(node, server, boxes) {
             by_box.entry(box_id).or_default().push(status);
         }
     }
-    for server in due.uses {
-        if let Some((holder, uses)) = uses(node, server) {
-            by_box.entry(holder).or_default().push(uses);
+    for server in due.usage_reports {
+        if let Some((holder, usage)) = usage_for_holder(node, server) {
+            by_box.entry(holder).or_default().push(usage);
         }
     }
     by_box
@@ -214,8 +220,8 @@
         .collect()
 }
 
-/// What runs at a server, for its holder; told at once where this box is the holder.
-fn uses(node: &Node, server: ServerKey) -> Option<(String, FramePart)> {
+/// Builds the usage report for a server's holder; applied directly where this box is the holder.
+fn usage_for_holder(node: &Node, server: ServerKey) -> Option<(String, FramePart)> {
     let server = node.servers.borrow().by_key(server)?;
     let holder = node.holder_of(&server)?;
     let report = server.usage.borrow_mut().take_report(node.now_ms());
--- a/crates/tinbay-gateway/src/peers/frame.rs
+++ b/crates/tinbay-gateway/src/peers/frame.rs
@@ -1,4 +1,4 @@
-//! The message between boxes.
+//! Message format between boxes.
 
 use serde::{Deserialize, Serialize};
 use tinbay_core::crashes::digest::RequestDigest;
@@ -13,68 +13,70 @@
 use crate::members::MemberRecord;
 use crate::sharing::messages::{RoomReplyPart, RoomRequestPart};
 
-/// Longest datagram: what fits into one packet of any usual link.
-pub const MOST_BYTES: usize = 1_300;
+/// Largest datagram, which fits into one packet on all usual links.
+pub const MAX_FRAME_BYTES: usize = 1_300;
 
-/// What one box tells another.
+/// One datagram from a box to another.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Frame {
-    /// The sender.
+    /// Id of the sender.
     pub box_id: String,
-    /// Start of the sender's process, to tell its runs apart.
+    /// Start time of the sender's process, which tells its runs apart.
     pub incarnation: u64,
-    /// Rises with each frame of the run.
+    /// Rises with each frame of the run, so that late frames can be detected.
     pub sequence: u64,
-    /// What it has to say.
+    /// Parts, in no particular order.
     pub parts: Vec<FramePart>,
 }
 
-/// One part of what a box has to say.
+/// One part of a frame.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum FramePart {
-    /// What the sender says about itself.
+    /// The sender's own record.
     Hello(MemberRecord),
-    /// When boxes of its availability zone were last heard, and how long ago in ms.
+    /// Boxes of the sender's availability zone, with the time since each was last heard from, in
+    /// ms.
     LastHeard(Vec<(Fingerprint, u16)>),
-    /// What the sender says to other zones, as one of the few that speak for its own.
-    ZoneWord(ZoneWordPart),
-    /// Boxes of other zones that are silent, and how old that word is in ms.
+    /// Report of the sender's zone to other zones, sent by the zone's relays.
+    ZoneReport(ZoneReportPart),
+    /// Silent boxes of other zones, with the age of that report in ms.
     Silent(Vec<(Fingerprint, u16)>),
-    /// When other zones were last heard, and how long ago in ms.
+    /// Other zones, with the time since each was last heard from, in ms.
     ZonesHeard(Vec<(Fingerprint, u16)>),
-    /// A crash under a request that the receiver judges.
+    /// A crash under a request that the receiver tracks.
     CrashReport(CrashReportPart),
-    /// Requests that are refused, as servers crash under them.
+    /// Quarantined requests, under which servers crash.
     Refused(Vec<RefusedPart>),
-    /// What the sender wants of a limit that the receiver keeps for all boxes.
+    /// Request for units of a limit whose home is the receiver.
     LimitRequest(LimitRequestPart),
-    /// What the receiver may let in of a limit.
+    /// Answer to a request for units.
     LimitGrant(LimitGrantPart),
-    /// What a server told the sender of its limit, which the receiver keeps, or whose server it holds.
+    /// Limit that a server announced, sent to the limit's home, the server's holder and other
+    /// boxes.
     ServerLimit(ServerLimitPart),
-    /// What a request needs of a server that the receiver holds.
+    /// Request to load an adapter at a server that the receiver holds.
     LoadRequest(LoadRequestPart),
-    /// A request for the status of a server that the receiver holds.
+    /// Request for the status of a server that the receiver holds, by the server's fingerprint.
     StatusRequest(Fingerprint),
     /// A server that the receiver holds refused a request for an adapter that it should hold.
     Contradiction(Fingerprint),
-    /// All that the sender has running at a server that the receiver holds.
+    /// Requests that the sender has running at a server that the receiver holds.
     Usage(UsagePart),
-    /// The status of a server that the sender holds.
+    /// Status of a server that the sender holds.
     Status(StatusPart),
-    /// A request that asks for room at a server that the receiver holds.
+    /// Request for capacity at a server that the receiver holds.
     RoomRequest(RoomRequestPart),
-    /// What becomes of a request that asked for room.
+    /// Reply to a request for capacity.
     RoomReply(RoomReplyPart),
 }
 
 impl FramePart {
-    /// Name for measures.
+    /// Name in metrics.
     pub fn kind(&self) -> &'static str {
         match self {
             FramePart::Hello(_) => "hello",
             FramePart::LastHeard(_) => "last_heard",
-            FramePart::ZoneWord(_) => "zone_word",
+            FramePart::ZoneReport(_) => "zone_word",
             FramePart::Silent(_) => "silent",
             FramePart::ZonesHeard(_) => "zones_heard",
             FramePart::CrashReport(_) => "crash_report",
@@ -93,63 +95,63 @@
     }
 }
 
-/// What one availability zone tells another.
+/// Report of one availability zone to another.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ZoneWordPart {
-    /// Boxes of the sender's zone that nobody there hears.
+pub struct ZoneReportPart {
+    /// Boxes of the sender's zone that no box there has heard from recently.
     pub silent: Vec<Fingerprint>,
-    /// Other zones that the sender hears, and how long ago in ms.
+    /// Other zones, with the time since the sender last heard from each, in ms.
     pub zones_heard: Vec<(Fingerprint, u16)>,
 }
 
-/// A crash under a request.
+/// Report of a server's crash under a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CrashReportPart {
-    /// The request.
+    /// Digest of the request.
     pub digest: RequestDigest,
-    /// The crash.
+    /// Key of the incarnation that crashed.
     pub crash: CrashKey,
 }
 
-/// A request that is refused.
+/// A quarantined request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RefusedPart {
-    /// The request.
+    /// Digest of the request.
     pub digest: RequestDigest,
-    /// For how long it has been, in s.
+    /// Time since it was quarantined, in s.
     pub age_s: u16,
 }
 
-/// What a box wants of a limit.
+/// Request for units of a limit.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct LimitRequestPart {
-    /// The limit.
+    /// Key of the limit.
     pub key: LimitKey,
-    /// Number of the question, which the answer repeats.
+    /// Number chosen by the sender, which the answer repeats; 0 for a prefetch.
     pub number: u32,
-    /// Units that a request waits for; 0 where none does.
+    /// Units for which a request waits; 0 for a prefetch.
     pub needed: u32,
-    /// Units that the box would use soon besides.
+    /// Units to prefetch, which the box expects to use soon.
     pub ahead: u32,
-    /// Boxes that said of themselves that they can't keep the limit.
+    /// Boxes that reported that they can't be the limit's home.
     pub excluded: Vec<Fingerprint>,
-    /// What the sender knows of a server's limit.
+    /// The sender's knowledge of the limit if it is a server's.
     pub notice: Option<LimitNoticePart>,
-    /// The try for which units are needed, where that matters for who gets them.
+    /// Attempt for which the units are needed; `None` where it doesn't affect who gets them.
     pub caller_try: Option<CallerTryPart>,
 }
 
-/// One try of a caller.
+/// One attempt of a caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallerTryPart {
-    /// Tells one request from another.
+    /// Identifies the request; all attempts have the same value.
     pub digest: u64,
-    /// Time after its first try by which its answer is late, in ms.
+    /// Time after the first attempt by which the answer is due, in ms.
     pub objective_ms: u16,
 }
 
 impl CallerTryPart {
-    /// A try as it is told; an objective beyond a minute is told as that.
+    /// Converts an attempt for a message; a longer objective than fits, about a minute, is capped.
     pub fn new(of: CallerTry) -> Self {
         Self {
             digest: of.digest,
@@ -157,7 +159,7 @@
         }
     }
 
-    /// The try that was told.
+    /// Converts the message back into an attempt.
     pub fn to_try(self) -> CallerTry {
         CallerTry {
             digest: self.digest,
@@ -166,104 +168,105 @@
     }
 }
 
-/// What a server told a box of its limit.
+/// Limit that a server announced.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct ServerLimitPart {
-    /// The server.
+    /// Fingerprint of the server.
     pub server: Fingerprint,
-    /// What it said.
+    /// The limit with the age of its announcement.
     pub notice: LimitNoticePart,
 }
 
-/// What a box may let in of a limit.
+/// Answer of a box to a request for units of a limit.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct LimitGrantPart {
-    /// The limit.
+    /// Key of the limit.
     pub key: LimitKey,
-    /// Number of the question.
+    /// Number of the request that is answered.
     pub number: u32,
-    /// Whether the sender keeps the limit; else it gives nothing.
+    /// Whether the sender is the limit's home; otherwise it grants nothing.
     pub is_home: bool,
-    /// The box that the sender takes for the one that does; none where it can't be one itself.
+    /// Box that the sender takes for the home; `None` if that would be the sender itself, which
+    /// can't be one now.
     pub other: Option<Fingerprint>,
-    /// Units.
+    /// Granted units.
     pub units: u32,
-    /// Where what was needed is not given: time until there is room for it, in ms.
+    /// If the needed units are not granted: time until the limit has them, in ms.
     pub room_in_ms: Option<u16>,
-    /// What the sender knows of a server's limit.
+    /// The sender's knowledge of the limit if it is a server's.
     pub notice: Option<LimitNoticePart>,
 }
 
-/// What a request needs of a server.
+/// Request to load an adapter.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadRequestPart {
-    /// The server.
+    /// Fingerprint of the server.
     pub server: Fingerprint,
     /// The adapter as `model/name`, or a base model.
     pub adapter: String,
-    /// The version that was named, if one was.
+    /// Requested version; `None` if the caller named none.
     pub version: Option<u64>,
-    /// Whether no request waits for it.
+    /// Whether it is an additional copy for which no request waits.
     pub is_copy: bool,
 }
 
-/// All that a box has running at a server.
+/// A box's requests at a server.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UsagePart {
-    /// The server.
+    /// Fingerprint of the server.
     pub server: Fingerprint,
-    /// Requests by adapter.
+    /// Running and newly begun requests by adapter.
     pub uses: Vec<AdapterUse>,
-    /// Mistrust by failures since the last such part, in hundredths.
+    /// Penalty for failures since the last such part, in percent.
     pub mistrust_percent: u16,
-    /// The last time to the first byte as hundredths of the objective, if one is new.
+    /// Last time to the first byte in percent of the objective; `None` if there is no new one.
     pub delay_percent: Option<u16>,
 }
 
-/// What a server's holder believes of it.
+/// Status of a server by its holder.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct StatusPart {
-    /// The server.
+    /// Fingerprint of the server.
     pub server: Fingerprint,
-    /// Requests that run there for other boxes than the receiver.
+    /// Requests that other boxes than the receiver have running there.
     pub running_elsewhere: u16,
-    /// Usual time to the first byte as hundredths of the objective.
+    /// Usual time to the first byte in percent of the objective.
     pub delay_percent: u16,
-    /// What the server has to read before it begins a new request, in ms.
+    /// Time the server needs for the prompts queued ahead of a new request, in ms.
     pub backlog_ms: u16,
-    /// Mistrust in the server over all boxes, in hundredths.
+    /// Penalty for failed requests of all boxes, in percent.
     pub mistrust_percent: u16,
-    /// Whether a load could begin.
+    /// Whether the server could begin a load.
     pub takes_loads: bool,
-    /// Expected time until a load that is asked for now is done, in ms.
+    /// Expected time until a load requested now is finished, in ms.
     pub load_wait_ms: u16,
-    /// What is known of the server's limit.
+    /// The server's limit; `None` if it never announced one.
     pub limit: Option<LimitNoticePart>,
-    /// All adapters that take a place.
+    /// Adapters that occupy a slot of the server.
     pub adapters: Vec<AdapterPart>,
-    /// Whether requests have to ask the sender for room.
+    /// Whether requests need the sender's admission.
     pub is_scarce: bool,
 }
 
-/// An adapter that takes a place.
+/// An adapter that occupies a slot of a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AdapterPart {
-    /// The adapter.
+    /// Fingerprint of the adapter.
     pub adapter: Fingerprint,
-    /// Its version; 0 where it is not known.
+    /// Version; 0 if it is not known.
     pub version: u32,
-    /// Whether it can serve.
+    /// Whether it is ready; otherwise it is still loading.
     pub is_ready: bool,
-    /// Servers of its order over which it is spread.
+    /// Number of servers over which it is spread, counted along its order of preferred servers.
     pub copies: u8,
 }
 
-/// A part of an objective as hundredths.
+/// Converts a fraction to percent, capped to what fits.
 pub fn to_percent(part: f64) -> u16 {
     (part * 100.0).clamp(0.0, f64::from(u16::MAX)) as u16
 }
 
-/// Hundredths as a part of an objective.
+/// Converts percent to a fraction.
 pub fn from_percent(percent: u16) -> f64 {
     f64::from(percent) / 100.0
 }
--- a/crates/tinbay-gateway/src/peers/gossip.rs
+++ b/crates/tinbay-gateway/src/peers/gossip.rs
@@ -1,53 +1,52 @@
-//! Boxes of one availability zone tell each other whom they heard.
+//! Failure detection by gossip among the boxes of an availability zone.
 //!
-//! Each box talks to a few others at a time and passes on how long ago it heard each one; so a
-//! box that falls silent is missed by its whole zone within some rounds, at a cost that does
-//! not grow with the zone. The few boxes that read the store for a zone also speak for it: they
-//! tell some of those of other zones which of its boxes are silent, and each zone passes that on.
-//! Source: van Renesse, Minsky and Hayden, "A gossip-style failure detection service",
-//! Middleware 1998.
+//! Each box talks to a few others at a time and passes on how long ago it heard from each box. So a
+//! box that fails is noticed by its whole zone within some rounds, at a cost that does not grow
+//! with the zone. The few boxes that read the store for a zone, its relays, also report its silent
+//! boxes to some relays of other zones, and each zone passes that on. Source: van Renesse, Minsky
+//! and Hayden, "A gossip-style failure detection service", Middleware 1998.
 
 use rand::seq::{IndexedRandom, SliceRandom};
 use tinbay_core::serving::servers::Fingerprint;
 use tinbay_core::units::Millis;
 
-use super::frame::{FramePart, ZoneWordPart};
+use super::frame::{FramePart, ZoneReportPart};
 use crate::crashes::spread;
 use crate::node::Node;
 use crate::watch::relay;
 
-/// Boxes talked to in one round.
+/// Boxes contacted in one round.
 const PEERS: usize = 3;
 
-/// Most boxes passed on in one message; what fits beside the sender's own record.
-const MOST_PASSED_ON: usize = 100;
+/// Upper bound on boxes in one message: what fits beside the sender's own record.
+const MAX_HEARD: usize = 100;
 
-/// Most silent boxes named in one message.
-const MOST_SILENT: usize = 60;
+/// Upper bound on silent boxes in one message.
+const MAX_SILENT: usize = 60;
 
-/// Zones that are spoken to in one round: with up to 12 zones each one hears each other one at
+/// Other zones contacted in one round. With up to 12 zones, each zone hears from each other one at
 /// least once in two seconds, directly or through a third one.
-const ZONES_SPOKEN_TO: usize = 3;
+const ZONES_PER_ROUND: usize = 3;
 
-/// Tells some boxes of the zone which boxes of other zones are silent.
+/// Passes the known silent boxes of other zones on to some boxes of this zone.
 pub fn post_silent(node: &Node) {
     let mut silent = to_ages(node.members.borrow().silent_far(node.now_ms()));
     if silent.is_empty() {
         return;
     }
-    silent.truncate(MOST_SILENT);
-    let near = near_boxes(node);
-    for box_id in near.sample(&mut rand::rng(), PEERS) {
+    silent.truncate(MAX_SILENT);
+    let peers = zone_boxes(node);
+    for box_id in peers.sample(&mut rand::rng(), PEERS) {
         node.outbox.post(box_id, FramePart::Silent(silent.clone()));
     }
 }
 
-/// Speaks to other zones, if this box is one of those that speak for its own.
-pub fn post_zone_word(node: &Node) {
+/// Reports to other zones if this box is one of its zone's relays.
+pub fn post_zone_report(node: &Node) {
     let relays = relay::relays(node);
-    // Other zones speak to the boxes that they see in the store. One whose entry had lapsed heard no
-    // word of them, said that their speakers were silent, and two homes dealt an account twice its
-    // limit for 4 s.
+    // Other zones report to the boxes that they see in the store. A box whose entry had expired got
+    // no reports, took the relays of other zones for silent, and two homes granted an account twice
+    // its limit for 4 s.
     if !relays.is_one || !node.is_surely_entered() {
         return;
     }
@@ -63,22 +62,23 @@
         }
         members.judge_speakers(now_ms);
     }
-    let word = {
+    let report = {
         let members = node.members.borrow();
         let mut silent = members.silent_near(&node.settings.borrow().box_id, now_ms);
-        silent.truncate(MOST_SILENT);
-        ZoneWordPart {
+        silent.truncate(MAX_SILENT);
+        ZoneReportPart {
             silent,
             zones_heard: to_ages(members.zones_heard(now_ms)),
         }
     };
     let mut rng = rand::rng();
     let refused = spread::refused_part(node);
-    let mut far = relays.far_by_zone;
-    far.shuffle(&mut rng);
-    for relays in far.iter().take(ZONES_SPOKEN_TO) {
+    let mut other_zones = relays.far_by_zone;
+    other_zones.shuffle(&mut rng);
+    for relays in other_zones.iter().take(ZONES_PER_ROUND) {
         if let Some(box_id) = relays.choose(&mut rng) {
-            node.outbox.post(box_id, FramePart::ZoneWord(word.clone()));
+            node.outbox
+                .post(box_id, FramePart::ZoneReport(report.clone()));
             if let Some(refused) = &refused {
                 node.outbox.post(box_id, refused.clone());
             }
@@ -87,21 +87,21 @@
 }
 
 fn to_ages(ages: Vec<(Fingerprint, Millis)>) -> Vec<(Fingerprint, u16)> {
-    let short = |age_ms: Millis| age_ms.min(Millis::from(u16::MAX)) as u16;
-    let ages = ages.into_iter().map(|(key, age_ms)| (key, short(age_ms)));
+    let capped = |age_ms: Millis| age_ms.min(Millis::from(u16::MAX)) as u16;
+    let ages = ages.into_iter().map(|(key, age_ms)| (key, capped(age_ms)));
     ages.collect()
 }
 
-/// Posts one round of messages.
+/// Queues one round of messages.
 pub fn post_round(node: &Node) {
-    post_zone_word(node);
+    post_zone_report(node);
     post_silent(node);
-    let near = near_boxes(node);
+    let peers = zone_boxes(node);
     let mut rng = rand::rng();
     let heard = heard(node);
     let zones_heard = to_ages(node.members.borrow().zones_heard(node.now_ms()));
     let refused = spread::refused_part(node);
-    for box_id in near.sample(&mut rng, PEERS) {
+    for box_id in peers.sample(&mut rng, PEERS) {
         if let Some(refused) = &refused {
             node.outbox.post(box_id, refused.clone());
         }
@@ -116,16 +116,16 @@
     }
 }
 
-/// Tells all boxes of the zone at once that this one is leaving.
+/// Tells all boxes of the zone directly that this one is leaving.
 pub fn post_leaving(node: &Node) {
-    for box_id in near_boxes(node) {
+    for box_id in zone_boxes(node) {
         let hello = FramePart::Hello(node.own_record());
         node.outbox.post(&box_id, hello);
     }
 }
 
-/// The other boxes of the zone.
-pub fn near_boxes(node: &Node) -> Vec<String> {
+/// Other boxes of this zone that are listed in the store.
+pub fn zone_boxes(node: &Node) -> Vec<String> {
     let settings = node.settings.borrow();
     let members = node.members.borrow();
     members
@@ -135,8 +135,8 @@
         .collect()
 }
 
-/// The boxes of other zones.
-pub fn far_boxes(node: &Node) -> Vec<String> {
+/// Boxes of other zones that are listed in the store.
+pub fn other_zone_boxes(node: &Node) -> Vec<String> {
     let settings = node.settings.borrow();
     let members = node.members.borrow();
     members
@@ -151,6 +151,6 @@
     let members = node.members.borrow();
     let mut heard = to_ages(members.heard(now_ms).collect());
     heard.shuffle(&mut rand::rng());
-    heard.truncate(MOST_PASSED_ON);
+    heard.truncate(MAX_HEARD);
     heard
 }
--- a/crates/tinbay-gateway/src/peers/inbox.rs
+++ b/crates/tinbay-gateway/src/peers/inbox.rs
@@ -1,4 +1,4 @@
-//! Takes the messages between boxes.
+//! Receives messages from other boxes.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -13,8 +13,8 @@
 use tokio::net::UdpSocket;
 
 use super::frame::{
-    AdapterPart, Frame, FramePart, LoadRequestPart, MOST_BYTES, StatusPart, UsagePart,
-    ZoneWordPart, from_percent,
+    AdapterPart, Frame, FramePart, LoadRequestPart, MAX_FRAME_BYTES, StatusPart, UsagePart,
+    ZoneReportPart, from_percent,
 };
 use super::gossip;
 use crate::crashes::spread;
@@ -26,14 +26,14 @@
 use crate::servers::view::{ServerStatus, ViewEntry};
 use crate::sharing::holder;
 
-/// Pause after a failed read.
+/// Wait after a failed read.
 const FAILURE_PAUSE: Duration = Duration::from_millis(10);
 
-/// The newest frames seen of one box, to pass over what comes late.
+/// Sequence numbers of the latest frames of one box, to ignore reordered ones.
 #[derive(Debug, Default)]
 struct Seen {
     incarnation: u64,
-    uses: HashMap<Fingerprint, u64>,
+    usage: HashMap<Fingerprint, u64>,
     statuses: HashMap<Fingerprint, u64>,
 }
 
@@ -43,9 +43,9 @@
     error: String,
 }
 
-/// Takes frames until the box stops.
+/// Receives frames until the box stops.
 pub async fn receive(node: Rc<Node>, socket: Rc<UdpSocket>) {
-    let mut buffer = vec![0; MOST_BYTES * 2];
+    let mut buffer = vec![0; MAX_FRAME_BYTES * 2];
     let mut seen: HashMap<String, Seen> = HashMap::new();
     loop {
         let Ok((length, _)) = socket.recv_from(&mut buffer).await else {
@@ -55,7 +55,7 @@
         match postcard::from_bytes::<Frame>(&buffer[..length]) {
             Ok(frame) => {
                 node.metrics.count_frame("received", length);
-                take(&node, frame, &mut seen);
+                handle_frame(&node, frame, &mut seen);
             }
             Err(error) => {
                 node.metrics.count_frame("unreadable", length);
@@ -69,7 +69,7 @@
     }
 }
 
-fn take(node: &Node, frame: Frame, seen: &mut HashMap<String, Seen>) {
+fn handle_frame(node: &Node, frame: Frame, seen: &mut HashMap<String, Seen>) {
     let seen = seen.entry(frame.box_id.clone()).or_default();
     if frame.incarnation < seen.incarnation {
         return;
@@ -92,10 +92,12 @@
                 let mut members = node.members.borrow_mut();
                 members.note_hello(&frame.box_id, record, now_ms);
             }
-            FramePart::LastHeard(heard) => take_last_heard(node, &heard, now_ms),
-            FramePart::ZoneWord(word) => take_zone_word(node, &frame.box_id, &word, now_ms),
-            FramePart::Silent(silent) => take_silent(node, &silent, now_ms),
-            FramePart::ZonesHeard(zones) => take_zones_heard(node, &zones, now_ms),
+            FramePart::LastHeard(heard) => handle_last_heard(node, &heard, now_ms),
+            FramePart::ZoneReport(report) => {
+                handle_zone_report(node, &frame.box_id, &report, now_ms)
+            }
+            FramePart::Silent(silent) => handle_silent(node, &silent, now_ms),
+            FramePart::ZonesHeard(zones) => handle_zones_heard(node, &zones, now_ms),
             FramePart::CrashReport(part) => spread::handle_report(node, &part),
             FramePart::Refused(parts) => spread::handle_refused(node, &parts),
             FramePart::LimitRequest(part) => limits::handle_request(node, &frame.box_id, &part),
@@ -103,16 +105,18 @@
             FramePart::ServerLimit(part) => {
                 notices::take(node, LimitKey::Server(part.server), Some(&part.notice));
             }
-            FramePart::LoadRequest(ask) => take_load_request(node, &frame.box_id, ask, now_ms),
+            FramePart::LoadRequest(request) => {
+                handle_load_request(node, &frame.box_id, request, now_ms)
+            }
             FramePart::StatusRequest(server) => {
-                take_status_request(node, &frame.box_id, server, now_ms)
+                handle_status_request(node, &frame.box_id, server, now_ms)
             }
-            FramePart::Contradiction(server) => take_contradiction(node, server),
+            FramePart::Contradiction(server) => handle_contradiction(node, server),
             FramePart::RoomRequest(part) => holder::handle_request(node, &frame.box_id, &part),
             FramePart::RoomReply(part) => node.sharing.take_reply(part),
-            FramePart::Usage(uses) => {
-                if advance(seen.uses.entry(uses.server).or_default(), frame.sequence) {
-                    take_uses(node, &frame.box_id, uses);
+            FramePart::Usage(usage) => {
+                if advance(seen.usage.entry(usage.server).or_default(), frame.sequence) {
+                    handle_usage(node, &frame.box_id, usage);
                 }
             }
             FramePart::Status(status) => {
@@ -120,7 +124,7 @@
                     seen.statuses.entry(status.server).or_default(),
                     frame.sequence,
                 ) {
-                    take_status(node, status, now_ms);
+                    handle_status(node, status, now_ms);
                 }
             }
         }
@@ -133,7 +137,7 @@
     is_newer
 }
 
-fn take_last_heard(node: &Node, heard: &[(Fingerprint, u16)], now_ms: Millis) {
+fn handle_last_heard(node: &Node, heard: &[(Fingerprint, u16)], now_ms: Millis) {
     let mut members = node.members.borrow_mut();
     for (fingerprint, age_ms) in heard {
         let heard_ms = now_ms.saturating_sub(Millis::from(*age_ms));
@@ -141,30 +145,30 @@
     }
 }
 
-fn take_zone_word(node: &Node, speaker: &str, word: &ZoneWordPart, now_ms: Millis) {
-    take_zones_heard(node, &word.zones_heard, now_ms);
+fn handle_zone_report(node: &Node, speaker: &str, report: &ZoneReportPart, now_ms: Millis) {
+    handle_zones_heard(node, &report.zones_heard, now_ms);
     let mut members = node.members.borrow_mut();
-    let is_news = members.note_zone_word(speaker, &word.silent, now_ms);
+    let is_news = members.note_zone_word(speaker, &report.silent, now_ms);
     drop(members);
     if is_news {
         gossip::post_silent(node);
     }
 }
 
-fn take_zones_heard(node: &Node, zones: &[(Fingerprint, u16)], now_ms: Millis) {
+fn handle_zones_heard(node: &Node, zones: &[(Fingerprint, u16)], now_ms: Millis) {
     let mut members = node.members.borrow_mut();
     for (zone, age_ms) in zones {
         members.hear_zone_at(*zone, now_ms.saturating_sub(Millis::from(*age_ms)));
     }
 }
 
-fn take_silent(node: &Node, silent: &[(Fingerprint, u16)], now_ms: Millis) {
+fn handle_silent(node: &Node, silent: &[(Fingerprint, u16)], now_ms: Millis) {
     let is_news = {
         let mut members = node.members.borrow_mut();
         let mut is_news = false;
         for (fingerprint, age_ms) in silent {
-            let word_ms = now_ms.saturating_sub(Millis::from(*age_ms));
-            is_news |= members.note_silent(*fingerprint, word_ms);
+            let reported_ms = now_ms.saturating_sub(Millis::from(*age_ms));
+            is_news |= members.note_silent(*fingerprint, reported_ms);
         }
         is_news
     };
@@ -173,40 +177,40 @@
     }
 }
 
-fn take_load_request(node: &Node, box_id: &str, ask: LoadRequestPart, now_ms: Millis) {
-    let Some(server) = node.servers.borrow().by_fingerprint(ask.server) else {
+fn handle_load_request(node: &Node, box_id: &str, request: LoadRequestPart, now_ms: Millis) {
+    let Some(server) = node.servers.borrow().by_fingerprint(request.server) else {
         return;
     };
     let Some(held) = node.held_server(server.key) else {
         return;
     };
     let want = Want {
-        adapter: ask.adapter,
-        version: ask.version,
-        is_copy: ask.is_copy,
+        adapter: request.adapter,
+        version: request.version,
+        is_copy: request.is_copy,
     };
     held.note_load_request(box_id, want, now_ms);
     server.order_due.notify_one();
-    node.outbox.tell_box(server.key, box_id);
+    node.outbox.post_status(server.key, box_id);
 }
 
-fn take_status_request(node: &Node, box_id: &str, fingerprint: Fingerprint, now_ms: Millis) {
+fn handle_status_request(node: &Node, box_id: &str, fingerprint: Fingerprint, now_ms: Millis) {
     let Some(server) = node.servers.borrow().by_fingerprint(fingerprint) else {
         return;
     };
     if let Some(held) = node.held_server(server.key) {
         held.note_status_request(box_id, now_ms);
-        node.outbox.tell_box(server.key, box_id);
+        node.outbox.post_status(server.key, box_id);
     }
 }
 
-fn take_contradiction(node: &Node, fingerprint: Fingerprint) {
+fn handle_contradiction(node: &Node, fingerprint: Fingerprint) {
     if let Some(server) = node.servers.borrow().by_fingerprint(fingerprint) {
         node.note_contradiction(&server);
     }
 }
 
-fn take_uses(node: &Node, box_id: &str, part: UsagePart) {
+fn handle_usage(node: &Node, box_id: &str, part: UsagePart) {
     let Some(server) = node.servers.borrow().by_fingerprint(part.server) else {
         return;
     };
@@ -225,7 +229,7 @@
     }
 }
 
-fn take_status(node: &Node, part: StatusPart, now_ms: Millis) {
+fn handle_status(node: &Node, part: StatusPart, now_ms: Millis) {
     let Some(server) = node.servers.borrow().by_fingerprint(part.server) else {
         return;
     };
--- a/crates/tinbay-gateway/src/peers/mod.rs
+++ b/crates/tinbay-gateway/src/peers/mod.rs
@@ -1,4 +1,5 @@
-//! Messages between boxes: questions to the holders of servers, their answers, and who lives.
+//! Messages between boxes: requests to the holders of servers, their answers, limits, and failure
+//! detection.
 
 pub mod exchange;
 pub mod frame;
--- a/crates/tinbay-gateway/src/peers/outbox.rs
+++ b/crates/tinbay-gateway/src/peers/outbox.rs
@@ -1,4 +1,4 @@
-//! What is to be told to other boxes with the next messages.
+//! Queue of messages to other boxes.
 
 use std::cell::RefCell;
 use std::collections::{HashMap, HashSet};
@@ -8,52 +8,53 @@
 
 use super::frame::FramePart;
 
-/// What is to be told with the next messages.
+/// Queued messages, taken together by the sender.
 #[derive(Debug, Default)]
 pub struct Due {
-    /// Parts by the box they go to.
+    /// Parts by receiving box.
     pub parts: HashMap<String, Vec<FramePart>>,
-    /// Servers held here, and the boxes that are to be told their status.
+    /// Servers that this box holds, with the boxes that receive their status.
     pub statuses: HashMap<ServerKey, HashSet<String>>,
-    /// Servers whose holders are to be told what runs there.
-    pub uses: HashSet<ServerKey>,
+    /// Servers for whose holders a usage report is due.
+    pub usage_reports: HashSet<ServerKey>,
 }
 
-/// What is to be told to other boxes with the next messages.
+/// Queue of messages to other boxes; a status or usage report is queued once, however often it is
+/// requested.
 #[derive(Debug, Default)]
 pub struct Outbox {
     due: RefCell<Due>,
-    told: Notify,
+    queued: Notify,
 }
 
 impl Outbox {
-    /// Has a part sent to a box.
+    /// Queues a part for a box.
     pub fn post(&self, box_id: &str, part: FramePart) {
         let mut due = self.due.borrow_mut();
         due.parts.entry(box_id.to_string()).or_default().push(part);
-        self.told.notify_one();
+        self.queued.notify_one();
     }
 
-    /// Has one box told what a server held here holds.
-    pub fn tell_box(&self, server: ServerKey, box_id: &str) {
+    /// Queues the status of a server held by this box for another box.
+    pub fn post_status(&self, server: ServerKey, box_id: &str) {
         let mut due = self.due.borrow_mut();
         let boxes = due.statuses.entry(server).or_default();
         boxes.insert(box_id.to_string());
-        self.told.notify_one();
+        self.queued.notify_one();
     }
 
-    /// Has the holder of a server told what runs there.
+    /// Queues a usage report for the holder of a server.
     pub fn tell_uses(&self, server: ServerKey) {
-        self.due.borrow_mut().uses.insert(server);
-        self.told.notify_one();
+        self.due.borrow_mut().usage_reports.insert(server);
+        self.queued.notify_one();
     }
 
-    /// Waits until something is due.
+    /// Waits until a message is queued.
     pub async fn wait(&self) {
-        self.told.notified().await;
+        self.queued.notified().await;
     }
 
-    /// Takes all that is due.
+    /// Takes all queued messages.
     pub fn take(&self) -> Due {
         std::mem::take(&mut self.due.borrow_mut())
     }
