--- a/crates/tinbay-core/src/handover/need.rs
+++ b/crates/tinbay-core/src/handover/need.rs
@@ -5,7 +5,7 @@
 //! show it. A box judges by its own streams. Two boxes that disagree do no harm, as a server that
 //! one of them uses for prefill serves whatever another one sends.
 
-use crate::serving::fading::Fading;
+use crate::serving::fading::DecayingValue;
 use crate::units::Millis;
 
 /// Half-life of the stream counts.
@@ -25,8 +25,8 @@
 /// Decayed counts of streams of a service, and how long hand-over stays on.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct ReadingNeed {
-    seen: Fading,
-    late: Fading,
+    seen: DecayingValue,
+    late: DecayingValue,
     needed_until_ms: Millis,
 }
 
--- a/crates/tinbay-core/src/serving/fading.rs
+++ b/crates/tinbay-core/src/serving/fading.rs
@@ -10,12 +10,12 @@
 
 /// An exponentially decaying value that can be added to.
 #[derive(Debug, Default, Clone, Copy, PartialEq)]
-pub struct Fading {
+pub struct DecayingValue {
     amount: f64,
     noted_ms: Millis,
 }
 
-impl Fading {
+impl DecayingValue {
     /// Creates a value as of now.
     pub fn new(amount: f64, now_ms: Millis) -> Self {
         Self {
--- a/crates/tinbay-core/src/serving/spread.rs
+++ b/crates/tinbay-core/src/serving/spread.rs
@@ -6,7 +6,7 @@
 
 use std::collections::HashMap;
 
-use super::fading::Fading;
+use super::fading::DecayingValue;
 use super::servers::Fingerprint;
 use crate::units::Millis;
 
@@ -38,7 +38,7 @@
 
 #[derive(Debug)]
 struct Spread {
-    prefill: Fading,
+    prefill: DecayingValue,
     copies: f64,
     changed_ms: Millis,
 }
@@ -54,7 +54,7 @@
     /// prompts.
     pub fn note_begun(&mut self, adapter: Fingerprint, prefill_ms: f64, now_ms: Millis) {
         let spread = self.by_adapter.entry(adapter).or_insert_with(|| Spread {
-            prefill: Fading::default(),
+            prefill: DecayingValue::default(),
             copies: 1.0,
             changed_ms: now_ms,
         });
--- a/crates/tinbay-core/src/serving/subscribers.rs
+++ b/crates/tinbay-core/src/serving/subscribers.rs
@@ -9,7 +9,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::fading::Fading;
+use super::fading::DecayingValue;
 use super::reading::Backlog;
 use super::servers::Fingerprint;
 use crate::units::Millis;
@@ -88,9 +88,9 @@
 #[derive(Debug, Default)]
 pub struct Subscribers {
     by_box: HashMap<String, Subscriber>,
-    delay: Fading,
+    delay: DecayingValue,
     backlog: Backlog,
-    mistrust: Fading,
+    mistrust: DecayingValue,
 }
 
 impl Subscribers {
@@ -132,7 +132,7 @@
     pub fn note_delay(&mut self, part_of_objective: f64, now_ms: Millis) {
         let known = self.delay(now_ms);
         let delay = known + DELAY_WEIGHT * (part_of_objective - known);
-        self.delay = Fading::new(delay, now_ms);
+        self.delay = DecayingValue::new(delay, now_ms);
     }
 
     /// Average time to the first byte as a fraction of the objective, decaying with time.
@@ -153,7 +153,7 @@
     /// Records failed requests of a box.
     pub fn note_failures(&mut self, mistrust: f64, now_ms: Millis) {
         let sum = self.mistrust(now_ms) + mistrust;
-        self.mistrust = Fading::new(sum.min(MOST_MISTRUST), now_ms);
+        self.mistrust = DecayingValue::new(sum.min(MOST_MISTRUST), now_ms);
     }
 
     /// Mistrust in the server over all boxes, decaying with time.
--- a/crates/tinbay-core/src/sharing/accounts.rs
+++ b/crates/tinbay-core/src/sharing/accounts.rs
@@ -4,7 +4,7 @@
 
 use super::weights::AccountWeights;
 use crate::limits::turns::Turns;
-use crate::serving::fading::Fading;
+use crate::serving::fading::DecayingValue;
 use crate::serving::servers::Fingerprint;
 use crate::units::Millis;
 
@@ -23,7 +23,7 @@
 
 #[derive(Debug, Clone, Copy, Default)]
 struct Had {
-    used: Fading,
+    used: DecayingValue,
     turns: Turns,
 }
 
--- a/crates/tinbay-core/src/sharing/places.rs
+++ b/crates/tinbay-core/src/sharing/places.rs
@@ -1,6 +1,6 @@
 //! How soon places of a server become free.
 
-use crate::serving::fading::Fading;
+use crate::serving::fading::DecayingValue;
 use crate::units::Millis;
 
 /// Half-life of what is known of it: some requests.
@@ -19,8 +19,8 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct PlaceTimes {
     /// Time held by all requests.
-    held_ms: Fading,
-    begun: Fading,
+    held_ms: DecayingValue,
+    begun: DecayingValue,
     running: usize,
     noted_ms: Millis,
 }
