--- a/crates/tinbay-core/src/pace/slowness.rs
+++ b/crates/tinbay-core/src/pace/slowness.rs
@@ -1,6 +1,6 @@
 //! Slowness of one server compared with its service, decaying within a second.
 
-use crate::serving::fading::faded;
+use crate::serving::fading::decayed;
 use crate::units::Millis;
 
 /// Half-life of the samples: little is left of them after a second, as a server that is avoided
@@ -47,7 +47,7 @@
     }
 
     fn left(&self, amount: f64, now_ms: Millis) -> f64 {
-        faded(amount, self.noted_ms, HALF_LIFE_MS, now_ms)
+        decayed(amount, self.noted_ms, HALF_LIFE_MS, now_ms)
     }
 }
 
--- a/crates/tinbay-core/src/serving/contents/held.rs
+++ b/crates/tinbay-core/src/serving/contents/held.rs
@@ -3,7 +3,7 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use super::fetching::LoadTime;
-use crate::serving::fading::faded;
+use crate::serving::fading::decayed;
 use crate::serving::servers::AdapterName;
 use crate::units::Millis;
 
@@ -91,7 +91,7 @@
     }
 
     pub(super) fn uses_at(&self, now_ms: Millis) -> f64 {
-        faded(self.uses, self.used_ms, USE_HALF_LIFE_MS, now_ms)
+        decayed(self.uses, self.used_ms, USE_HALF_LIFE_MS, now_ms)
     }
 
     pub(super) fn note_uses(&mut self, uses: u32, now_ms: Millis) {
--- a/crates/tinbay-core/src/serving/fading.rs
+++ b/crates/tinbay-core/src/serving/fading.rs
@@ -3,7 +3,7 @@
 use crate::units::Millis;
 
 /// Returns what is left of a value recorded earlier; before `noted_ms` nothing has decayed.
-pub fn faded(amount: f64, noted_ms: Millis, half_life_ms: f64, now_ms: Millis) -> f64 {
+pub fn decayed(amount: f64, noted_ms: Millis, half_life_ms: f64, now_ms: Millis) -> f64 {
     let age_ms = now_ms.saturating_sub(noted_ms) as f64;
     amount * (-age_ms / half_life_ms).exp2()
 }
@@ -26,7 +26,7 @@
 
     /// The decayed value at `now_ms`.
     pub fn at(&self, half_life_ms: f64, now_ms: Millis) -> f64 {
-        faded(self.amount, self.noted_ms, half_life_ms, now_ms)
+        decayed(self.amount, self.noted_ms, half_life_ms, now_ms)
     }
 
     /// Adds to the decayed value.
--- a/crates/tinbay-gateway/src/servers/server.rs
+++ b/crates/tinbay-gateway/src/servers/server.rs
@@ -5,7 +5,7 @@
 
 use tinbay_core::pace::slowness::{MOST_SLOW_START_MS, SLOW_START, Slowness, slowed_load};
 use tinbay_core::serving::contents::AdapterKey;
-use tinbay_core::serving::fading::faded;
+use tinbay_core::serving::fading::decayed;
 use tinbay_core::serving::notices::AnswerNotice;
 use tinbay_core::serving::server_limit::{LimitNotice, is_news};
 use tinbay_core::serving::servers::{Fingerprint, ServerKey, ServerRecord, ServerState};
@@ -340,7 +340,7 @@
 
     fn own_delay(&self, now_ms: Millis) -> f64 {
         let (amount, noted_ms) = self.delay.get();
-        faded(amount, noted_ms, DELAY_HALF_LIFE_MS, now_ms)
+        decayed(amount, noted_ms, DELAY_HALF_LIFE_MS, now_ms)
     }
 
     /// Penalty for failures, which decays over time: the larger of this box's own value and the
@@ -352,7 +352,7 @@
 
     fn own_mistrust(&self, now_ms: Millis) -> f64 {
         let (amount, noted_ms) = self.mistrust.get();
-        faded(amount, noted_ms, MISTRUST_HALF_LIFE_MS, now_ms)
+        decayed(amount, noted_ms, MISTRUST_HALF_LIFE_MS, now_ms)
     }
 
     /// Adds a penalty after a failure.
--- a/crates/tinbay-gateway/src/servers/view.rs
+++ b/crates/tinbay-gateway/src/servers/view.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 
 use tinbay_core::serving::contents::HeldState;
-use tinbay_core::serving::fading::faded;
+use tinbay_core::serving::fading::decayed;
 use tinbay_core::serving::reading::Backlog;
 use tinbay_core::serving::servers::Fingerprint;
 use tinbay_core::serving::subscribers::{ContentsChange, FRESH_MS, MISTRUST_HALF_LIFE_MS};
@@ -149,7 +149,7 @@
     /// Penalty for failed requests of all boxes, which decays over time.
     pub fn mistrust(&self, now_ms: Millis) -> f64 {
         let reported = self.status.as_ref().map_or(0.0, |status| status.mistrust);
-        faded(reported, self.received_ms, MISTRUST_HALF_LIFE_MS, now_ms)
+        decayed(reported, self.received_ms, MISTRUST_HALF_LIFE_MS, now_ms)
     }
 
     /// Whether the server could begin a load; true without a recent status.
