--- a/crates/tinbay-core/src/handover/need.rs
+++ b/crates/tinbay-core/src/handover/need.rs
@@ -5,7 +5,7 @@
 //! show it. A box judges by its own streams. Two boxes that disagree do no harm, as a server that
 //! one of them uses for prefill serves whatever another one sends.
 
-use crate::serving::fading::DecayingValue;
+use crate::serving::decay::DecayingValue;
 use crate::units::Millis;
 
 /// Half-life of the stream counts.
--- a/crates/tinbay-core/src/pace/slowness.rs
+++ b/crates/tinbay-core/src/pace/slowness.rs
@@ -1,6 +1,6 @@
 //! Slowness of one server compared with its service, decaying within a second.
 
-use crate::serving::fading::decayed;
+use crate::serving::decay::decayed;
 use crate::units::Millis;
 
 /// Half-life of the samples: little is left of them after a second, as a server that is avoided
--- a/crates/tinbay-core/src/serving/contents/held.rs
+++ b/crates/tinbay-core/src/serving/contents/held.rs
@@ -3,7 +3,7 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use super::fetching::LoadTime;
-use crate::serving::fading::decayed;
+use crate::serving::decay::decayed;
 use crate::serving::servers::AdapterName;
 use crate::units::Millis;
 
--- a/crates/tinbay-core/src/serving/mod.rs
+++ b/crates/tinbay-core/src/serving/mod.rs
@@ -8,7 +8,7 @@
 pub mod claims;
 pub mod configuration;
 pub mod contents;
-pub mod fading;
+pub mod decay;
 pub mod homes;
 pub mod lateness;
 pub mod notices;
--- a/crates/tinbay-core/src/serving/spread.rs
+++ b/crates/tinbay-core/src/serving/spread.rs
@@ -6,7 +6,7 @@
 
 use std::collections::HashMap;
 
-use super::fading::DecayingValue;
+use super::decay::DecayingValue;
 use super::servers::Fingerprint;
 use crate::units::Millis;
 
--- a/crates/tinbay-core/src/serving/subscribers.rs
+++ b/crates/tinbay-core/src/serving/subscribers.rs
@@ -9,7 +9,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::fading::DecayingValue;
+use super::decay::DecayingValue;
 use super::reading::Backlog;
 use super::servers::Fingerprint;
 use crate::units::Millis;
--- a/crates/tinbay-core/src/sharing/accounts.rs
+++ b/crates/tinbay-core/src/sharing/accounts.rs
@@ -4,7 +4,7 @@
 
 use super::weights::AccountWeights;
 use crate::limits::turns::Turns;
-use crate::serving::fading::DecayingValue;
+use crate::serving::decay::DecayingValue;
 use crate::serving::servers::Fingerprint;
 use crate::units::Millis;
 
--- a/crates/tinbay-core/src/sharing/places.rs
+++ b/crates/tinbay-core/src/sharing/places.rs
@@ -1,6 +1,6 @@
 //! How soon places of a server become free.
 
-use crate::serving::fading::DecayingValue;
+use crate::serving::decay::DecayingValue;
 use crate::units::Millis;
 
 /// Half-life of what is known of it: some requests.
--- a/crates/tinbay-gateway/src/servers/server.rs
+++ b/crates/tinbay-gateway/src/servers/server.rs
@@ -5,7 +5,7 @@
 
 use tinbay_core::pace::slowness::{MOST_SLOW_START_MS, SLOW_START, Slowness, slowed_load};
 use tinbay_core::serving::contents::AdapterKey;
-use tinbay_core::serving::fading::decayed;
+use tinbay_core::serving::decay::decayed;
 use tinbay_core::serving::notices::AnswerNotice;
 use tinbay_core::serving::server_limit::{LimitNotice, is_news};
 use tinbay_core::serving::servers::{Fingerprint, ServerKey, ServerRecord, ServerState};
