--- a/crates/tinbay-core/src/serving/contents/mod.rs
+++ b/crates/tinbay-core/src/serving/contents/mod.rs
@@ -19,7 +19,7 @@
 
 use super::configuration::EngineSpec;
 use super::servers::{AdapterName, Fingerprint, HeldAdapter, Report};
-use super::wants::Want;
+use super::wants::WantedLoad;
 use crate::units::Millis;
 
 /// Delay after which a report includes the last order; reports are some hundred milliseconds old.
@@ -244,7 +244,7 @@
     /// The next message to the server; `wants` are given in descending priority.
     pub fn next_action(
         &self,
-        wants: &[Want],
+        wants: &[WantedLoad],
         look: &Look<'_>,
         allowance: &mut dyn ModelAllowance,
     ) -> Option<Action> {
@@ -297,7 +297,7 @@
 
     fn load_model(
         &self,
-        wants: &[Want],
+        wants: &[WantedLoad],
         expected_count: u64,
         allowance: &mut dyn ModelAllowance,
     ) -> Option<Action> {
@@ -346,7 +346,12 @@
         })
     }
 
-    fn action_for(&self, want: &Want, expected_count: u64, look: &Look<'_>) -> Option<Action> {
+    fn action_for(
+        &self,
+        want: &WantedLoad,
+        expected_count: u64,
+        look: &Look<'_>,
+    ) -> Option<Action> {
         let key = adapter_key(&want.adapter);
         let model = model_of(&want.adapter);
         if !self.models.holds(model) || !want.adapter.contains('/') {
--- a/crates/tinbay-core/src/serving/wants.rs
+++ b/crates/tinbay-core/src/serving/wants.rs
@@ -14,7 +14,7 @@
 
 /// A request to load an adapter, or a base model where no adapter is named.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Want {
+pub struct WantedLoad {
     /// Name of the adapter, as `model/name`.
     pub adapter: AdapterName,
     /// Version to load; the newest one where none is given.
@@ -25,7 +25,7 @@
 
 #[derive(Debug)]
 struct Asked {
-    want: Want,
+    want: WantedLoad,
     first_ms: Millis,
     last_ms: Millis,
 }
@@ -39,7 +39,7 @@
 impl Wants {
     /// Adds a load request, or renews it with the newer version of the two. If any box has a
     /// request waiting for the adapter, the load no longer counts as a copy.
-    pub fn ask(&mut self, want: Want, now_ms: Millis) {
+    pub fn ask(&mut self, want: WantedLoad, now_ms: Millis) {
         let key = adapter_key(&want.adapter);
         let Some(asked) = self.by_adapter.get_mut(&key) else {
             let asked = Asked {
@@ -73,7 +73,7 @@
 
     /// Valid load requests: those that callers wait for first, then copies; oldest first within
     /// each.
-    pub fn current(&mut self, now_ms: Millis) -> Vec<Want> {
+    pub fn current(&mut self, now_ms: Millis) -> Vec<WantedLoad> {
         self.by_adapter
             .retain(|_, asked| now_ms < asked.last_ms + REQUEST_EXPIRY_MS);
         let mut asked: Vec<&Asked> = self.by_adapter.values().collect();
--- a/crates/tinbay-core/tests/serving_contents_test.rs
+++ b/crates/tinbay-core/tests/serving_contents_test.rs
@@ -6,7 +6,7 @@
     Action, AdapterKey, Contents, HeldState, Look, ModelAllowance, OrderAnswer, adapter_key,
 };
 use tinbay_core::serving::servers::{HeldAdapter, Report};
-use tinbay_core::serving::wants::Want;
+use tinbay_core::serving::wants::WantedLoad;
 
 fn spec(adapter_slots: usize) -> EngineSpec {
     EngineSpec {
@@ -43,8 +43,8 @@
     contents
 }
 
-fn want(adapter: &str) -> Want {
-    Want {
+fn want(adapter: &str) -> WantedLoad {
+    WantedLoad {
         adapter: adapter.into(),
         version: None,
         is_copy: false,
@@ -64,7 +64,12 @@
     }
 }
 
-fn next(contents: &mut Contents, wants: &[Want], is_left: bool, now_ms: u64) -> Option<Action> {
+fn next(
+    contents: &mut Contents,
+    wants: &[WantedLoad],
+    is_left: bool,
+    now_ms: u64,
+) -> Option<Action> {
     let mut allowance = FakeAllowance { is_left, taken: 0 };
     contents.next_action(wants, &look(&|_| false, now_ms), &mut allowance)
 }
@@ -208,8 +213,8 @@
     );
 }
 
-fn second_version_of(adapter: &str) -> Want {
-    Want {
+fn second_version_of(adapter: &str) -> WantedLoad {
+    WantedLoad {
         version: Some(2),
         ..want(adapter)
     }
@@ -395,7 +400,7 @@
         now_ms += 100;
         contents.note_answer(&action, OrderAnswer::Done, now_ms);
     }
-    let copy = Want {
+    let copy = WantedLoad {
         is_copy: true,
         ..want("m/copy")
     };
--- a/crates/tinbay-core/tests/serving_homes_test.rs
+++ b/crates/tinbay-core/tests/serving_homes_test.rs
@@ -7,7 +7,7 @@
 use tinbay_core::serving::servers::Fingerprint;
 use tinbay_core::serving::spread::Spreads;
 use tinbay_core::serving::subscribers::{AdapterUse, ContentsChange, Subscribers};
-use tinbay_core::serving::wants::{Want, Wants};
+use tinbay_core::serving::wants::{WantedLoad, Wants};
 
 fn candidate(presence: Presence, load: f64) -> Candidate {
     Candidate {
@@ -145,8 +145,8 @@
         .quickcheck(property as fn(Vec<(u8, u8, bool)>) -> bool);
 }
 
-fn want(adapter: &str, is_copy: bool) -> Want {
-    Want {
+fn want(adapter: &str, is_copy: bool) -> WantedLoad {
+    WantedLoad {
         adapter: adapter.into(),
         version: None,
         is_copy,
@@ -190,7 +190,7 @@
 fn ask_newest_version_counts() {
     let mut wants = Wants::default();
     wants.ask(want("m/a", false), 0);
-    let newer = Want {
+    let newer = WantedLoad {
         version: Some(2),
         ..want("m/a", false)
     };
--- a/crates/tinbay-core/tests/serving_late_orders_test.rs
+++ b/crates/tinbay-core/tests/serving_late_orders_test.rs
@@ -9,7 +9,7 @@
     Action, AdapterKey, Contents, Look, ModelAllowance, OrderAnswer, adapter_key,
 };
 use tinbay_core::serving::servers::{HeldAdapter, Report};
-use tinbay_core::serving::wants::{Want, Wants};
+use tinbay_core::serving::wants::{WantedLoad, Wants};
 use tinbay_core::units::Millis;
 
 /// Adapter slots of the server.
@@ -285,7 +285,7 @@
         self
     }
 
-    fn next_action(&mut self, wants: &[Want]) -> Option<Action> {
+    fn next_action(&mut self, wants: &[WantedLoad]) -> Option<Action> {
         let known = |run: &&RunningRequest| run.began_ms + USE_REPORT_DELAY_MS <= self.now_ms;
         let in_use: HashSet<AdapterKey> = self
             .server
@@ -319,7 +319,7 @@
             });
             return;
         }
-        let want = Want {
+        let want = WantedLoad {
             adapter,
             version: None,
             is_copy: false,
--- a/crates/tinbay-gateway/src/front/adapters.rs
+++ b/crates/tinbay-gateway/src/front/adapters.rs
@@ -5,7 +5,7 @@
 
 use log::Level;
 use serde::Serialize;
-use tinbay_core::serving::wants::Want;
+use tinbay_core::serving::wants::WantedLoad;
 use tinbay_core::units::Millis;
 
 use super::choice::{self, Asked, Choice};
@@ -142,8 +142,8 @@
     }
 }
 
-pub(super) fn want(node: &Node, question: &Question, is_copy: bool) -> Want {
-    Want {
+pub(super) fn want(node: &Node, question: &Question, is_copy: bool) -> WantedLoad {
+    WantedLoad {
         adapter: question.model.clone().unwrap_or_default(),
         version: question.named_version(node),
         is_copy,
--- a/crates/tinbay-gateway/src/node.rs
+++ b/crates/tinbay-gateway/src/node.rs
@@ -18,7 +18,7 @@
 use tinbay_core::serving::routes::RouteTable;
 use tinbay_core::serving::servers::{Fingerprint, ServerKey};
 use tinbay_core::serving::versions::NamedVersions;
-use tinbay_core::serving::wants::Want;
+use tinbay_core::serving::wants::WantedLoad;
 use tinbay_core::sharing::weights::AccountWeights;
 use tinbay_core::units::Millis;
 use tokio::sync::Notify;
@@ -452,7 +452,7 @@
     }
 
     /// Has the holder of a server told what a request needs there.
-    pub fn request_load(&self, server: &Server, want: Want) {
+    pub fn request_load(&self, server: &Server, want: WantedLoad) {
         let now_ms = self.now_ms();
         if let Some(held) = self.held_server(server.key) {
             let own_id = self.settings.borrow().box_id.clone();
--- a/crates/tinbay-gateway/src/orders/held_server.rs
+++ b/crates/tinbay-gateway/src/orders/held_server.rs
@@ -8,7 +8,7 @@
 use tinbay_core::serving::servers::{Fingerprint, ServerKey};
 use tinbay_core::serving::spread::Spreads;
 use tinbay_core::serving::subscribers::{ContentsChange, MOST_MISTRUST, Subscribers};
-use tinbay_core::serving::wants::{Want, Wants};
+use tinbay_core::serving::wants::{WantedLoad, Wants};
 use tinbay_core::sharing::room::ServerRoom;
 use tinbay_core::units::Millis;
 
@@ -103,7 +103,7 @@
 
     /// Records the adapter that a box's request needs. An adapter that is loaded already is kept
     /// for the request.
-    pub fn note_load_request(&self, box_id: &str, want: Want, now_ms: Millis) {
+    pub fn note_load_request(&self, box_id: &str, want: WantedLoad, now_ms: Millis) {
         let key = adapter_key(&want.adapter);
         let mut subscribers = self.subscribers.borrow_mut();
         if want.is_copy {
--- a/crates/tinbay-gateway/src/orders/holder.rs
+++ b/crates/tinbay-gateway/src/orders/holder.rs
@@ -12,7 +12,7 @@
 use serde::Serialize;
 use tinbay_core::serving::contents::{Action, Look, ModelAllowance, OrderAnswer, adapter_key};
 use tinbay_core::serving::servers::{Report, ServerRecord};
-use tinbay_core::serving::wants::Want;
+use tinbay_core::serving::wants::WantedLoad;
 use tinbay_core::units::Millis;
 
 use super::held_server::HeldServer;
@@ -196,7 +196,7 @@
         !self.server.is_displaced(now_ms) && self.server.paused_until_ms(now_ms).is_none()
     }
 
-    fn next_action(&self, wants: &[Want], now_ms: Millis) -> Option<Action> {
+    fn next_action(&self, wants: &[WantedLoad], now_ms: Millis) -> Option<Action> {
         let look = Look {
             named: &|adapter: &str| self.node.named_version(adapter),
             is_in_use: &|key| self.held.is_in_use(&self.server, key, now_ms),
@@ -210,7 +210,7 @@
         contents.next_action(wants, &look, &mut allowance)
     }
 
-    async fn pause(&self, wants: &[Want]) {
+    async fn pause(&self, wants: &[WantedLoad]) {
         let now_ms = self.node.now_ms();
         let max_ms = if wants.is_empty() {
             MAX_PAUSE_MS
@@ -351,7 +351,7 @@
         events::emit(part::ORDERS, Level::Warn, "report_unreadable", &event);
     }
 
-    async fn order(&self, action: &Action, token: u64, wants: &[Want]) {
+    async fn order(&self, action: &Action, token: u64, wants: &[WantedLoad]) {
         let Some(order) = self.build_order(action, token) else {
             return;
         };
@@ -503,7 +503,7 @@
         }
     }
 
-    fn log_order(&self, order: &Order, answer: OrderAnswer, took_ms: Millis, wants: &[Want]) {
+    fn log_order(&self, order: &Order, answer: OrderAnswer, took_ms: Millis, wants: &[WantedLoad]) {
         let want = wants.iter().find(|want| want.adapter == order.adapter);
         let (action, version) = match order.action {
             OrderAction::Load { version } => ("load", version),
--- a/crates/tinbay-gateway/src/peers/inbox.rs
+++ b/crates/tinbay-gateway/src/peers/inbox.rs
@@ -8,7 +8,7 @@
 use serde::Serialize;
 use tinbay_core::serving::contents::HeldState;
 use tinbay_core::serving::servers::Fingerprint;
-use tinbay_core::serving::wants::Want;
+use tinbay_core::serving::wants::WantedLoad;
 use tinbay_core::units::Millis;
 use tokio::net::UdpSocket;
 
@@ -184,7 +184,7 @@
     let Some(held) = node.held_server(server.key) else {
         return;
     };
-    let want = Want {
+    let want = WantedLoad {
         adapter: request.adapter,
         version: request.version,
         is_copy: request.is_copy,
