--- a/crates/tinbay-core/src/serving/wants.rs
+++ b/crates/tinbay-core/src/serving/wants.rs
@@ -32,11 +32,11 @@
 
 /// Load requests of all boxes for one server.
 #[derive(Debug, Default)]
-pub struct Wants {
+pub struct WantedLoads {
     by_adapter: HashMap<AdapterKey, Asked>,
 }
 
-impl Wants {
+impl WantedLoads {
     /// Adds a load request, or renews it with the newer version of the two. If any box has a
     /// request waiting for the adapter, the load no longer counts as a copy.
     pub fn ask(&mut self, want: WantedLoad, now_ms: Millis) {
--- a/crates/tinbay-core/tests/serving_homes_test.rs
+++ b/crates/tinbay-core/tests/serving_homes_test.rs
@@ -7,7 +7,7 @@
 use tinbay_core::serving::servers::Fingerprint;
 use tinbay_core::serving::spread::Spreads;
 use tinbay_core::serving::subscribers::{AdapterUse, ContentsChange, Subscribers};
-use tinbay_core::serving::wants::{WantedLoad, Wants};
+use tinbay_core::serving::wants::{WantedLoad, WantedLoads};
 
 fn candidate(presence: Presence, load: f64) -> Candidate {
     Candidate {
@@ -153,14 +153,14 @@
     }
 }
 
-fn names(wants: &mut Wants, now_ms: u64) -> Vec<String> {
+fn names(wants: &mut WantedLoads, now_ms: u64) -> Vec<String> {
     let current = wants.current(now_ms);
     current.into_iter().map(|want| want.adapter).collect()
 }
 
 #[test]
 fn current_awaited_before_copies_and_oldest_first() {
-    let mut wants = Wants::default();
+    let mut wants = WantedLoads::default();
     wants.ask(want("m/copy", true), 0);
     wants.ask(want("m/late", false), 200);
     wants.ask(want("m/early", false), 100);
@@ -169,7 +169,7 @@
 
 #[test]
 fn current_drops_expired_requests() {
-    let mut wants = Wants::default();
+    let mut wants = WantedLoads::default();
     wants.ask(want("m/a", false), 0);
     wants.ask(want("m/b", false), 0);
     wants.ask(want("m/b", false), 900);
@@ -178,7 +178,7 @@
 
 #[test]
 fn ask_waiting_request_makes_a_copy_awaited() {
-    let mut wants = Wants::default();
+    let mut wants = WantedLoads::default();
     wants.ask(want("m/a", true), 0);
     wants.ask(want("m/a", false), 10);
     assert!(!wants.current(20)[0].is_copy);
@@ -188,7 +188,7 @@
 
 #[test]
 fn ask_newest_version_counts() {
-    let mut wants = Wants::default();
+    let mut wants = WantedLoads::default();
     wants.ask(want("m/a", false), 0);
     let newer = WantedLoad {
         version: Some(2),
--- a/crates/tinbay-core/tests/serving_late_orders_test.rs
+++ b/crates/tinbay-core/tests/serving_late_orders_test.rs
@@ -9,7 +9,7 @@
     Action, AdapterKey, Contents, Look, ModelAllowance, OrderAnswer, adapter_key,
 };
 use tinbay_core::serving::servers::{HeldAdapter, Report};
-use tinbay_core::serving::wants::{WantedLoad, Wants};
+use tinbay_core::serving::wants::{WantedLoad, WantedLoads};
 use tinbay_core::units::Millis;
 
 /// Adapter slots of the server.
@@ -239,7 +239,7 @@
     random: SmallRng,
     server: FakeServer,
     contents: Contents,
-    wants: Wants,
+    wants: WantedLoads,
     now_ms: Millis,
     ask_ms: Millis,
     loss: f64,
@@ -254,7 +254,7 @@
             random,
             server: FakeServer::new(is_blocked_by_unloads),
             contents: Contents::new(&spec(), 0),
-            wants: Wants::default(),
+            wants: WantedLoads::default(),
             now_ms: 0,
             ask_ms: 0,
             loss,
--- a/crates/tinbay-gateway/src/orders/held_server.rs
+++ b/crates/tinbay-gateway/src/orders/held_server.rs
@@ -8,7 +8,7 @@
 use tinbay_core::serving::servers::{Fingerprint, ServerKey};
 use tinbay_core::serving::spread::Spreads;
 use tinbay_core::serving::subscribers::{ContentsChange, MOST_MISTRUST, Subscribers};
-use tinbay_core::serving::wants::{WantedLoad, Wants};
+use tinbay_core::serving::wants::{WantedLoad, WantedLoads};
 use tinbay_core::sharing::room::ServerRoom;
 use tinbay_core::units::Millis;
 
@@ -47,7 +47,7 @@
     /// Adapters and base models that the server holds or loads.
     pub contents: RefCell<Contents>,
     /// Load requests that are not fulfilled yet.
-    pub wants: RefCell<Wants>,
+    pub wants: RefCell<WantedLoads>,
     /// Allocation of the server's capacity to boxes while it is scarce.
     pub room: RefCell<ServerRoom>,
     /// Set when the server refused a request for an adapter that it should hold.
