--- a/crates/tinbay-core/src/serving/contents/mod.rs
+++ b/crates/tinbay-core/src/serving/contents/mod.rs
@@ -19,7 +19,7 @@
 
 use super::configuration::EngineSpec;
 use super::servers::{AdapterName, Fingerprint, HeldAdapter, Report};
-use super::wants::WantedLoad;
+use super::wanted_loads::WantedLoad;
 use crate::units::Millis;
 
 /// Delay after which a report includes the last order; reports are some hundred milliseconds old.
--- a/crates/tinbay-core/src/serving/mod.rs
+++ b/crates/tinbay-core/src/serving/mod.rs
@@ -25,4 +25,4 @@
 pub mod subscribers;
 pub mod trusted_rest;
 pub mod versions;
-pub mod wants;
+pub mod wanted_loads;
--- a/crates/tinbay-core/tests/serving_contents_test.rs
+++ b/crates/tinbay-core/tests/serving_contents_test.rs
@@ -6,7 +6,7 @@
     Action, AdapterKey, Contents, HeldState, Look, ModelAllowance, OrderAnswer, adapter_key,
 };
 use tinbay_core::serving::servers::{HeldAdapter, Report};
-use tinbay_core::serving::wants::WantedLoad;
+use tinbay_core::serving::wanted_loads::WantedLoad;
 
 fn spec(adapter_slots: usize) -> EngineSpec {
     EngineSpec {
--- a/crates/tinbay-core/tests/serving_homes_test.rs
+++ b/crates/tinbay-core/tests/serving_homes_test.rs
@@ -7,7 +7,7 @@
 use tinbay_core::serving::servers::Fingerprint;
 use tinbay_core::serving::spread::Spreads;
 use tinbay_core::serving::subscribers::{AdapterUse, ContentsChange, Subscribers};
-use tinbay_core::serving::wants::{WantedLoad, WantedLoads};
+use tinbay_core::serving::wanted_loads::{WantedLoad, WantedLoads};
 
 fn candidate(presence: Presence, load: f64) -> Candidate {
     Candidate {
--- a/crates/tinbay-core/tests/serving_late_orders_test.rs
+++ b/crates/tinbay-core/tests/serving_late_orders_test.rs
@@ -9,7 +9,7 @@
     Action, AdapterKey, Contents, Look, ModelAllowance, OrderAnswer, adapter_key,
 };
 use tinbay_core::serving::servers::{HeldAdapter, Report};
-use tinbay_core::serving::wants::{WantedLoad, WantedLoads};
+use tinbay_core::serving::wanted_loads::{WantedLoad, WantedLoads};
 use tinbay_core::units::Millis;
 
 /// Adapter slots of the server.
--- a/crates/tinbay-gateway/src/front/adapters.rs
+++ b/crates/tinbay-gateway/src/front/adapters.rs
@@ -5,7 +5,7 @@
 
 use log::Level;
 use serde::Serialize;
-use tinbay_core::serving::wants::WantedLoad;
+use tinbay_core::serving::wanted_loads::WantedLoad;
 use tinbay_core::units::Millis;
 
 use super::choice::{self, Asked, Choice};
--- a/crates/tinbay-gateway/src/node.rs
+++ b/crates/tinbay-gateway/src/node.rs
@@ -18,7 +18,7 @@
 use tinbay_core::serving::routes::RouteTable;
 use tinbay_core::serving::servers::{Fingerprint, ServerKey};
 use tinbay_core::serving::versions::NamedVersions;
-use tinbay_core::serving::wants::WantedLoad;
+use tinbay_core::serving::wanted_loads::WantedLoad;
 use tinbay_core::sharing::weights::AccountWeights;
 use tinbay_core::units::Millis;
 use tokio::sync::Notify;
--- a/crates/tinbay-gateway/src/orders/held_server.rs
+++ b/crates/tinbay-gateway/src/orders/held_server.rs
@@ -8,7 +8,7 @@
 use tinbay_core::serving::servers::{Fingerprint, ServerKey};
 use tinbay_core::serving::spread::Spreads;
 use tinbay_core::serving::subscribers::{ContentsChange, MOST_MISTRUST, Subscribers};
-use tinbay_core::serving::wants::{WantedLoad, WantedLoads};
+use tinbay_core::serving::wanted_loads::{WantedLoad, WantedLoads};
 use tinbay_core::sharing::room::ServerRoom;
 use tinbay_core::units::Millis;
 
--- a/crates/tinbay-gateway/src/orders/holder.rs
+++ b/crates/tinbay-gateway/src/orders/holder.rs
@@ -12,7 +12,7 @@
 use serde::Serialize;
 use tinbay_core::serving::contents::{Action, Look, ModelAllowance, OrderAnswer, adapter_key};
 use tinbay_core::serving::servers::{Report, ServerRecord};
-use tinbay_core::serving::wants::WantedLoad;
+use tinbay_core::serving::wanted_loads::WantedLoad;
 use tinbay_core::units::Millis;
 
 use super::held_server::HeldServer;
--- a/crates/tinbay-gateway/src/peers/inbox.rs
+++ b/crates/tinbay-gateway/src/peers/inbox.rs
@@ -8,7 +8,7 @@
 use serde::Serialize;
 use tinbay_core::serving::contents::HeldState;
 use tinbay_core::serving::servers::Fingerprint;
-use tinbay_core::serving::wants::WantedLoad;
+use tinbay_core::serving::wanted_loads::WantedLoad;
 use tinbay_core::units::Millis;
 use tokio::net::UdpSocket;
 
