--- a/crates/tinbay-core/src/serving/lateness.rs
+++ b/crates/tinbay-core/src/serving/lateness.rs
@@ -1,7 +1,7 @@
 //! Classifies answers as on time or late, and by which part they were late.
 
 use super::configuration::{Route, RouteKind};
-use super::stream_sight::StreamSight;
+use super::stream_sight::StreamTiming;
 use crate::units::Millis;
 
 /// The times within which an answer counts as on time.
@@ -56,7 +56,7 @@
 impl AnswerTimes {
     /// The times of an answer to a request that arrived at `arrived_ms` and was answered completely
     /// by `ended_ms`.
-    pub fn of_sight(sight: &StreamSight, arrived_ms: Millis, ended_ms: Millis) -> Self {
+    pub fn of_sight(sight: &StreamTiming, arrived_ms: Millis, ended_ms: Millis) -> Self {
         let first_ms = sight.first_ms();
         Self {
             first_piece_ms: first_ms.map(|first_ms| first_ms.saturating_sub(arrived_ms)),
--- a/crates/tinbay-core/src/serving/stream_sight.rs
+++ b/crates/tinbay-core/src/serving/stream_sight.rs
@@ -8,7 +8,7 @@
 
 /// Timing of the pieces of one answer.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct StreamSight {
+pub struct StreamTiming {
     first_ms: Option<Millis>,
     last_ms: Millis,
     pieces: u32,
@@ -19,7 +19,7 @@
     asked_ms: Option<Millis>,
 }
 
-impl StreamSight {
+impl StreamTiming {
     /// Records the arrival of a piece.
     pub fn note_piece(&mut self, now_ms: Millis) {
         if self.first_ms.is_none() {
--- a/crates/tinbay-core/tests/stream_sight_test.rs
+++ b/crates/tinbay-core/tests/stream_sight_test.rs
@@ -3,7 +3,7 @@
 use quickcheck::QuickCheck;
 use tinbay_core::serving::configuration::{Route, RouteKind};
 use tinbay_core::serving::lateness::{AnswerObjective, AnswerTimes, Lateness, ObjectivePart};
-use tinbay_core::serving::stream_sight::StreamSight;
+use tinbay_core::serving::stream_sight::StreamTiming;
 use tinbay_core::units::Millis;
 
 const STREAM: AnswerObjective = AnswerObjective {
@@ -26,8 +26,8 @@
     }
 }
 
-fn sight_of(pieces_ms: &[Millis]) -> StreamSight {
-    let mut sight = StreamSight::default();
+fn sight_of(pieces_ms: &[Millis]) -> StreamTiming {
+    let mut sight = StreamTiming::default();
     for piece_ms in pieces_ms {
         sight.note_piece(*piece_ms);
     }
@@ -192,7 +192,7 @@
 
 #[test]
 fn untaken_caller_reads_at_once_is_none() {
-    let mut sight = StreamSight::default();
+    let mut sight = StreamTiming::default();
     sight.note_asked(0);
     for now_ms in [100, 500] {
         sight.note_piece(now_ms);
@@ -224,7 +224,7 @@
 
 #[test]
 fn untaken_before_first_piece_is_none() {
-    let sight = StreamSight::default();
+    let sight = StreamTiming::default();
     assert_eq!(sight.untaken_ms(5_000), 0);
     assert_eq!(sight.silence_ms(5_000), None);
 }
--- a/crates/tinbay-gateway/src/front/answer_sight.rs
+++ b/crates/tinbay-gateway/src/front/answer_sight.rs
@@ -2,7 +2,7 @@
 
 use serde::Serialize;
 use tinbay_core::serving::lateness::{AnswerObjective, AnswerTimes, Lateness};
-use tinbay_core::serving::stream_sight::StreamSight;
+use tinbay_core::serving::stream_sight::StreamTiming;
 use tinbay_core::units::Millis;
 
 use super::question::Question;
@@ -109,7 +109,7 @@
     Some(first_piece_ms.saturating_sub(sent.after_ms))
 }
 
-fn untaken_ms(sight: &StreamSight, ended_ms: Millis) -> Option<Millis> {
+fn untaken_ms(sight: &StreamTiming, ended_ms: Millis) -> Option<Millis> {
     sight.first_ms()?;
     Some(sight.untaken_ms(ended_ms))
 }
--- a/crates/tinbay-gateway/src/front/moving/mod.rs
+++ b/crates/tinbay-gateway/src/front/moving/mod.rs
@@ -14,7 +14,7 @@
 use serde::Serialize;
 use tinbay_core::handover::roles::has_places_for_two;
 use tinbay_core::serving::configuration::RouteKind;
-use tinbay_core::serving::stream_sight::StreamSight;
+use tinbay_core::serving::stream_sight::StreamTiming;
 
 use self::mover::NodeMover;
 use self::successor::RunSuccessor;
@@ -77,7 +77,7 @@
 pub fn note_stream(
     node: &Node,
     question: &Question,
-    sight: StreamSight,
+    sight: StreamTiming,
     end: Result<(), BodyError>,
 ) {
     let is_moved = question.handover.get() == Some(Handover::Moved);
--- a/crates/tinbay-gateway/src/front/question.rs
+++ b/crates/tinbay-gateway/src/front/question.rs
@@ -13,7 +13,7 @@
 use tinbay_core::serving::configuration::{Route, RouteKind};
 use tinbay_core::serving::contents::{AdapterKey, adapter_key};
 use tinbay_core::serving::prompt::Prompt;
-use tinbay_core::serving::stream_sight::StreamSight;
+use tinbay_core::serving::stream_sight::StreamTiming;
 use tinbay_core::units::Millis;
 
 use super::refusal::Refusal;
@@ -103,7 +103,7 @@
     /// What it counted against its account's limit; nothing where that does not bind.
     pub admitted: Cell<Option<AdmittedUnits>>,
     /// When the pieces of its answer came; nothing before its end.
-    pub sight: Cell<StreamSight>,
+    pub sight: Cell<StreamTiming>,
     /// How its run was handed over to another server; nothing where that was not begun.
     pub handover: Cell<Option<Handover>>,
     /// Servers that were passed over as their limits had no room.
--- a/crates/tinbay-gateway/src/http/relay.rs
+++ b/crates/tinbay-gateway/src/http/relay.rs
@@ -8,7 +8,7 @@
 
 use bytes::{Bytes, BytesMut};
 use hyper::body::{Body, Frame, Incoming, SizeHint};
-use tinbay_core::serving::stream_sight::StreamSight;
+use tinbay_core::serving::stream_sight::StreamTiming;
 use tinbay_core::units::Millis;
 use tokio::time::Sleep;
 
@@ -18,12 +18,12 @@
 use crate::handover::drive::Outcome;
 
 /// Told how a relayed answer ended, nothing or why it was cut, and when its pieces came.
-pub type EndObserver = Box<dyn FnOnce(Result<(), BodyError>, StreamSight)>;
+pub type EndObserver = Box<dyn FnOnce(Result<(), BodyError>, StreamTiming)>;
 
 /// Tells its observer once, also when it is dropped: the caller left then.
 pub struct EndNotice {
     observer: Option<EndObserver>,
-    sight: StreamSight,
+    sight: StreamTiming,
 }
 
 impl EndNotice {
@@ -31,7 +31,7 @@
     pub fn new(observer: EndObserver) -> Self {
         Self {
             observer: Some(observer),
-            sight: StreamSight::default(),
+            sight: StreamTiming::default(),
         }
     }
 
