--- a/crates/tinbay-core/src/serving/lateness.rs
+++ b/crates/tinbay-core/src/serving/lateness.rs
@@ -1,7 +1,7 @@
 //! Classifies answers as on time or late, and by which part they were late.
 
 use super::configuration::{Route, RouteKind};
-use super::stream_sight::StreamTiming;
+use super::stream_timing::StreamTiming;
 use crate::units::Millis;
 
 /// The times within which an answer counts as on time.
--- a/crates/tinbay-core/src/serving/mod.rs
+++ b/crates/tinbay-core/src/serving/mod.rs
@@ -21,7 +21,7 @@
 pub mod server_limit;
 pub mod servers;
 pub mod spread;
-pub mod stream_sight;
+pub mod stream_timing;
 pub mod subscribers;
 pub mod trusted_rest;
 pub mod versions;
--- a/crates/tinbay-core/tests/stream_sight_test.rs
+++ b/crates/tinbay-core/tests/stream_timing_test.rs
@@ -3,7 +3,7 @@
 use quickcheck::QuickCheck;
 use tinbay_core::serving::configuration::{Route, RouteKind};
 use tinbay_core::serving::lateness::{AnswerObjective, AnswerTimes, Lateness, ObjectivePart};
-use tinbay_core::serving::stream_sight::StreamTiming;
+use tinbay_core::serving::stream_timing::StreamTiming;
 use tinbay_core::units::Millis;
 
 const STREAM: AnswerObjective = AnswerObjective {
--- a/crates/tinbay-gateway/src/front/answer_sight.rs
+++ b/crates/tinbay-gateway/src/front/answer_sight.rs
@@ -2,7 +2,7 @@
 
 use serde::Serialize;
 use tinbay_core::serving::lateness::{AnswerObjective, AnswerTimes, Lateness};
-use tinbay_core::serving::stream_sight::StreamTiming;
+use tinbay_core::serving::stream_timing::StreamTiming;
 use tinbay_core::units::Millis;
 
 use super::question::Question;
--- a/crates/tinbay-gateway/src/front/moving/mod.rs
+++ b/crates/tinbay-gateway/src/front/moving/mod.rs
@@ -14,7 +14,7 @@
 use serde::Serialize;
 use tinbay_core::handover::roles::has_places_for_two;
 use tinbay_core::serving::configuration::RouteKind;
-use tinbay_core::serving::stream_sight::StreamTiming;
+use tinbay_core::serving::stream_timing::StreamTiming;
 
 use self::mover::NodeMover;
 use self::successor::RunSuccessor;
--- a/crates/tinbay-gateway/src/front/question.rs
+++ b/crates/tinbay-gateway/src/front/question.rs
@@ -13,7 +13,7 @@
 use tinbay_core::serving::configuration::{Route, RouteKind};
 use tinbay_core::serving::contents::{AdapterKey, adapter_key};
 use tinbay_core::serving::prompt::Prompt;
-use tinbay_core::serving::stream_sight::StreamTiming;
+use tinbay_core::serving::stream_timing::StreamTiming;
 use tinbay_core::units::Millis;
 
 use super::refusal::Refusal;
--- a/crates/tinbay-gateway/src/http/relay.rs
+++ b/crates/tinbay-gateway/src/http/relay.rs
@@ -8,7 +8,7 @@
 
 use bytes::{Bytes, BytesMut};
 use hyper::body::{Body, Frame, Incoming, SizeHint};
-use tinbay_core::serving::stream_sight::StreamTiming;
+use tinbay_core::serving::stream_timing::StreamTiming;
 use tinbay_core::units::Millis;
 use tokio::time::Sleep;
 
