--- a/crates/tinbay-core/src/serving/trusted_rest.rs
+++ b/crates/tinbay-core/src/serving/trusted_rest.rs
@@ -76,7 +76,7 @@
 
 /// Idle limit for the connections of one service.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct TrustedRest {
+pub struct IdleReuseLimit {
     trusted_ms: Millis,
     /// Bound on growth until enough reuses have succeeded.
     ceiling_ms: Millis,
@@ -88,7 +88,7 @@
     silent: Option<(ServerKey, Millis)>,
 }
 
-impl Default for TrustedRest {
+impl Default for IdleReuseLimit {
     fn default() -> Self {
         Self {
             trusted_ms: START_MS,
@@ -101,7 +101,7 @@
     }
 }
 
-impl TrustedRest {
+impl IdleReuseLimit {
     /// Longest idle time of a connection that may carry a request that may run only once.
     pub fn trusted_ms(&self) -> Millis {
         if self.at_risk < MOST_AT_STAKE {
@@ -112,7 +112,7 @@
     }
 
     /// Records that a request that may run only once is sent on a connection that was idle for
-    /// `rested_ms`. Returns whether it counts as at risk; if so, [`TrustedRest::release`] must be
+    /// `rested_ms`. Returns whether it counts as at risk; if so, [`IdleReuseLimit::release`] must be
     /// called when its outcome is known.
     pub fn stake(&mut self, rested_ms: Millis) -> bool {
         let is_at_risk = rested_ms > START_MS;
--- a/crates/tinbay-core/tests/trusted_rest_test.rs
+++ b/crates/tinbay-core/tests/trusted_rest_test.rs
@@ -5,7 +5,7 @@
 use rand::{RngExt, SeedableRng};
 use tinbay_core::serving::servers::ServerKey;
 use tinbay_core::serving::trusted_rest::{
-    LEAST_MS, MOST_AT_STAKE, MOST_MS, REUSES_A_LOSS, Reuse, ReuseEnd, START_MS, TrustedRest,
+    IdleReuseLimit, LEAST_MS, MOST_AT_STAKE, MOST_MS, REUSES_A_LOSS, Reuse, ReuseEnd, START_MS,
 };
 use tinbay_core::units::Millis;
 
@@ -20,11 +20,11 @@
     }
 }
 
-fn note(learner: &mut TrustedRest, rested_ms: Millis, end: ReuseEnd) -> bool {
+fn note(learner: &mut IdleReuseLimit, rested_ms: Millis, end: ReuseEnd) -> bool {
     learner.note(&reuse(rested_ms, end), 0)
 }
 
-fn grow(learner: &mut TrustedRest, to_ms: Millis) {
+fn grow(learner: &mut IdleReuseLimit, to_ms: Millis) {
     while learner.trusted_ms() < to_ms {
         let rested_ms = learner.trusted_ms();
         note(learner, rested_ms, ReuseEnd::Answered);
@@ -35,7 +35,7 @@
 /// limit. Returns the number of reuses and of losses.
 fn play(closed_after_ms: Millis, seed: u64) -> (u32, u32) {
     let mut rng = SmallRng::seed_from_u64(seed);
-    let mut learner = TrustedRest::default();
+    let mut learner = IdleReuseLimit::default();
     let (mut reused, mut lost) = (0, 0);
     for _ in 0..REUSES {
         let rested_ms = rng.random_range(0..4_000);
@@ -57,14 +57,14 @@
 
 #[test]
 fn trusted_before_anything_is_learnt_is_the_start() {
-    assert_eq!(TrustedRest::default().trusted_ms(), START_MS);
+    assert_eq!(IdleReuseLimit::default().trusted_ms(), START_MS);
 }
 
 /// One box uses each of 90 servers every three seconds: with an idle limit of half a second, six of
 /// seven requests would need a new connection.
 #[test]
 fn trusted_grows_where_reuse_goes_well() {
-    let mut learner = TrustedRest::default();
+    let mut learner = IdleReuseLimit::default();
     for _ in 0..16 {
         let rested_ms = learner.trusted_ms();
         note(&mut learner, rested_ms, ReuseEnd::Answered);
@@ -74,7 +74,7 @@
 
 #[test]
 fn trusted_grows_by_long_rests_alone() {
-    let mut learner = TrustedRest::default();
+    let mut learner = IdleReuseLimit::default();
     for _ in 0..100 {
         note(&mut learner, 20, ReuseEnd::Answered);
     }
@@ -83,7 +83,7 @@
 
 #[test]
 fn trusted_shrinks_at_once_below_a_rest_that_broke() {
-    let mut learner = TrustedRest::default();
+    let mut learner = IdleReuseLimit::default();
     grow(&mut learner, 4_000);
     assert!(note(&mut learner, 3_000, ReuseEnd::Broken));
     assert_eq!(learner.trusted_ms(), 1_500);
@@ -91,14 +91,14 @@
 
 #[test]
 fn trusted_shrinks_below_the_start_where_servers_forget_sooner() {
-    let mut learner = TrustedRest::default();
+    let mut learner = IdleReuseLimit::default();
     note(&mut learner, 400, ReuseEnd::Broken);
     assert_eq!(learner.trusted_ms(), 200);
 }
 
 #[test]
 fn trusted_is_the_least_after_a_second_loss() {
-    let mut learner = TrustedRest::default();
+    let mut learner = IdleReuseLimit::default();
     grow(&mut learner, 4_000);
     note(&mut learner, 3_000, ReuseEnd::Broken);
     note(&mut learner, 1_400, ReuseEnd::Broken);
@@ -107,7 +107,7 @@
 
 #[test]
 fn trusted_grows_again_only_after_many_reuses() {
-    let mut learner = TrustedRest::default();
+    let mut learner = IdleReuseLimit::default();
     note(&mut learner, 400, ReuseEnd::Broken);
     for _ in 1..REUSES_A_LOSS {
         note(&mut learner, 200, ReuseEnd::Answered);
@@ -120,7 +120,7 @@
 /// idle time.
 #[test]
 fn trusted_stays_where_a_connection_just_used_breaks() {
-    let mut learner = TrustedRest::default();
+    let mut learner = IdleReuseLimit::default();
     assert!(!note(&mut learner, LEAST_MS, ReuseEnd::Broken));
     assert_eq!(learner.trusted_ms(), START_MS);
 }
@@ -128,7 +128,7 @@
 /// A server that stops responding does not affect the connections of others.
 #[test]
 fn silence_of_one_server_says_nothing_of_others() {
-    let mut learner = TrustedRest::default();
+    let mut learner = IdleReuseLimit::default();
     grow(&mut learner, 4_000);
     for _ in 0..3 {
         assert!(!note(&mut learner, 2_000, ReuseEnd::Silent));
@@ -138,7 +138,7 @@
 /// A link drops all connections at once.
 #[test]
 fn silence_of_two_servers_at_once_shrinks() {
-    let mut learner = TrustedRest::default();
+    let mut learner = IdleReuseLimit::default();
     grow(&mut learner, 4_000);
     let silent = |server: ServerKey| Reuse {
         server,
@@ -152,7 +152,7 @@
 
 #[test]
 fn silence_of_two_servers_long_apart_says_nothing() {
-    let mut learner = TrustedRest::default();
+    let mut learner = IdleReuseLimit::default();
     grow(&mut learner, 4_000);
     let mut is_shrunk = false;
     for (server, now_ms) in [(1, 10_000), (2, 20_000)] {
@@ -169,7 +169,7 @@
 /// it.
 #[test]
 fn stake_is_bounded_while_answers_are_due() {
-    let mut learner = TrustedRest::default();
+    let mut learner = IdleReuseLimit::default();
     grow(&mut learner, 4_000);
     let mut sent = 0;
     while learner.trusted_ms() >= 2_000 {
@@ -184,7 +184,7 @@
 
 #[test]
 fn stake_of_a_short_rest_is_none() {
-    let mut learner = TrustedRest::default();
+    let mut learner = IdleReuseLimit::default();
     assert!(!learner.stake(START_MS));
 }
 
--- a/crates/tinbay-gateway/src/http/reuse.rs
+++ b/crates/tinbay-gateway/src/http/reuse.rs
@@ -8,7 +8,7 @@
 use prometheus::IntCounterVec;
 use serde::Serialize;
 use tinbay_core::serving::servers::ServerKey;
-use tinbay_core::serving::trusted_rest::{self, ReuseEnd, TrustedRest};
+use tinbay_core::serving::trusted_rest::{self, IdleReuseLimit, ReuseEnd};
 use tinbay_core::units::Millis;
 
 use crate::clock::Clock;
@@ -23,7 +23,7 @@
 pub struct ReuseLedger {
     service: String,
     clock: Clock,
-    trusted: RefCell<TrustedRest>,
+    trusted: RefCell<IdleReuseLimit>,
     measure: Option<IntCounterVec>,
 }
 
