--- a/crates/tinbay-core/src/serving/trusted_rest.rs
+++ b/crates/tinbay-core/src/serving/trusted_rest.rs
@@ -40,7 +40,7 @@
 
 /// Outcome of a request on a reused connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum ReuseEnd {
+pub enum ReuseOutcome {
     /// The head of the answer arrived.
     Answered,
     /// The connection was closed without an answer.
@@ -51,14 +51,14 @@
     Silent,
 }
 
-impl ReuseEnd {
+impl ReuseOutcome {
     /// Name in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
-            ReuseEnd::Answered => "answered",
-            ReuseEnd::Broken => "broken",
-            ReuseEnd::FoundClosed => "found_closed",
-            ReuseEnd::Silent => "silent",
+            ReuseOutcome::Answered => "answered",
+            ReuseOutcome::Broken => "broken",
+            ReuseOutcome::FoundClosed => "found_closed",
+            ReuseOutcome::Silent => "silent",
         }
     }
 }
@@ -71,7 +71,7 @@
     /// How long the connection had been idle.
     pub rested_ms: Millis,
     /// Outcome of the request.
-    pub end: ReuseEnd,
+    pub end: ReuseOutcome,
 }
 
 /// Idle limit for the connections of one service.
@@ -129,10 +129,10 @@
     pub fn note(&mut self, reuse: &Reuse, now_ms: Millis) -> bool {
         let before_ms = self.trusted_ms;
         match reuse.end {
-            ReuseEnd::Answered => self.note_success(reuse.rested_ms),
-            ReuseEnd::FoundClosed => self.near_successes = 0,
-            ReuseEnd::Broken => self.note_loss(reuse.rested_ms),
-            ReuseEnd::Silent => self.note_silent(reuse, now_ms),
+            ReuseOutcome::Answered => self.note_success(reuse.rested_ms),
+            ReuseOutcome::FoundClosed => self.near_successes = 0,
+            ReuseOutcome::Broken => self.note_loss(reuse.rested_ms),
+            ReuseOutcome::Silent => self.note_silent(reuse, now_ms),
         }
         self.trusted_ms < before_ms
     }
--- a/crates/tinbay-core/tests/trusted_rest_test.rs
+++ b/crates/tinbay-core/tests/trusted_rest_test.rs
@@ -5,14 +5,14 @@
 use rand::{RngExt, SeedableRng};
 use tinbay_core::serving::servers::ServerKey;
 use tinbay_core::serving::trusted_rest::{
-    IdleReuseLimit, LEAST_MS, MOST_AT_STAKE, MOST_MS, REUSES_A_LOSS, Reuse, ReuseEnd, START_MS,
+    IdleReuseLimit, LEAST_MS, MOST_AT_STAKE, MOST_MS, REUSES_A_LOSS, Reuse, ReuseOutcome, START_MS,
 };
 use tinbay_core::units::Millis;
 
 /// Reuses by a box that sends some 25 requests per second to 90 servers, over five minutes.
 const REUSES: u32 = 4_000;
 
-fn reuse(rested_ms: Millis, end: ReuseEnd) -> Reuse {
+fn reuse(rested_ms: Millis, end: ReuseOutcome) -> Reuse {
     Reuse {
         server: 1,
         rested_ms,
@@ -20,14 +20,14 @@
     }
 }
 
-fn note(learner: &mut IdleReuseLimit, rested_ms: Millis, end: ReuseEnd) -> bool {
+fn note(learner: &mut IdleReuseLimit, rested_ms: Millis, end: ReuseOutcome) -> bool {
     learner.note(&reuse(rested_ms, end), 0)
 }
 
 fn grow(learner: &mut IdleReuseLimit, to_ms: Millis) {
     while learner.trusted_ms() < to_ms {
         let rested_ms = learner.trusted_ms();
-        note(learner, rested_ms, ReuseEnd::Answered);
+        note(learner, rested_ms, ReuseOutcome::Answered);
     }
 }
 
@@ -44,9 +44,9 @@
         }
         let is_lost = rested_ms > closed_after_ms;
         let end = if is_lost {
-            ReuseEnd::Broken
+            ReuseOutcome::Broken
         } else {
-            ReuseEnd::Answered
+            ReuseOutcome::Answered
         };
         reused += 1;
         lost += u32::from(is_lost);
@@ -67,7 +67,7 @@
     let mut learner = IdleReuseLimit::default();
     for _ in 0..16 {
         let rested_ms = learner.trusted_ms();
-        note(&mut learner, rested_ms, ReuseEnd::Answered);
+        note(&mut learner, rested_ms, ReuseOutcome::Answered);
     }
     assert!(learner.trusted_ms() >= 4_000);
 }
@@ -76,7 +76,7 @@
 fn trusted_grows_by_long_rests_alone() {
     let mut learner = IdleReuseLimit::default();
     for _ in 0..100 {
-        note(&mut learner, 20, ReuseEnd::Answered);
+        note(&mut learner, 20, ReuseOutcome::Answered);
     }
     assert_eq!(learner.trusted_ms(), START_MS);
 }
@@ -85,14 +85,14 @@
 fn trusted_shrinks_at_once_below_a_rest_that_broke() {
     let mut learner = IdleReuseLimit::default();
     grow(&mut learner, 4_000);
-    assert!(note(&mut learner, 3_000, ReuseEnd::Broken));
+    assert!(note(&mut learner, 3_000, ReuseOutcome::Broken));
     assert_eq!(learner.trusted_ms(), 1_500);
 }
 
 #[test]
 fn trusted_shrinks_below_the_start_where_servers_forget_sooner() {
     let mut learner = IdleReuseLimit::default();
-    note(&mut learner, 400, ReuseEnd::Broken);
+    note(&mut learner, 400, ReuseOutcome::Broken);
     assert_eq!(learner.trusted_ms(), 200);
 }
 
@@ -100,17 +100,17 @@
 fn trusted_is_the_least_after_a_second_loss() {
     let mut learner = IdleReuseLimit::default();
     grow(&mut learner, 4_000);
-    note(&mut learner, 3_000, ReuseEnd::Broken);
-    note(&mut learner, 1_400, ReuseEnd::Broken);
+    note(&mut learner, 3_000, ReuseOutcome::Broken);
+    note(&mut learner, 1_400, ReuseOutcome::Broken);
     assert_eq!(learner.trusted_ms(), LEAST_MS);
 }
 
 #[test]
 fn trusted_grows_again_only_after_many_reuses() {
     let mut learner = IdleReuseLimit::default();
-    note(&mut learner, 400, ReuseEnd::Broken);
+    note(&mut learner, 400, ReuseOutcome::Broken);
     for _ in 1..REUSES_A_LOSS {
-        note(&mut learner, 200, ReuseEnd::Answered);
+        note(&mut learner, 200, ReuseOutcome::Answered);
     }
     assert_eq!(learner.trusted_ms(), 200);
     grow(&mut learner, 1_000);
@@ -121,7 +121,7 @@
 #[test]
 fn trusted_stays_where_a_connection_just_used_breaks() {
     let mut learner = IdleReuseLimit::default();
-    assert!(!note(&mut learner, LEAST_MS, ReuseEnd::Broken));
+    assert!(!note(&mut learner, LEAST_MS, ReuseOutcome::Broken));
     assert_eq!(learner.trusted_ms(), START_MS);
 }
 
@@ -131,7 +131,7 @@
     let mut learner = IdleReuseLimit::default();
     grow(&mut learner, 4_000);
     for _ in 0..3 {
-        assert!(!note(&mut learner, 2_000, ReuseEnd::Silent));
+        assert!(!note(&mut learner, 2_000, ReuseOutcome::Silent));
     }
 }
 
@@ -143,7 +143,7 @@
     let silent = |server: ServerKey| Reuse {
         server,
         rested_ms: 2_000,
-        end: ReuseEnd::Silent,
+        end: ReuseOutcome::Silent,
     };
     assert!(!learner.note(&silent(1), 10_000));
     assert!(learner.note(&silent(2), 10_500));
@@ -158,7 +158,7 @@
     for (server, now_ms) in [(1, 10_000), (2, 20_000)] {
         let silent = Reuse {
             server,
-            ..reuse(2_000, ReuseEnd::Silent)
+            ..reuse(2_000, ReuseOutcome::Silent)
         };
         is_shrunk |= learner.note(&silent, now_ms);
     }
--- a/crates/tinbay-gateway/src/http/reuse.rs
+++ b/crates/tinbay-gateway/src/http/reuse.rs
@@ -8,7 +8,7 @@
 use prometheus::IntCounterVec;
 use serde::Serialize;
 use tinbay_core::serving::servers::ServerKey;
-use tinbay_core::serving::trusted_rest::{self, IdleReuseLimit, ReuseEnd};
+use tinbay_core::serving::trusted_rest::{self, IdleReuseLimit, ReuseOutcome};
 use tinbay_core::units::Millis;
 
 use crate::clock::Clock;
@@ -58,7 +58,7 @@
 
     /// Counts a resting connection that the server had closed.
     pub fn note_found_closed(&self, server: ServerKey, rested_ms: Millis) {
-        self.note(server, rested_ms, ReuseEnd::FoundClosed);
+        self.note(server, rested_ms, ReuseOutcome::FoundClosed);
     }
 
     fn count(&self, outcome: &str) {
@@ -67,7 +67,7 @@
         }
     }
 
-    fn note(&self, server: ServerKey, rested_ms: Millis, end: ReuseEnd) {
+    fn note(&self, server: ServerKey, rested_ms: Millis, end: ReuseOutcome) {
         self.count(end.name());
         let reuse = trusted_rest::Reuse {
             server,
@@ -120,18 +120,18 @@
 
     /// The head of the answer came.
     pub fn note_answered(self) {
-        self.note(ReuseEnd::Answered);
+        self.note(ReuseOutcome::Answered);
     }
 
     /// It was seen to be closed before the request went out.
     pub fn note_found_closed(self) {
-        self.note(ReuseEnd::FoundClosed);
+        self.note(ReuseOutcome::FoundClosed);
     }
 
     /// It was closed so long after the request went out.
     pub fn note_closed(self, after_ms: Millis) {
         if after_ms <= FORGOTTEN_WITHIN_MS {
-            self.note(ReuseEnd::Broken);
+            self.note(ReuseOutcome::Broken);
         }
     }
 
@@ -139,10 +139,10 @@
     /// trusted any more.
     pub fn note_silent(self) {
         self.silent_ms.set(self.ledger.clock.now_ms());
-        self.note(ReuseEnd::Silent);
+        self.note(ReuseOutcome::Silent);
     }
 
-    fn note(&self, end: ReuseEnd) {
+    fn note(&self, end: ReuseOutcome) {
         self.ledger.note(self.server, self.rested_ms, end);
     }
 }
