--- a/crates/tinbay-core/tests/trusted_rest_test.rs
+++ b/crates/tinbay-core/tests/idle_reuse_test.rs
@@ -3,10 +3,10 @@
 use quickcheck::QuickCheck;
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
-use tinbay_core::serving::servers::ServerKey;
-use tinbay_core::serving::trusted_rest::{
+use tinbay_core::serving::idle_reuse::{
     IdleReuseLimit, LEAST_MS, MOST_AT_STAKE, MOST_MS, REUSES_A_LOSS, Reuse, ReuseOutcome, START_MS,
 };
+use tinbay_core::serving::servers::ServerKey;
 use tinbay_core::units::Millis;
 
 /// Reuses by a box that sends some 25 requests per second to 90 servers, over five minutes.
--- a/crates/tinbay-gateway/src/http/pool.rs
+++ b/crates/tinbay-gateway/src/http/pool.rs
@@ -6,8 +6,8 @@
 use std::time::Duration;
 
 use hyper::client::conn::http1::SendRequest;
+use tinbay_core::serving::idle_reuse::LEAST_MS;
 use tinbay_core::serving::servers::ServerKey;
-use tinbay_core::serving::trusted_rest::LEAST_MS;
 use tinbay_core::units::Millis;
 use tokio::task::AbortHandle;
 
--- a/crates/tinbay-gateway/src/http/reuse.rs
+++ b/crates/tinbay-gateway/src/http/reuse.rs
@@ -7,8 +7,8 @@
 use log::Level;
 use prometheus::IntCounterVec;
 use serde::Serialize;
+use tinbay_core::serving::idle_reuse::{self, IdleReuseLimit, ReuseOutcome};
 use tinbay_core::serving::servers::ServerKey;
-use tinbay_core::serving::trusted_rest::{self, IdleReuseLimit, ReuseOutcome};
 use tinbay_core::units::Millis;
 
 use crate::clock::Clock;
@@ -69,7 +69,7 @@
 
     fn note(&self, server: ServerKey, rested_ms: Millis, end: ReuseOutcome) {
         self.count(end.name());
-        let reuse = trusted_rest::Reuse {
+        let reuse = idle_reuse::Reuse {
             server,
             rested_ms,
             end,
