--- a/crates/tinbay-core/src/serving/reading.rs
+++ b/crates/tinbay-core/src/serving/reading.rs
@@ -23,12 +23,12 @@
 
 /// Rate at which the engines of a service prefill prompts, including parts that they have cached.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct ReadingPace {
+pub struct PrefillRate {
     tokens: f64,
     time_ms: f64,
 }
 
-impl Default for ReadingPace {
+impl Default for PrefillRate {
     fn default() -> Self {
         let tokens = AVERAGED_TOKENS / 10.0;
         Self {
@@ -38,7 +38,7 @@
     }
 }
 
-impl ReadingPace {
+impl PrefillRate {
     /// Prefill rate.
     pub fn tokens_a_ms(&self) -> f64 {
         let (slowest, fastest) = PLAUSIBLE_TOKENS_PER_MS.into_inner();
--- a/crates/tinbay-core/tests/serving_homes_test.rs
+++ b/crates/tinbay-core/tests/serving_homes_test.rs
@@ -3,7 +3,7 @@
 use quickcheck::QuickCheck;
 use tinbay_core::serving::contents::adapter_key;
 use tinbay_core::serving::homes::{Candidate, Pick, Presence, pick};
-use tinbay_core::serving::reading::{Backlog, ReadingPace};
+use tinbay_core::serving::reading::{Backlog, PrefillRate};
 use tinbay_core::serving::servers::Fingerprint;
 use tinbay_core::serving::spread::Spreads;
 use tinbay_core::serving::subscribers::{AdapterUse, ContentsChange, Subscribers};
@@ -315,7 +315,7 @@
 
 #[test]
 fn prefill_rate_follows_measurements() {
-    let mut rate = ReadingPace::default();
+    let mut rate = PrefillRate::default();
     for _ in 0..400 {
         rate.note(4_000, 100.0);
     }
@@ -327,7 +327,7 @@
 /// from being corrected.
 #[test]
 fn prefill_rate_too_low_is_corrected() {
-    let mut rate = ReadingPace::default();
+    let mut rate = PrefillRate::default();
     for _ in 0..400 {
         rate.note_answer(700, 0.0, 3_000.0);
     }
@@ -340,7 +340,7 @@
 
 #[test]
 fn prefill_rate_ignores_busy_engine() {
-    let mut rate = ReadingPace::default();
+    let mut rate = PrefillRate::default();
     let before = rate;
     rate.note_answer(700, 21.0, 3_000.0);
     rate.note_answer(499, 0.0, 3_000.0);
@@ -350,7 +350,7 @@
 /// Rounding of the sums may move the rate just beyond its bounds.
 #[test]
 fn prefill_rate_stays_in_bounds_when_sums_are_rounded() {
-    let mut rate = ReadingPace::default();
+    let mut rate = PrefillRate::default();
     rate.note(1_602, 0.0);
     rate.note(15_689, 0.0);
     assert!(rate.tokens_a_ms() <= 400.0);
@@ -359,7 +359,7 @@
 #[test]
 fn prefill_rate_stays_in_bounds() {
     fn property(notes: Vec<(u16, u16)>) -> bool {
-        let mut rate = ReadingPace::default();
+        let mut rate = PrefillRate::default();
         for (tokens, took_ms) in notes {
             rate.note(u32::from(tokens) * 40, f64::from(took_ms));
         }
--- a/crates/tinbay-gateway/src/node.rs
+++ b/crates/tinbay-gateway/src/node.rs
@@ -14,7 +14,7 @@
 use tinbay_core::serving::contents::AdapterKey;
 use tinbay_core::serving::pacing::LoadPace;
 use tinbay_core::serving::position::Era;
-use tinbay_core::serving::reading::ReadingPace;
+use tinbay_core::serving::reading::PrefillRate;
 use tinbay_core::serving::routes::RouteTable;
 use tinbay_core::serving::servers::{Fingerprint, ServerKey};
 use tinbay_core::serving::versions::NamedVersions;
@@ -189,7 +189,7 @@
     /// Connections of callers that are open.
     pub connections: Cell<usize>,
     /// How fast engines read prompts, by service.
-    pub reading: RefCell<HashMap<String, ReadingPace>>,
+    pub reading: RefCell<HashMap<String, PrefillRate>>,
     /// Requests under which servers crash.
     pub crashes: Crashes,
     /// Limits over all boxes.
