--- a/crates/tinbay-core/src/serving/subscribers.rs
+++ b/crates/tinbay-core/src/serving/subscribers.rs
@@ -10,7 +10,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::decay::DecayingValue;
-use super::reading::Backlog;
+use super::prefill::Backlog;
 use super::servers::Fingerprint;
 use crate::units::Millis;
 
--- a/crates/tinbay-core/tests/serving_homes_test.rs
+++ b/crates/tinbay-core/tests/serving_homes_test.rs
@@ -3,7 +3,7 @@
 use quickcheck::QuickCheck;
 use tinbay_core::serving::contents::adapter_key;
 use tinbay_core::serving::homes::{Candidate, Pick, Presence, pick};
-use tinbay_core::serving::reading::{Backlog, PrefillRate};
+use tinbay_core::serving::prefill::{Backlog, PrefillRate};
 use tinbay_core::serving::servers::Fingerprint;
 use tinbay_core::serving::spread::Spreads;
 use tinbay_core::serving::subscribers::{AdapterUse, ContentsChange, Subscribers};
--- a/crates/tinbay-gateway/src/node.rs
+++ b/crates/tinbay-gateway/src/node.rs
@@ -14,7 +14,7 @@
 use tinbay_core::serving::contents::AdapterKey;
 use tinbay_core::serving::pacing::LoadPace;
 use tinbay_core::serving::position::Era;
-use tinbay_core::serving::reading::PrefillRate;
+use tinbay_core::serving::prefill::PrefillRate;
 use tinbay_core::serving::routes::RouteTable;
 use tinbay_core::serving::servers::{Fingerprint, ServerKey};
 use tinbay_core::serving::versions::NamedVersions;
--- a/crates/tinbay-gateway/src/servers/view.rs
+++ b/crates/tinbay-gateway/src/servers/view.rs
@@ -4,7 +4,7 @@
 
 use tinbay_core::serving::contents::HeldState;
 use tinbay_core::serving::decay::decayed;
-use tinbay_core::serving::reading::Backlog;
+use tinbay_core::serving::prefill::Backlog;
 use tinbay_core::serving::servers::Fingerprint;
 use tinbay_core::serving::subscribers::{ContentsChange, FRESH_MS, MISTRUST_HALF_LIFE_MS};
 use tinbay_core::units::Millis;
