--- a/crates/tinbay-core/src/serving/notices.rs
+++ b/crates/tinbay-core/src/serving/notices.rs
@@ -24,13 +24,13 @@
 
 /// Everything one incarnation of a server has announced so far.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct Said {
+pub struct Announced {
     is_leaving: bool,
     rest_until_ms: Millis,
     limit: SaidLimit,
 }
 
-impl Said {
+impl Announced {
     /// Records the notice of an answer received now. A shutdown or a back-off is never withdrawn: a
     /// later answer may only lengthen the back-off. A limit lasts for as long as answers name it.
     pub fn note(&mut self, notice: AnswerNotice, now_ms: Millis) {
--- a/crates/tinbay-core/tests/serving_notices_test.rs
+++ b/crates/tinbay-core/tests/serving_notices_test.rs
@@ -1,7 +1,7 @@
 //! What servers announce about themselves in their answers.
 
 use quickcheck::QuickCheck;
-use tinbay_core::serving::notices::{AnswerNotice, Said};
+use tinbay_core::serving::notices::{Announced, AnswerNotice};
 
 fn back_off(rest_ms: u64) -> AnswerNotice {
     AnswerNotice {
@@ -13,7 +13,7 @@
 
 #[test]
 fn note_back_off_expires() {
-    let mut said = Said::default();
+    let mut said = Announced::default();
     said.note(back_off(3_000), 1_000);
     // The true time may be almost a millisecond ahead of the clock reading.
     assert_eq!(said.rest_until_ms(4_000), Some(4_001));
@@ -23,7 +23,7 @@
 /// An answer to a request in flight does not mention the back-off, which must continue.
 #[test]
 fn note_without_back_off_does_not_end_one() {
-    let mut said = Said::default();
+    let mut said = Announced::default();
     said.note(back_off(3_000), 0);
     said.note(AnswerNotice::default(), 100);
     said.note(back_off(0), 200);
@@ -32,7 +32,7 @@
 
 #[test]
 fn note_endless_back_off_does_not_overflow() {
-    let mut said = Said::default();
+    let mut said = Announced::default();
     said.note(back_off(u64::MAX), 5);
     assert_eq!(said.rest_until_ms(u64::MAX - 1), Some(u64::MAX));
 }
@@ -41,7 +41,7 @@
 #[test]
 fn note_any_answers_withdraws_nothing() {
     fn keeps(answers: Vec<(bool, Option<u16>, u8)>) -> bool {
-        let mut said = Said::default();
+        let mut said = Announced::default();
         let mut now_ms = 0;
         let mut was_leaving = false;
         let mut until_ms = 0;
--- a/crates/tinbay-gateway/src/servers/departed.rs
+++ b/crates/tinbay-gateway/src/servers/departed.rs
@@ -8,7 +8,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use tinbay_core::serving::notices::Said;
+use tinbay_core::serving::notices::Announced;
 use tinbay_core::serving::servers::ServerRecord;
 
 /// Upper bound on servers that are remembered. It covers a system of 7,700 servers whose entries
@@ -16,7 +16,7 @@
 const MAX_REMEMBERED: usize = 8_192;
 
 /// Notices of an incarnation of a server, shared by all that refer to it.
-pub type SharedNotices = Rc<RefCell<Said>>;
+pub type SharedNotices = Rc<RefCell<Announced>>;
 
 #[derive(Debug)]
 struct Departure {
@@ -63,7 +63,7 @@
         let is_earlier = record.born_ms < known.born_ms && record.born_ms.is_some();
         if is_earlier {
             // A later incarnation is known, so this one has ended.
-            let mut notices = Said::default();
+            let mut notices = Announced::default();
             notices.note_leaving();
             return Rc::new(RefCell::new(notices));
         }
