--- a/crates/tinbay-core/src/serving/notices.rs
+++ b/crates/tinbay-core/src/serving/notices.rs
@@ -4,7 +4,7 @@
 //! arrives sooner than their entries in the store, which may be unavailable, and it is final where
 //! an entry is not: a listing may be old, and an entry may disappear and reappear.
 
-use super::server_limit::{LimitNotice, SaidLimit};
+use super::server_limit::{AnnouncedLimit, LimitNotice};
 use crate::units::Millis;
 
 /// Rounding error of a time in whole milliseconds. Without it a back-off could end up to that much
@@ -27,7 +27,7 @@
 pub struct Announced {
     is_leaving: bool,
     rest_until_ms: Millis,
-    limit: SaidLimit,
+    limit: AnnouncedLimit,
 }
 
 impl Announced {
@@ -55,7 +55,7 @@
     }
 
     /// The rate limit that the server announced.
-    pub fn limit(&self) -> &SaidLimit {
+    pub fn limit(&self) -> &AnnouncedLimit {
         &self.limit
     }
 
--- a/crates/tinbay-core/src/serving/server_limit.rs
+++ b/crates/tinbay-core/src/serving/server_limit.rs
@@ -44,7 +44,7 @@
 
 /// The rate limit of one incarnation of a server, from all of its answers so far.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct SaidLimit {
+pub struct AnnouncedLimit {
     notice: Option<LimitNotice>,
     /// Since when a limit has been in effect without interruption.
     limited_since_ms: Option<Millis>,
@@ -52,7 +52,7 @@
     was_limited: bool,
 }
 
-impl SaidLimit {
+impl AnnouncedLimit {
     /// Applies a notice. One that was certainly made later replaces the known one. Of two that may
     /// have been made in either order the stricter one applies, until a request sent after its
     /// receipt is answered.
--- a/crates/tinbay-core/tests/serving_server_limit_test.rs
+++ b/crates/tinbay-core/tests/serving_server_limit_test.rs
@@ -9,7 +9,7 @@
 use tinbay_core::limits::home::{DealTerms, LimitHome, UnitRequest};
 use tinbay_core::limits::share::{LimitShare, ShareTerms};
 use tinbay_core::limits::terms::LimitTerms;
-use tinbay_core::serving::server_limit::{LimitNotice, SaidLimit};
+use tinbay_core::serving::server_limit::{AnnouncedLimit, LimitNotice};
 use tinbay_core::units::Millis;
 
 fn notice(per_s: Option<f64>, said_after_ms: Millis, said_before_ms: Millis) -> LimitNotice {
@@ -21,7 +21,7 @@
 }
 
 fn said(notices: &[LimitNotice]) -> Option<f64> {
-    let mut limit = SaidLimit::default();
+    let mut limit = AnnouncedLimit::default();
     for notice in notices {
         limit.note(*notice);
     }
@@ -139,10 +139,10 @@
 struct Fleet {
     plan: Plan,
     random: SmallRng,
-    said: Vec<SaidLimit>,
+    said: Vec<AnnouncedLimit>,
     shares: Vec<LimitShare>,
     denied_until_ms: Vec<Millis>,
-    homes: HashMap<usize, (SaidLimit, LimitHome)>,
+    homes: HashMap<usize, (AnnouncedLimit, LimitHome)>,
     answers: BTreeMap<(Millis, u64), (usize, LimitNotice)>,
     in_transit: BTreeMap<(Millis, u64), (usize, LimitNotice)>,
     arrivals: Vec<Millis>,
@@ -159,7 +159,7 @@
         Self {
             plan: Plan::draw(&mut random),
             random,
-            said: vec![SaidLimit::default(); BOXES],
+            said: vec![AnnouncedLimit::default(); BOXES],
             shares: vec![LimitShare::new(0); BOXES],
             denied_until_ms: vec![0; BOXES],
             homes: HashMap::new(),
@@ -449,7 +449,7 @@
 /// No notice is sent for servers that never named a limit, but the end of a limit is sent.
 #[test]
 fn notice_only_of_a_server_that_has_named_a_limit() {
-    let mut limit = SaidLimit::default();
+    let mut limit = AnnouncedLimit::default();
     limit.note(notice(None, 0, 10));
     assert_eq!(limit.notice(), None);
     limit.note(notice(Some(4.0), 10, 20));
