--- a/crates/tinbay-core/src/serving/prompt.rs
+++ b/crates/tinbay-core/src/serving/prompt.rs
@@ -27,7 +27,7 @@
     #[default]
     NotSaid,
     /// The declared number.
-    Said(u64),
+    Declared(u64),
     /// Declared in a form that cannot be parsed.
     Unreadable,
 }
--- a/crates/tinbay-gateway/src/front/filters/account_limit.rs
+++ b/crates/tinbay-gateway/src/front/filters/account_limit.rs
@@ -57,7 +57,7 @@
 fn units(account: &Account, count: TokenCount) -> Result<f64, Refusal> {
     match (account.unit, count) {
         (LimitUnit::Tokens { .. }, TokenCount::Unreadable) => Err(Refusal::TokensUnreadable),
-        (unit, TokenCount::Said(tokens)) => Ok(unit.cost(Some(tokens))),
+        (unit, TokenCount::Declared(tokens)) => Ok(unit.cost(Some(tokens))),
         (unit, _) => Ok(unit.cost(None)),
     }
 }
