--- a/crates/tinbay-core/src/serving/prompt.rs
+++ b/crates/tinbay-core/src/serving/prompt.rs
@@ -25,7 +25,7 @@
 pub enum TokenCount {
     /// Not declared.
     #[default]
-    NotSaid,
+    Undeclared,
     /// The declared number.
     Declared(u64),
     /// Declared in a form that cannot be parsed.
--- a/crates/tinbay-gateway/src/front/room.rs
+++ b/crates/tinbay-gateway/src/front/room.rs
@@ -66,7 +66,7 @@
     question.model_key?;
     let units = match question.prompt.count {
         TokenCount::Declared(tokens) => u32::try_from(tokens).unwrap_or(u32::MAX),
-        TokenCount::NotSaid | TokenCount::Unreadable => question.prompt.tokens,
+        TokenCount::Undeclared | TokenCount::Unreadable => question.prompt.tokens,
     };
     let reading_ms = node.reading_ms(&question.service, question.prompt.tokens) as Millis;
     Some(RoomWish {
