--- a/crates/tinbay-core/src/serving/server_limit.rs
+++ b/crates/tinbay-core/src/serving/server_limit.rs
@@ -13,7 +13,7 @@
 const SIGNIFICANT_CHANGE: f64 = 0.1;
 
 /// Whether a limit differs enough from the one last reported that it should be reported again.
-pub fn is_news(reported: Option<f64>, now: Option<f64>) -> bool {
+pub fn is_significant_change(reported: Option<f64>, now: Option<f64>) -> bool {
     match (reported, now) {
         (Some(reported), Some(now)) => (now - reported).abs() > SIGNIFICANT_CHANGE * reported,
         (reported, now) => reported.is_some() != now.is_some(),
--- a/crates/tinbay-gateway/src/servers/server.rs
+++ b/crates/tinbay-gateway/src/servers/server.rs
@@ -7,7 +7,7 @@
 use tinbay_core::serving::contents::AdapterKey;
 use tinbay_core::serving::decay::decayed;
 use tinbay_core::serving::notices::AnswerNotice;
-use tinbay_core::serving::server_limit::{LimitNotice, is_news};
+use tinbay_core::serving::server_limit::{LimitNotice, is_significant_change};
 use tinbay_core::serving::servers::{Fingerprint, ServerKey, ServerRecord, ServerState};
 use tinbay_core::serving::subscribers::{MISTRUST_HALF_LIFE_MS, MOST_MISTRUST};
 use tinbay_core::units::Millis;
@@ -280,7 +280,7 @@
     /// know, and marks the new one as reported.
     pub fn take_limit_change(&self) -> Option<Option<f64>> {
         let (reported, now) = (self.reported_limit.get(), self.limit_per_s());
-        is_news(reported, now).then(|| self.reported_limit.replace(now))
+        is_significant_change(reported, now).then(|| self.reported_limit.replace(now))
     }
 
     /// Its limit with the time of its announcement, to pass on to other boxes.
