--- a/crates/tinbay-core/src/serving/server_limit.rs
+++ b/crates/tinbay-core/src/serving/server_limit.rs
@@ -27,7 +27,7 @@
     /// limit.
     pub per_s: Option<f64>,
     /// When the request was sent: the answer was made later.
-    pub said_after_ms: Millis,
+    pub request_sent_ms: Millis,
     /// When the answer was received: it was made earlier.
     pub said_before_ms: Millis,
 }
@@ -89,8 +89,8 @@
 
 /// Whether a notice replaces the known one.
 fn replaces(notice: &LimitNotice, known: &LimitNotice) -> bool {
-    let is_later = notice.said_after_ms >= known.said_before_ms;
-    let is_earlier = known.said_after_ms >= notice.said_before_ms;
+    let is_later = notice.request_sent_ms >= known.said_before_ms;
+    let is_earlier = known.request_sent_ms >= notice.said_before_ms;
     let is_newer_of_same =
         notice.per_s == known.per_s && notice.said_before_ms >= known.said_before_ms;
     is_later || is_newer_of_same || (!is_earlier && notice.is_tighter_than(known))
--- a/crates/tinbay-core/tests/serving_server_limit_test.rs
+++ b/crates/tinbay-core/tests/serving_server_limit_test.rs
@@ -12,10 +12,10 @@
 use tinbay_core::serving::server_limit::{AnnouncedLimit, LimitNotice};
 use tinbay_core::units::Millis;
 
-fn notice(per_s: Option<f64>, said_after_ms: Millis, said_before_ms: Millis) -> LimitNotice {
+fn notice(per_s: Option<f64>, request_sent_ms: Millis, said_before_ms: Millis) -> LimitNotice {
     LimitNotice {
         per_s,
-        said_after_ms,
+        request_sent_ms,
         said_before_ms,
     }
 }
--- a/crates/tinbay-gateway/src/limits/notices.rs
+++ b/crates/tinbay-gateway/src/limits/notices.rs
@@ -41,7 +41,7 @@
         let age_ms = |at_ms: Millis| u32::try_from(now_ms - at_ms.min(now_ms)).unwrap_or(u32::MAX);
         Self {
             per_s: notice.per_s,
-            max_age_ms: age_ms(notice.said_after_ms),
+            max_age_ms: age_ms(notice.request_sent_ms),
             min_age_ms: age_ms(notice.said_before_ms),
         }
     }
@@ -51,7 +51,7 @@
     fn to_notice(self, now_ms: Millis) -> LimitNotice {
         LimitNotice {
             per_s: self.per_s,
-            said_after_ms: now_ms.saturating_sub(Millis::from(self.max_age_ms)),
+            request_sent_ms: now_ms.saturating_sub(Millis::from(self.max_age_ms)),
             said_before_ms: now_ms.saturating_sub(Millis::from(self.min_age_ms)),
         }
     }
--- a/crates/tinbay-gateway/src/servers/notices.rs
+++ b/crates/tinbay-gateway/src/servers/notices.rs
@@ -129,7 +129,7 @@
             .filter(|per_s| per_s.is_some() || head.has_run)
             .map(|per_s| LimitNotice {
                 per_s,
-                said_after_ms: head.asked_ms,
+                request_sent_ms: head.asked_ms,
                 said_before_ms: node.now_ms(),
             }),
     }
