--- a/crates/tinbay-core/src/serving/server_limit.rs
+++ b/crates/tinbay-core/src/serving/server_limit.rs
@@ -29,7 +29,7 @@
     /// When the request was sent: the answer was made later.
     pub request_sent_ms: Millis,
     /// When the answer was received: it was made earlier.
-    pub said_before_ms: Millis,
+    pub answer_received_ms: Millis,
 }
 
 impl LimitNotice {
@@ -63,7 +63,7 @@
         self.notice = Some(notice);
         self.was_limited |= notice.per_s.is_some();
         self.limited_since_ms = match notice.per_s {
-            Some(_) => self.limited_since_ms.or(Some(notice.said_before_ms)),
+            Some(_) => self.limited_since_ms.or(Some(notice.answer_received_ms)),
             None => None,
         };
     }
@@ -89,9 +89,9 @@
 
 /// Whether a notice replaces the known one.
 fn replaces(notice: &LimitNotice, known: &LimitNotice) -> bool {
-    let is_later = notice.request_sent_ms >= known.said_before_ms;
-    let is_earlier = known.request_sent_ms >= notice.said_before_ms;
+    let is_later = notice.request_sent_ms >= known.answer_received_ms;
+    let is_earlier = known.request_sent_ms >= notice.answer_received_ms;
     let is_newer_of_same =
-        notice.per_s == known.per_s && notice.said_before_ms >= known.said_before_ms;
+        notice.per_s == known.per_s && notice.answer_received_ms >= known.answer_received_ms;
     is_later || is_newer_of_same || (!is_earlier && notice.is_tighter_than(known))
 }
--- a/crates/tinbay-core/tests/serving_server_limit_test.rs
+++ b/crates/tinbay-core/tests/serving_server_limit_test.rs
@@ -12,11 +12,11 @@
 use tinbay_core::serving::server_limit::{AnnouncedLimit, LimitNotice};
 use tinbay_core::units::Millis;
 
-fn notice(per_s: Option<f64>, request_sent_ms: Millis, said_before_ms: Millis) -> LimitNotice {
+fn notice(per_s: Option<f64>, request_sent_ms: Millis, answer_received_ms: Millis) -> LimitNotice {
     LimitNotice {
         per_s,
         request_sent_ms,
-        said_before_ms,
+        answer_received_ms,
     }
 }
 
--- a/crates/tinbay-gateway/src/limits/notices.rs
+++ b/crates/tinbay-gateway/src/limits/notices.rs
@@ -42,7 +42,7 @@
         Self {
             per_s: notice.per_s,
             max_age_ms: age_ms(notice.request_sent_ms),
-            min_age_ms: age_ms(notice.said_before_ms),
+            min_age_ms: age_ms(notice.answer_received_ms),
         }
     }
 
@@ -52,7 +52,7 @@
         LimitNotice {
             per_s: self.per_s,
             request_sent_ms: now_ms.saturating_sub(Millis::from(self.max_age_ms)),
-            said_before_ms: now_ms.saturating_sub(Millis::from(self.min_age_ms)),
+            answer_received_ms: now_ms.saturating_sub(Millis::from(self.min_age_ms)),
         }
     }
 }
--- a/crates/tinbay-gateway/src/servers/notices.rs
+++ b/crates/tinbay-gateway/src/servers/notices.rs
@@ -130,7 +130,7 @@
             .map(|per_s| LimitNotice {
                 per_s,
                 request_sent_ms: head.asked_ms,
-                said_before_ms: node.now_ms(),
+                answer_received_ms: node.now_ms(),
             }),
     }
 }
