--- a/crates/tinbay-core/src/serving/claims.rs
+++ b/crates/tinbay-core/src/serving/claims.rs
@@ -53,7 +53,7 @@
 
 /// Whether a claim is valid in the current era.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Standing {
+pub enum ClaimValidity {
     /// Written in the current era, and binding.
     Current,
     /// Written in the previous era; the holder may send orders until its last proof of that era
@@ -76,7 +76,7 @@
     /// When this box first saw it at this position.
     pub seen_ms: Millis,
     /// Whether it is valid in the current era.
-    pub standing: Standing,
+    pub standing: ClaimValidity,
 }
 
 /// What a box that wants to take over knows about the holder's entry.
@@ -109,8 +109,8 @@
         self.era_seen_ms = Some(now_ms);
         self.stored_revisions.clear();
         for claim in self.by_address.values_mut() {
-            if claim.standing == Standing::Current {
-                claim.standing = Standing::CarriedOver {
+            if claim.standing == ClaimValidity::Current {
+                claim.standing = ClaimValidity::CarriedOver {
                     until_ms: own_proof_end_ms,
                 };
             }
@@ -154,15 +154,15 @@
         *stored_revisions = position.revision;
         let is_current = value.era == position.era;
         let known = self.by_address.get(address);
-        let is_known_better = known.is_some_and(|known| known.standing != Standing::Restored);
+        let is_known_better = known.is_some_and(|known| known.standing != ClaimValidity::Restored);
         if !is_current && is_known_better {
             // The backup holds an older state than this box has seen.
             return;
         }
         let standing = if is_current {
-            Standing::Current
+            ClaimValidity::Current
         } else {
-            Standing::Restored
+            ClaimValidity::Restored
         };
         let claim = Claim {
             value,
@@ -209,9 +209,9 @@
         let claim = self.by_address.get(address)?;
         let is_own = claim.value.holder == box_id && !claim.value.is_released;
         let binds = match claim.standing {
-            Standing::Current => true,
-            Standing::CarriedOver { until_ms } => now_ms < until_ms,
-            Standing::Restored => false,
+            ClaimValidity::Current => true,
+            ClaimValidity::CarriedOver { until_ms } => now_ms < until_ms,
+            ClaimValidity::Restored => false,
         };
         (is_own && binds).then(|| claim.position.fencing_token())
     }
@@ -220,7 +220,7 @@
     pub fn held_by(&self, box_id: &str) -> Vec<String> {
         let is_held = |claim: &Claim| {
             let is_own = claim.value.holder == box_id && !claim.value.is_released;
-            is_own && claim.standing == Standing::Current
+            is_own && claim.standing == ClaimValidity::Current
         };
         self.by_address
             .iter()
@@ -233,7 +233,7 @@
     /// and has not rewritten its claim yet.
     pub fn is_to_be_renewed(&self, address: &str, box_id: &str, now_ms: Millis) -> bool {
         let is_carried_over =
-            |claim: &Claim| matches!(claim.standing, Standing::CarriedOver { .. });
+            |claim: &Claim| matches!(claim.standing, ClaimValidity::CarriedOver { .. });
         self.get(address).is_some_and(is_carried_over)
             && self.token_of(address, box_id, now_ms).is_some()
     }
@@ -258,7 +258,7 @@
         now_ms: Millis,
     ) -> bool {
         match self.get(address) {
-            Some(claim) if claim.standing == Standing::Current => {
+            Some(claim) if claim.standing == ClaimValidity::Current => {
                 may_take_current(claim, box_id, entry, terms, now_ms)
             }
             _ => self.is_to_be_renewed(address, box_id, now_ms) || self.is_settled(terms, now_ms),
--- a/crates/tinbay-gateway/src/orders/claiming.rs
+++ b/crates/tinbay-gateway/src/orders/claiming.rs
@@ -7,7 +7,7 @@
 use log::Level;
 use serde::Serialize;
 use tinbay_core::rendezvous;
-use tinbay_core::serving::claims::{ClaimValue, HolderEntry, Standing};
+use tinbay_core::serving::claims::{ClaimValidity, ClaimValue, HolderEntry};
 use tinbay_core::serving::position::{Era, Position};
 use tinbay_core::units::Millis;
 
@@ -163,7 +163,7 @@
     if let Some(claim) = &before
         && claim.value.holder != own_id
         && !claim.value.is_released
-        && claim.standing == Standing::Current
+        && claim.standing == ClaimValidity::Current
     {
         let holder = format!("{MEMBER_PREFIX}{}", claim.value.holder);
         expected.push((holder, Position::missing(stored.era)));
