--- a/crates/tinbay-core/src/serving/claims.rs
+++ b/crates/tinbay-core/src/serving/claims.rs
@@ -76,7 +76,7 @@
     /// When this box first saw it at this position.
     pub seen_ms: Millis,
     /// Whether it is valid in the current era.
-    pub standing: ClaimValidity,
+    pub validity: ClaimValidity,
 }
 
 /// What a box that wants to take over knows about the holder's entry.
@@ -109,8 +109,8 @@
         self.era_seen_ms = Some(now_ms);
         self.stored_revisions.clear();
         for claim in self.by_address.values_mut() {
-            if claim.standing == ClaimValidity::Current {
-                claim.standing = ClaimValidity::CarriedOver {
+            if claim.validity == ClaimValidity::Current {
+                claim.validity = ClaimValidity::CarriedOver {
                     until_ms: own_proof_end_ms,
                 };
             }
@@ -154,12 +154,12 @@
         *stored_revisions = position.revision;
         let is_current = value.era == position.era;
         let known = self.by_address.get(address);
-        let is_known_better = known.is_some_and(|known| known.standing != ClaimValidity::Restored);
+        let is_known_better = known.is_some_and(|known| known.validity != ClaimValidity::Restored);
         if !is_current && is_known_better {
             // The backup holds an older state than this box has seen.
             return;
         }
-        let standing = if is_current {
+        let validity = if is_current {
             ClaimValidity::Current
         } else {
             ClaimValidity::Restored
@@ -168,7 +168,7 @@
             value,
             position,
             seen_ms: now_ms,
-            standing,
+            validity,
         };
         self.by_address.insert(address.to_string(), claim);
     }
@@ -208,7 +208,7 @@
     pub fn token_of(&self, address: &str, box_id: &str, now_ms: Millis) -> Option<u64> {
         let claim = self.by_address.get(address)?;
         let is_own = claim.value.holder == box_id && !claim.value.is_released;
-        let binds = match claim.standing {
+        let binds = match claim.validity {
             ClaimValidity::Current => true,
             ClaimValidity::CarriedOver { until_ms } => now_ms < until_ms,
             ClaimValidity::Restored => false,
@@ -220,7 +220,7 @@
     pub fn held_by(&self, box_id: &str) -> Vec<String> {
         let is_held = |claim: &Claim| {
             let is_own = claim.value.holder == box_id && !claim.value.is_released;
-            is_own && claim.standing == ClaimValidity::Current
+            is_own && claim.validity == ClaimValidity::Current
         };
         self.by_address
             .iter()
@@ -233,7 +233,7 @@
     /// and has not rewritten its claim yet.
     pub fn is_to_be_renewed(&self, address: &str, box_id: &str, now_ms: Millis) -> bool {
         let is_carried_over =
-            |claim: &Claim| matches!(claim.standing, ClaimValidity::CarriedOver { .. });
+            |claim: &Claim| matches!(claim.validity, ClaimValidity::CarriedOver { .. });
         self.get(address).is_some_and(is_carried_over)
             && self.token_of(address, box_id, now_ms).is_some()
     }
@@ -258,7 +258,7 @@
         now_ms: Millis,
     ) -> bool {
         match self.get(address) {
-            Some(claim) if claim.standing == ClaimValidity::Current => {
+            Some(claim) if claim.validity == ClaimValidity::Current => {
                 may_take_current(claim, box_id, entry, terms, now_ms)
             }
             _ => self.is_to_be_renewed(address, box_id, now_ms) || self.is_settled(terms, now_ms),
--- a/crates/tinbay-gateway/src/orders/claiming.rs
+++ b/crates/tinbay-gateway/src/orders/claiming.rs
@@ -163,7 +163,7 @@
     if let Some(claim) = &before
         && claim.value.holder != own_id
         && !claim.value.is_released
-        && claim.standing == ClaimValidity::Current
+        && claim.validity == ClaimValidity::Current
     {
         let holder = format!("{MEMBER_PREFIX}{}", claim.value.holder);
         expected.push((holder, Position::missing(stored.era)));
