--- a/crates/tinbay-core/src/serving/homes.rs
+++ b/crates/tinbay-core/src/serving/homes.rs
@@ -10,7 +10,7 @@
     /// Loaded and able to serve.
     Ready,
     /// Being loaded.
-    Coming,
+    Loading,
     /// Not held.
     Absent,
     /// Held in an older version that must not serve any more.
@@ -88,7 +88,7 @@
     let order_cost = ORDER_COST * position as f64;
     let cost = match candidate.presence {
         Presence::Ready => candidate.load,
-        Presence::Coming => candidate.load + LOADING_COST,
+        Presence::Loading => candidate.load + LOADING_COST,
         _ if !candidate.takes_loads => return None,
         Presence::Absent => candidate.load + candidate.load_wait + SLOT_COST + order_cost,
         Presence::Outdated => {
@@ -103,7 +103,7 @@
 /// reason for a copy: such copies displaced adapters in use, and half of all loads (5,600 of 11,200
 /// with 195 boxes and failing servers) served no request.
 fn copy_for(candidates: &[Candidate], copies: usize) -> Option<usize> {
-    let is_coming = |candidate: &Candidate| candidate.presence == Presence::Coming;
+    let is_coming = |candidate: &Candidate| candidate.presence == Presence::Loading;
     let is_ready = |candidate: &&Candidate| candidate.presence == Presence::Ready;
     let is_enough = candidates.iter().filter(is_ready).count() >= copies;
     if is_enough || candidates.iter().any(is_coming) {
--- a/crates/tinbay-core/tests/serving_homes_test.rs
+++ b/crates/tinbay-core/tests/serving_homes_test.rs
@@ -87,7 +87,7 @@
 fn pick_requests_no_second_copy_during_a_load() {
     let candidates = [
         candidate(Presence::Ready, 0.8),
-        candidate(Presence::Coming, 0.7),
+        candidate(Presence::Loading, 0.7),
         candidate(Presence::Absent, 0.1),
     ];
     assert_eq!(pick(&candidates, 3), Pick::Send { to: 0, copy: None });
@@ -113,7 +113,7 @@
             .map(|(presence, load, takes_loads)| Candidate {
                 presence: match presence % 4 {
                     0 => Presence::Ready,
-                    1 => Presence::Coming,
+                    1 => Presence::Loading,
                     2 => Presence::Absent,
                     _ => Presence::Outdated,
                 },
@@ -130,12 +130,12 @@
                 candidates[to].presence == Presence::Ready && copy.is_none_or(can_copy)
             }
             Pick::Load { at } => {
-                let is_coming = candidates[at].presence == Presence::Coming;
+                let is_coming = candidates[at].presence == Presence::Loading;
                 candidates[at].presence != Presence::Ready
                     && (is_coming || candidates[at].takes_loads)
             }
             Pick::Nowhere => candidates.iter().all(|candidate| {
-                let can_serve = matches!(candidate.presence, Presence::Ready | Presence::Coming);
+                let can_serve = matches!(candidate.presence, Presence::Ready | Presence::Loading);
                 !can_serve && !candidate.takes_loads
             }),
         }
--- a/crates/tinbay-gateway/src/front/choice.rs
+++ b/crates/tinbay-gateway/src/front/choice.rs
@@ -299,7 +299,7 @@
             .iter()
             .zip(&self.candidates)
             .any(|(server, candidate)| {
-                is_asked(server) && candidate.presence == Presence::Coming && candidate.takes_loads
+                is_asked(server) && candidate.presence == Presence::Loading && candidate.takes_loads
             });
         if !is_coming {
             return;
@@ -350,7 +350,7 @@
     /// to hold it, as its holder is asked before anything is sent.
     fn presumed(&self, node: &Node, server: &Server, asked: &Asked) -> Presence {
         if asked.is_coming(server.key, node.now_ms()) {
-            return Presence::Coming;
+            return Presence::Loading;
         }
         let is_first = self.servers.is_empty();
         let is_refreshed = asked.status_requests.contains_key(&server.key);
@@ -363,7 +363,7 @@
     /// Whether a server serves the adapter, or will.
     fn is_found(&self) -> bool {
         let is_there = |candidate: &Candidate| {
-            matches!(candidate.presence, Presence::Ready | Presence::Coming)
+            matches!(candidate.presence, Presence::Ready | Presence::Loading)
         };
         self.candidates.iter().any(is_there)
     }
@@ -380,7 +380,7 @@
                 .zip(&self.is_older)
                 .any(|(candidate, is_older)| match candidate.presence {
                     Presence::Ready => !is_older,
-                    Presence::Coming => true,
+                    Presence::Loading => true,
                     Presence::Absent | Presence::Outdated => false,
                 });
         if is_newer_there {
@@ -425,7 +425,7 @@
 fn presence(entry: Option<ViewEntry>, version: u64) -> Presence {
     match entry {
         None => Presence::Absent,
-        Some(entry) if entry.state == HeldState::Loading => Presence::Coming,
+        Some(entry) if entry.state == HeldState::Loading => Presence::Loading,
         Some(entry) if entry.version >= version => Presence::Ready,
         Some(_) => Presence::Outdated,
     }
