--- a/crates/tinbay-core/tests/serving_homes_test.rs
+++ b/crates/tinbay-core/tests/serving_placement_test.rs
@@ -2,7 +2,7 @@
 
 use quickcheck::QuickCheck;
 use tinbay_core::serving::contents::adapter_key;
-use tinbay_core::serving::homes::{Candidate, Pick, Presence, pick};
+use tinbay_core::serving::placement::{Candidate, Pick, Presence, pick};
 use tinbay_core::serving::prefill::{Backlog, PrefillRate};
 use tinbay_core::serving::servers::Fingerprint;
 use tinbay_core::serving::spread::Spreads;
--- a/crates/tinbay-gateway/src/front/apart.rs
+++ b/crates/tinbay-gateway/src/front/apart.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 
 use tinbay_core::handover::reading_room::reads_beside;
-use tinbay_core::serving::homes::Pick;
+use tinbay_core::serving::placement::Pick;
 
 use super::adapters::is_to_ask;
 use super::choice::{Asked, Choice, Survey};
--- a/crates/tinbay-gateway/src/front/choice.rs
+++ b/crates/tinbay-gateway/src/front/choice.rs
@@ -6,7 +6,7 @@
 use rand::RngExt;
 use tinbay_core::rendezvous;
 use tinbay_core::serving::contents::{HeldState, adapter_key};
-use tinbay_core::serving::homes::{Candidate, Pick, Presence, pick};
+use tinbay_core::serving::placement::{Candidate, Pick, Presence, pick};
 use tinbay_core::serving::servers::ServerKey;
 use tinbay_core::units::Millis;
 
