--- a/crates/tinbay-core/src/serving/pacing.rs
+++ b/crates/tinbay-core/src/serving/pacing.rs
@@ -37,7 +37,7 @@
 /// Splits `allowed` loads among holders in proportion to the engines each one holds; the sum of the
 /// quotas never exceeds `allowed`. The remainder goes to the largest fractions, with ties broken by
 /// name.
-pub fn deal(allowed: usize, engines: &BTreeMap<String, usize>) -> BTreeMap<String, usize> {
+pub fn split_quotas(allowed: usize, engines: &BTreeMap<String, usize>) -> BTreeMap<String, usize> {
     let total: usize = engines.values().sum();
     if total == 0 {
         return BTreeMap::new();
--- a/crates/tinbay-core/tests/serving_pacing_test.rs
+++ b/crates/tinbay-core/tests/serving_pacing_test.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use quickcheck::QuickCheck;
-use tinbay_core::serving::pacing::{LoadBound, LoadPace, deal};
+use tinbay_core::serving::pacing::{LoadBound, LoadPace, split_quotas};
 
 const BOUND: LoadBound = LoadBound {
     window_ms: 5_000,
@@ -27,21 +27,21 @@
 
 #[test]
 fn deal_distributes_all_and_no_more() {
-    let quotas = deal(54, &engines(&[3, 3, 5, 1, 2, 4]));
+    let quotas = split_quotas(54, &engines(&[3, 3, 5, 1, 2, 4]));
     assert_eq!(quotas.values().sum::<usize>(), 54);
     assert_eq!(quotas["box-2"], 15);
 }
 
 #[test]
 fn deal_without_engines_is_empty() {
-    assert!(deal(54, &BTreeMap::new()).is_empty());
+    assert!(split_quotas(54, &BTreeMap::new()).is_empty());
 }
 
 #[test]
 fn deal_same_for_every_box() {
     fn property(counts: Vec<u8>) -> bool {
         let counts: Vec<usize> = counts.iter().map(|count| usize::from(count % 20)).collect();
-        let quotas = deal(54, &engines(&counts));
+        let quotas = split_quotas(54, &engines(&counts));
         let total: usize = counts.iter().sum();
         let dealt: usize = quotas.values().sum();
         dealt == if total == 0 { 0 } else { 54 }
@@ -59,7 +59,7 @@
             .take(9)
             .map(|count| usize::from(count % 9))
             .collect();
-        let quotas = deal(BOUND.allowed(RATE_PER_S), &engines(&counts));
+        let quotas = split_quotas(BOUND.allowed(RATE_PER_S), &engines(&counts));
         let mut begun: Vec<u64> = Vec::new();
         for (number, quota) in quotas.values().enumerate() {
             let mut pace = LoadPace::default();
@@ -142,7 +142,7 @@
             }
             next_move_ms = now_ms + 400 + u64::from(pause) * 40;
         }
-        let quotas = deal(BOUND.allowed(RATE_PER_S), &engines(&counts));
+        let quotas = split_quotas(BOUND.allowed(RATE_PER_S), &engines(&counts));
         for (number, pace) in paces.iter_mut().enumerate() {
             let quota = quotas.get(&format!("box-{number}")).copied().unwrap_or(0);
             if pace.take(quota, BOUND.window_ms, now_ms) {
--- a/crates/tinbay-gateway/src/orders/quota.rs
+++ b/crates/tinbay-gateway/src/orders/quota.rs
@@ -25,6 +25,6 @@
     }
     let settings = node.settings.borrow();
     let allowed = settings.bounds.loads.allowed(loads_per_s);
-    let quotas = pacing::deal(allowed, &engines);
+    let quotas = pacing::split_quotas(allowed, &engines);
     Some(quotas.get(&settings.box_id).copied().unwrap_or_default())
 }
