--- a/crates/tinbay-core/src/serving/pacing.rs
+++ b/crates/tinbay-core/src/serving/pacing.rs
@@ -62,7 +62,7 @@
 
 /// Counts the loads of one holder against its quota.
 #[derive(Debug, Default)]
-pub struct LoadPace {
+pub struct LoadQuotaCounter {
     begun: VecDeque<Millis>,
     quotas: VecDeque<QuotaChange>,
 }
@@ -74,7 +74,7 @@
     since_ms: Millis,
 }
 
-impl LoadPace {
+impl LoadQuotaCounter {
     /// Counts one load if the quota allows another one in the window that ends now.
     pub fn take(&mut self, quota: usize, window_ms: Millis, now_ms: Millis) -> bool {
         let window_ms = window_ms + DELIVERY_SKEW_MS;
--- a/crates/tinbay-core/tests/serving_pacing_test.rs
+++ b/crates/tinbay-core/tests/serving_pacing_test.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use quickcheck::QuickCheck;
-use tinbay_core::serving::pacing::{LoadBound, LoadPace, split_quotas};
+use tinbay_core::serving::pacing::{LoadBound, LoadQuotaCounter, split_quotas};
 
 const BOUND: LoadBound = LoadBound {
     window_ms: 5_000,
@@ -62,7 +62,7 @@
         let quotas = split_quotas(BOUND.allowed(RATE_PER_S), &engines(&counts));
         let mut begun: Vec<u64> = Vec::new();
         for (number, quota) in quotas.values().enumerate() {
-            let mut pace = LoadPace::default();
+            let mut pace = LoadQuotaCounter::default();
             let start_ms = u64::from(starts.get(number).copied().unwrap_or(0));
             for now_ms in (start_ms..start_ms + 20_000).step_by(10) {
                 if pace.take(*quota, BOUND.window_ms, now_ms) {
@@ -90,8 +90,8 @@
 /// in the window, and all of it does a window later.
 #[test]
 fn take_grown_quota_counts_a_window_later() {
-    let mut pace = LoadPace::default();
-    let taken = |pace: &mut LoadPace, quota, from_ms: u64, to_ms: u64| {
+    let mut pace = LoadQuotaCounter::default();
+    let taken = |pace: &mut LoadQuotaCounter, quota, from_ms: u64, to_ms: u64| {
         (from_ms..to_ms)
             .step_by(10)
             .filter(|now_ms| pace.take(quota, BOUND.window_ms, *now_ms))
@@ -126,7 +126,8 @@
     let mut counts: Vec<usize> = (0..BOXES)
         .map(|number| usize::from(starts.get(number).copied().unwrap_or(3) % 5))
         .collect();
-    let mut paces: Vec<LoadPace> = (0..BOXES).map(|_| LoadPace::default()).collect();
+    let mut paces: Vec<LoadQuotaCounter> =
+        (0..BOXES).map(|_| LoadQuotaCounter::default()).collect();
     let mut moves = moves.into_iter();
     let mut next_move_ms = 3_000;
     let mut begun: Vec<u64> = Vec::new();
--- a/crates/tinbay-gateway/src/node.rs
+++ b/crates/tinbay-gateway/src/node.rs
@@ -12,7 +12,7 @@
 use tinbay_core::serving::claims::{ClaimTable, ClaimTerms, Proof};
 use tinbay_core::serving::configuration::{Configuration, EngineSpec, Limits};
 use tinbay_core::serving::contents::AdapterKey;
-use tinbay_core::serving::pacing::LoadPace;
+use tinbay_core::serving::pacing::LoadQuotaCounter;
 use tinbay_core::serving::position::Era;
 use tinbay_core::serving::prefill::PrefillRate;
 use tinbay_core::serving::routes::RouteTable;
@@ -173,7 +173,7 @@
     /// What the servers hold whose claims this box holds.
     pub held_servers: RefCell<HashMap<ServerKey, Rc<HeldServer>>>,
     /// This box's share of the weight store's rate, by service.
-    pub paces: RefCell<HashMap<String, LoadPace>>,
+    pub paces: RefCell<HashMap<String, LoadQuotaCounter>>,
     /// Requests that wait for an adapter.
     pub waiters: Waiters,
     /// What is to be told to other boxes.
