--- a/crates/tinbay-core/tests/handover_test.rs
+++ b/crates/tinbay-core/tests/handover_test.rs
@@ -7,7 +7,7 @@
 };
 use tinbay_core::handover::events::EventScanner;
 use tinbay_core::handover::need::ReadingNeed;
-use tinbay_core::handover::reading_room::reads_beside;
+use tinbay_core::handover::reading_room::can_prefill_beside_streams;
 use tinbay_core::handover::roles::{Engine, Role, draw_roles, has_places_for_two};
 
 const STREAM: &str = "id: 1\ndata: a\n\nweight-versions: 2\nid: 2\ndata: b\n\n";
@@ -101,9 +101,9 @@
 
 #[test]
 fn reads_beside_short_prompts_alone() {
-    assert!(reads_beside(40.0, 300));
-    assert!(!reads_beside(110.0, 300));
-    assert!(!reads_beside(f64::NAN, 300));
+    assert!(can_prefill_beside_streams(40.0, 300));
+    assert!(!can_prefill_beside_streams(110.0, 300));
+    assert!(!can_prefill_beside_streams(f64::NAN, 300));
 }
 
 fn addresses(count: usize) -> Vec<String> {
--- a/crates/tinbay-gateway/src/front/apart.rs
+++ b/crates/tinbay-gateway/src/front/apart.rs
@@ -5,7 +5,7 @@
 
 use std::rc::Rc;
 
-use tinbay_core::handover::reading_room::reads_beside;
+use tinbay_core::handover::reading_room::can_prefill_beside_streams;
 use tinbay_core::serving::placement::Pick;
 
 use super::adapters::is_to_ask;
@@ -73,5 +73,5 @@
 fn reads_beside_streams(node: &Node, question: &Question, backlog_ms: f64) -> bool {
     let own_ms = node.reading_ms(&question.service, question.prompt.tokens);
     let pause_ms = question.route.objective_gap_ms;
-    pause_ms.is_none_or(|pause_ms| reads_beside(backlog_ms + own_ms, pause_ms))
+    pause_ms.is_none_or(|pause_ms| can_prefill_beside_streams(backlog_ms + own_ms, pause_ms))
 }
