--- a/crates/tinbay-core/src/handover/mod.rs
+++ b/crates/tinbay-core/src/handover/mod.rs
@@ -10,5 +10,5 @@
 pub mod course;
 pub mod events;
 pub mod need;
-pub mod reading_room;
+pub mod prefill_interference;
 pub mod roles;
--- a/crates/tinbay-core/tests/handover_test.rs
+++ b/crates/tinbay-core/tests/handover_test.rs
@@ -7,7 +7,7 @@
 };
 use tinbay_core::handover::events::EventScanner;
 use tinbay_core::handover::need::ReadingNeed;
-use tinbay_core::handover::reading_room::can_prefill_beside_streams;
+use tinbay_core::handover::prefill_interference::can_prefill_beside_streams;
 use tinbay_core::handover::roles::{Engine, Role, draw_roles, has_places_for_two};
 
 const STREAM: &str = "id: 1\ndata: a\n\nweight-versions: 2\nid: 2\ndata: b\n\n";
