--- a/crates/tinbay-core/src/handover/roles.rs
+++ b/crates/tinbay-core/src/handover/roles.rs
@@ -33,7 +33,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Role {
     /// Prefills prompts, whose runs then move to another engine.
-    Reader,
+    Prefill,
     /// Decodes runs that a prefill engine began.
     Home,
 }
@@ -69,7 +69,7 @@
 fn role_of(rank: usize, engines: usize) -> Role {
     let readers = (engines as f64 * PREFILL_FRACTION).round() as usize;
     if engines >= MIN_ENGINES && rank < readers {
-        Role::Reader
+        Role::Prefill
     } else {
         Role::Home
     }
--- a/crates/tinbay-core/tests/handover_test.rs
+++ b/crates/tinbay-core/tests/handover_test.rs
@@ -136,7 +136,7 @@
     let engines = engines(&addresses);
     let roles = draw_roles(&engines);
     for zone in ["a", "b", "c", "d"] {
-        for role in [Role::Reader, Role::Home] {
+        for role in [Role::Prefill, Role::Home] {
             let mut of_zone = engines.iter().zip(&roles);
             assert!(of_zone.any(|(engine, of)| engine.zone == zone && *of == role));
         }
@@ -160,7 +160,7 @@
 fn roles_after_half_of_the_servers_are_lost() {
     let addresses = addresses(44);
     let roles = draw_roles(&engines(&addresses));
-    assert!(count(&roles, Role::Reader) >= 12);
+    assert!(count(&roles, Role::Prefill) >= 12);
     assert!(count(&roles, Role::Home) >= 24);
 }
 
--- a/crates/tinbay-gateway/src/handover/split.rs
+++ b/crates/tinbay-gateway/src/handover/split.rs
@@ -89,7 +89,7 @@
         let mut split = Split::default();
         for server in among {
             let part = match roles.get(&server.key) {
-                Some(Role::Reader) => &mut split.readers,
+                Some(Role::Prefill) => &mut split.readers,
                 Some(Role::Home) | None => &mut split.homes,
             };
             part.push(Rc::clone(server));
@@ -110,7 +110,7 @@
             return false;
         }
         let roles = self.roles(servers, service, now_ms);
-        roles.get(&server.key) == Some(&Role::Reader)
+        roles.get(&server.key) == Some(&Role::Prefill)
     }
 
     fn roles(
