--- a/crates/tinbay-core/src/handover/roles.rs
+++ b/crates/tinbay-core/src/handover/roles.rs
@@ -35,7 +35,7 @@
     /// Prefills prompts, whose runs then move to another engine.
     Prefill,
     /// Decodes runs that a prefill engine began.
-    Home,
+    Decode,
 }
 
 /// An engine to which a role is assigned.
@@ -55,7 +55,7 @@
         let zone = by_zone.entry(engine.zone).or_default();
         zone.push((score, position));
     }
-    let mut roles = vec![Role::Home; engines.len()];
+    let mut roles = vec![Role::Decode; engines.len()];
     for mut zone in by_zone.into_values() {
         zone.sort_unstable();
         for (rank, (_, position)) in zone.iter().enumerate() {
@@ -71,6 +71,6 @@
     if engines >= MIN_ENGINES && rank < readers {
         Role::Prefill
     } else {
-        Role::Home
+        Role::Decode
     }
 }
--- a/crates/tinbay-core/tests/handover_test.rs
+++ b/crates/tinbay-core/tests/handover_test.rs
@@ -136,7 +136,7 @@
     let engines = engines(&addresses);
     let roles = draw_roles(&engines);
     for zone in ["a", "b", "c", "d"] {
-        for role in [Role::Prefill, Role::Home] {
+        for role in [Role::Prefill, Role::Decode] {
             let mut of_zone = engines.iter().zip(&roles);
             assert!(of_zone.any(|(engine, of)| engine.zone == zone && *of == role));
         }
@@ -161,7 +161,7 @@
     let addresses = addresses(44);
     let roles = draw_roles(&engines(&addresses));
     assert!(count(&roles, Role::Prefill) >= 12);
-    assert!(count(&roles, Role::Home) >= 24);
+    assert!(count(&roles, Role::Decode) >= 24);
 }
 
 #[test]
@@ -181,7 +181,7 @@
 fn roles_of_few_servers_are_the_same() {
     let addresses = addresses(8);
     let roles = draw_roles(&engines(&addresses));
-    assert_eq!(count(&roles, Role::Home), 8);
+    assert_eq!(count(&roles, Role::Decode), 8);
 }
 
 #[test]
--- a/crates/tinbay-gateway/src/handover/split.rs
+++ b/crates/tinbay-gateway/src/handover/split.rs
@@ -90,7 +90,7 @@
         for server in among {
             let part = match roles.get(&server.key) {
                 Some(Role::Prefill) => &mut split.readers,
-                Some(Role::Home) | None => &mut split.homes,
+                Some(Role::Decode) | None => &mut split.homes,
             };
             part.push(Rc::clone(server));
         }
