--- a/crates/tinbay-core/src/handover/roles.rs
+++ b/crates/tinbay-core/src/handover/roles.rs
@@ -48,7 +48,7 @@
 }
 
 /// Assigns a role to each engine, in the order in which they are given.
-pub fn draw_roles(engines: &[Engine<'_>]) -> Vec<Role> {
+pub fn assign_roles(engines: &[Engine<'_>]) -> Vec<Role> {
     let mut by_zone: BTreeMap<&str, Vec<(u64, usize)>> = BTreeMap::new();
     for (position, engine) in engines.iter().enumerate() {
         let score = rendezvous::score(RANKING_KEY, engine.address);
--- a/crates/tinbay-core/tests/handover_test.rs
+++ b/crates/tinbay-core/tests/handover_test.rs
@@ -8,7 +8,7 @@
 use tinbay_core::handover::events::EventScanner;
 use tinbay_core::handover::need::ReadingNeed;
 use tinbay_core::handover::prefill_interference::can_prefill_beside_streams;
-use tinbay_core::handover::roles::{Engine, Role, draw_roles, has_places_for_two};
+use tinbay_core::handover::roles::{Engine, Role, assign_roles, has_places_for_two};
 
 const STREAM: &str = "id: 1\ndata: a\n\nweight-versions: 2\nid: 2\ndata: b\n\n";
 
@@ -134,7 +134,7 @@
 fn roles_each_zone_has_all_of_them() {
     let addresses = addresses(90);
     let engines = engines(&addresses);
-    let roles = draw_roles(&engines);
+    let roles = assign_roles(&engines);
     for zone in ["a", "b", "c", "d"] {
         for role in [Role::Prefill, Role::Decode] {
             let mut of_zone = engines.iter().zip(&roles);
@@ -150,16 +150,16 @@
     let engines = engines(&addresses);
     let mut reversed = engines.clone();
     reversed.reverse();
-    let mut roles = draw_roles(&reversed);
+    let mut roles = assign_roles(&reversed);
     roles.reverse();
-    assert_eq!(roles, draw_roles(&engines));
+    assert_eq!(roles, assign_roles(&engines));
 }
 
 /// After half of the servers are lost, the others are assigned both roles again.
 #[test]
 fn roles_after_half_of_the_servers_are_lost() {
     let addresses = addresses(44);
-    let roles = draw_roles(&engines(&addresses));
+    let roles = assign_roles(&engines(&addresses));
     assert!(count(&roles, Role::Prefill) >= 12);
     assert!(count(&roles, Role::Decode) >= 24);
 }
@@ -168,8 +168,8 @@
 fn roles_change_little_when_a_server_leaves() {
     let addresses = addresses(88);
     let engines = engines(&addresses);
-    let before = draw_roles(&engines);
-    let after = draw_roles(&engines[1..]);
+    let before = assign_roles(&engines);
+    let after = assign_roles(&engines[1..]);
     let moved = before[1..]
         .iter()
         .zip(&after)
@@ -180,7 +180,7 @@
 #[test]
 fn roles_of_few_servers_are_the_same() {
     let addresses = addresses(8);
-    let roles = draw_roles(&engines(&addresses));
+    let roles = assign_roles(&engines(&addresses));
     assert_eq!(count(&roles, Role::Decode), 8);
 }
 
--- a/crates/tinbay-gateway/src/handover/split.rs
+++ b/crates/tinbay-gateway/src/handover/split.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 
 use tinbay_core::handover::need::ReadingNeed;
-use tinbay_core::handover::roles::{Engine, Role, draw_roles};
+use tinbay_core::handover::roles::{Engine, Role, assign_roles};
 use tinbay_core::serving::servers::ServerKey;
 use tinbay_core::units::Millis;
 
@@ -144,5 +144,5 @@
         })
         .collect();
     let keys = servers.iter().map(|server| server.key);
-    keys.zip(draw_roles(&engines)).collect()
+    keys.zip(assign_roles(&engines)).collect()
 }
