--- a/crates/tinbay-core/src/handover/need.rs
+++ b/crates/tinbay-core/src/handover/need.rs
@@ -24,13 +24,13 @@
 
 /// Decayed counts of streams of a service, and how long hand-over stays on.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct ReadingNeed {
+pub struct PrefillNeed {
     seen: DecayingValue,
     late: DecayingValue,
     needed_until_ms: Millis,
 }
 
-impl ReadingNeed {
+impl PrefillNeed {
     /// Records a stream that was not handed over, and whether a pause made it late.
     pub fn note_stream(&mut self, is_late_by_pause: bool, now_ms: Millis) {
         self.seen.add(1.0, COUNT_HALF_LIFE_MS, now_ms);
--- a/crates/tinbay-core/tests/handover_test.rs
+++ b/crates/tinbay-core/tests/handover_test.rs
@@ -6,7 +6,7 @@
     MoveAnswer, Place, ResumeAnswer, Step, after_move, after_resume,
 };
 use tinbay_core::handover::events::EventScanner;
-use tinbay_core::handover::need::ReadingNeed;
+use tinbay_core::handover::need::PrefillNeed;
 use tinbay_core::handover::prefill_interference::can_prefill_beside_streams;
 use tinbay_core::handover::roles::{Engine, Role, assign_roles, has_places_for_two};
 
@@ -62,8 +62,8 @@
     }
 }
 
-fn need_after(streams: usize, late_one_of: usize) -> ReadingNeed {
-    let mut need = ReadingNeed::default();
+fn need_after(streams: usize, late_one_of: usize) -> PrefillNeed {
+    let mut need = PrefillNeed::default();
     for number in 0..streams {
         need.note_stream(number % late_one_of == 0, 1_000 + number as u64 * 50);
     }
--- a/crates/tinbay-gateway/src/handover/split.rs
+++ b/crates/tinbay-gateway/src/handover/split.rs
@@ -4,7 +4,7 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 
-use tinbay_core::handover::need::ReadingNeed;
+use tinbay_core::handover::need::PrefillNeed;
 use tinbay_core::handover::roles::{Engine, Role, assign_roles};
 use tinbay_core::serving::servers::ServerKey;
 use tinbay_core::units::Millis;
@@ -32,7 +32,7 @@
 /// What one box knows of the services whose engines read for each other.
 #[derive(Debug, Default)]
 pub struct Splits {
-    needs: RefCell<HashMap<String, ReadingNeed>>,
+    needs: RefCell<HashMap<String, PrefillNeed>>,
     drawn: RefCell<HashMap<String, Drawn>>,
     counts: RefCell<HashMap<String, Counted>>,
 }
