--- a/crates/tinbay-core/src/serving/contents/mod.rs
+++ b/crates/tinbay-core/src/serving/contents/mod.rs
@@ -221,7 +221,7 @@
     }
 
     /// Marks the contents as unknown, for instance after an interruption of the claim.
-    pub fn unlearn(&mut self, now_ms: Millis) {
+    pub fn invalidate(&mut self, now_ms: Millis) {
         self.order_count = None;
         self.learn_after_ms = now_ms + REPORT_DELAY_MS;
     }
@@ -457,7 +457,7 @@
     pub fn note_answer(&mut self, action: &Action, answer: OrderAnswer, now_ms: Millis) {
         match (action, answer) {
             (_, OrderAnswer::NoAnswer | OrderAnswer::Conflict | OrderAnswer::Refused) => {
-                self.unlearn(now_ms);
+                self.invalidate(now_ms);
             }
             (
                 Action::Load {
@@ -588,7 +588,7 @@
             return Vec::new();
         };
         if self.end_unloads(report, now_ms) {
-            self.unlearn(now_ms);
+            self.invalidate(now_ms);
         }
         let mut done = Vec::new();
         for known in &report.adapters {
--- a/crates/tinbay-gateway/src/orders/holder.rs
+++ b/crates/tinbay-gateway/src/orders/holder.rs
@@ -226,7 +226,10 @@
 
     async fn learn_contents(&self) {
         let Some(report) = self.fetch_report().await else {
-            self.held.contents.borrow_mut().unlearn(self.node.now_ms());
+            self.held
+                .contents
+                .borrow_mut()
+                .invalidate(self.node.now_ms());
             return;
         };
         self.log_report(&report);
