--- a/crates/tinbay-core/src/serving/contents/mod.rs
+++ b/crates/tinbay-core/src/serving/contents/mod.rs
@@ -135,7 +135,7 @@
     held: BTreeMap<AdapterKey, Held>,
     recently_held: HashMap<AdapterKey, (Option<u64>, Millis)>,
     order_count: Option<u64>,
-    was_learnt: bool,
+    was_known: bool,
     unconfirmed: UnconfirmedOrders,
     /// Adapters whose unload may wait for running requests, and when it was ordered: they occupy
     /// their slots until a report no longer names them.
@@ -156,7 +156,7 @@
             held: BTreeMap::new(),
             recently_held: HashMap::new(),
             order_count: None,
-            was_learnt: false,
+            was_known: false,
             unconfirmed: UnconfirmedOrders::new(),
             unloading: BTreeMap::new(),
             poll_after_ms: now_ms,
@@ -183,8 +183,8 @@
     }
 
     /// Whether the contents have been known at any time.
-    pub fn was_learnt(&self) -> bool {
-        self.was_learnt
+    pub fn was_known(&self) -> bool {
+        self.was_known
     }
 
     /// Whether the adapter is held in at least this version.
@@ -621,7 +621,7 @@
     /// Replaces the known contents by a report, which must have been requested after the delay that
     /// [`Action::Learn`] waits for.
     pub fn note_report(&mut self, report: &Report, now_ms: Millis) {
-        self.was_learnt = true;
+        self.was_known = true;
         for adapter in self.unconfirmed.note_count(report.order_count) {
             self.unloading.insert(adapter_key(&adapter), now_ms);
         }
--- a/crates/tinbay-gateway/src/orders/held_server.rs
+++ b/crates/tinbay-gateway/src/orders/held_server.rs
@@ -189,7 +189,7 @@
         let server = node.servers.borrow().by_key(server)?;
         let takes_loads = self.takes_loads(node, &server);
         let contents = self.contents.borrow();
-        if !contents.was_learnt() {
+        if !contents.was_known() {
             return None;
         }
         let now_ms = node.now_ms();
--- a/crates/tinbay-gateway/src/orders/holder.rs
+++ b/crates/tinbay-gateway/src/orders/holder.rs
@@ -233,7 +233,7 @@
             return;
         };
         self.log_report(&report);
-        let is_first_report = !self.held.contents.borrow().was_learnt();
+        let is_first_report = !self.held.contents.borrow().was_known();
         self.held
             .contents
             .borrow_mut()
@@ -570,7 +570,7 @@
         let own_id = self.node.settings.borrow().box_id.clone();
         let busyness = self.held.busyness(&own_id, now_ms);
         let takes_loads = self.held.takes_loads(&self.node, &self.server);
-        if !self.held.contents.borrow().was_learnt() {
+        if !self.held.contents.borrow().was_known() {
             return None;
         }
         let entries = if self.server.is_displaced(now_ms) {
