--- a/crates/tinbay-core/tests/serving_contents_test.rs
+++ b/crates/tinbay-core/tests/serving_contents_test.rs
@@ -334,7 +334,7 @@
                 Action::Look => {
                     let adapters: Vec<(&str, u64)> =
                         server.iter().map(|name| (name.as_str(), 1)).collect();
-                    contents.note_look(Some(&report(&adapters)), now_ms);
+                    contents.note_poll(Some(&report(&adapters)), now_ms);
                     continue;
                 }
                 Action::Load {
