--- a/crates/tinbay-core/src/serving/contents/mod.rs
+++ b/crates/tinbay-core/src/serving/contents/mod.rs
@@ -73,7 +73,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Action {
     /// Request a report and replace the known contents by it.
-    Learn,
+    FetchReport,
     /// Request a report to see which loads and unloads are complete.
     Look,
     /// Order a load, or poll it by sending the same order again.
@@ -98,7 +98,7 @@
     /// Number of orders that the server must have accepted before; none for report requests.
     pub fn expected_count(&self) -> Option<u64> {
         match self {
-            Action::Learn | Action::Look => None,
+            Action::FetchReport | Action::Look => None,
             Action::Load { expected_count, .. } | Action::Unload { expected_count, .. } => {
                 Some(*expected_count)
             }
@@ -249,7 +249,7 @@
         allowance: &mut dyn ModelAllowance,
     ) -> Option<Action> {
         let Some(expected_count) = self.order_count else {
-            return (look.now_ms >= self.learn_after_ms).then_some(Action::Learn);
+            return (look.now_ms >= self.learn_after_ms).then_some(Action::FetchReport);
         };
         let loses_messages = self.unconfirmed.loses_messages(look.now_ms);
         if !self.unloading.is_empty() || (loses_messages && self.has_due_load_poll(look.now_ms)) {
@@ -483,7 +483,7 @@
             (Action::Unload { adapter, .. }, OrderAnswer::Done) => {
                 self.note_unloaded(adapter, now_ms);
             }
-            (Action::Learn | Action::Look, _) => {}
+            (Action::FetchReport | Action::Look, _) => {}
         }
     }
 
@@ -619,7 +619,7 @@
     }
 
     /// Replaces the known contents by a report, which must have been requested after the delay that
-    /// [`Action::Learn`] waits for.
+    /// [`Action::FetchReport`] waits for.
     pub fn note_report(&mut self, report: &Report, now_ms: Millis) {
         self.was_known = true;
         for adapter in self.unconfirmed.note_count(report.order_count) {
--- a/crates/tinbay-core/tests/serving_contents_test.rs
+++ b/crates/tinbay-core/tests/serving_contents_test.rs
@@ -95,7 +95,7 @@
     let mut contents = Contents::new(&spec(2), 0);
     assert_eq!(
         next(&mut contents, &[want("m/a")], true, 0),
-        Some(Action::Learn)
+        Some(Action::FetchReport)
     );
 }
 
@@ -289,7 +289,7 @@
     assert_eq!(next(&mut contents, &[want("m/a")], true, 1_599), None);
     assert_eq!(
         next(&mut contents, &[want("m/a")], true, 1_600),
-        Some(Action::Learn)
+        Some(Action::FetchReport)
     );
 }
 
@@ -323,7 +323,7 @@
                 continue;
             };
             let answer = match &action {
-                Action::Learn => {
+                Action::FetchReport => {
                     let adapters: Vec<(&str, u64)> =
                         server.iter().map(|name| (name.as_str(), 1)).collect();
                     let mut known = report(&adapters);
--- a/crates/tinbay-core/tests/serving_late_orders_test.rs
+++ b/crates/tinbay-core/tests/serving_late_orders_test.rs
@@ -152,7 +152,7 @@
     fn take(&mut self, action: &Action, now_ms: Millis) -> OrderAnswer {
         let is_held = |adapter: &String| self.state.held.contains(adapter);
         match action {
-            Action::Learn | Action::Look => OrderAnswer::Refused,
+            Action::FetchReport | Action::Look => OrderAnswer::Refused,
             Action::Load { adapter, .. } if is_held(adapter) => {
                 let is_loading = self.loading.iter().any(|(loading, _)| loading == adapter);
                 if is_loading {
@@ -267,7 +267,7 @@
             let wants = self.wants.current(self.now_ms);
             match self.next_action(&wants) {
                 None => self.advance(20),
-                Some(Action::Learn) => {
+                Some(Action::FetchReport) => {
                     let report = self.server.report(self.now_ms);
                     self.contents.note_report(&report, self.now_ms);
                     self.advance(2);
