--- a/crates/tinbay-core/src/serving/contents/mod.rs
+++ b/crates/tinbay-core/src/serving/contents/mod.rs
@@ -75,7 +75,7 @@
     /// Request a report and replace the known contents by it.
     FetchReport,
     /// Request a report to see which loads and unloads are complete.
-    Look,
+    PollReport,
     /// Order a load, or poll it by sending the same order again.
     Load {
         /// Name of the adapter, as `model/name`, or of a base model.
@@ -98,7 +98,7 @@
     /// Number of orders that the server must have accepted before; none for report requests.
     pub fn expected_count(&self) -> Option<u64> {
         match self {
-            Action::FetchReport | Action::Look => None,
+            Action::FetchReport | Action::PollReport => None,
             Action::Load { expected_count, .. } | Action::Unload { expected_count, .. } => {
                 Some(*expected_count)
             }
@@ -254,7 +254,7 @@
         let loses_messages = self.unconfirmed.loses_messages(look.now_ms);
         if !self.unloading.is_empty() || (loses_messages && self.has_due_load_poll(look.now_ms)) {
             if look.now_ms >= self.poll_after_ms {
-                return Some(Action::Look);
+                return Some(Action::PollReport);
             }
             if !self.unloading.is_empty() {
                 return None;
@@ -483,7 +483,7 @@
             (Action::Unload { adapter, .. }, OrderAnswer::Done) => {
                 self.note_unloaded(adapter, now_ms);
             }
-            (Action::FetchReport | Action::Look, _) => {}
+            (Action::FetchReport | Action::PollReport, _) => {}
         }
     }
 
--- a/crates/tinbay-core/tests/serving_late_orders_test.rs
+++ b/crates/tinbay-core/tests/serving_late_orders_test.rs
@@ -152,7 +152,7 @@
     fn take(&mut self, action: &Action, now_ms: Millis) -> OrderAnswer {
         let is_held = |adapter: &String| self.state.held.contains(adapter);
         match action {
-            Action::FetchReport | Action::Look => OrderAnswer::Refused,
+            Action::FetchReport | Action::PollReport => OrderAnswer::Refused,
             Action::Load { adapter, .. } if is_held(adapter) => {
                 let is_loading = self.loading.iter().any(|(loading, _)| loading == adapter);
                 if is_loading {
@@ -272,7 +272,7 @@
                     self.contents.note_report(&report, self.now_ms);
                     self.advance(2);
                 }
-                Some(Action::Look) => {
+                Some(Action::PollReport) => {
                     let report = self.server.report(self.now_ms);
                     for key in self.contents.note_poll(Some(&report), self.now_ms) {
                         self.wants.forget(key);
--- a/crates/tinbay-gateway/src/orders/holder.rs
+++ b/crates/tinbay-gateway/src/orders/holder.rs
@@ -173,7 +173,7 @@
             let wants = self.held.wants.borrow_mut().current(now_ms);
             match self.next_action(&wants, now_ms) {
                 Some(Action::FetchReport) => self.learn_contents().await,
-                Some(Action::Look) => self.check_progress().await,
+                Some(Action::PollReport) => self.check_progress().await,
                 Some(action) => self.order(&action, token, &wants).await,
                 None => self.pause(&wants).await,
             }
@@ -471,7 +471,7 @@
 
     fn build_order(&self, action: &Action, token: u64) -> Option<Order> {
         let (action, adapter, expected_count) = match action {
-            Action::FetchReport | Action::Look => return None,
+            Action::FetchReport | Action::PollReport => return None,
             Action::Load {
                 adapter,
                 version,
