--- a/crates/tinbay-core/src/serving/contents/mod.rs
+++ b/crates/tinbay-core/src/serving/contents/mod.rs
@@ -60,7 +60,7 @@
 const CACHED_PER_SLOT: usize = 4;
 
 /// Inputs of the choice of the next order.
-pub struct Look<'a> {
+pub struct OrderContext<'a> {
     /// Returns the newest version of an adapter that the operators published.
     pub named: &'a dyn Fn(&str) -> Option<u64>,
     /// Returns whether requests for an adapter are running at the server.
@@ -245,7 +245,7 @@
     pub fn next_action(
         &self,
         wants: &[WantedLoad],
-        look: &Look<'_>,
+        look: &OrderContext<'_>,
         allowance: &mut dyn ModelAllowance,
     ) -> Option<Action> {
         let Some(expected_count) = self.order_count else {
@@ -350,7 +350,7 @@
         &self,
         want: &WantedLoad,
         expected_count: u64,
-        look: &Look<'_>,
+        look: &OrderContext<'_>,
     ) -> Option<Action> {
         let key = adapter_key(&want.adapter);
         let model = model_of(&want.adapter);
@@ -380,14 +380,14 @@
         })
     }
 
-    fn is_replaceable(&self, key: AdapterKey, look: &Look<'_>) -> bool {
+    fn is_replaceable(&self, key: AdapterKey, look: &OrderContext<'_>) -> bool {
         let idle_ms = |held: &Held| look.now_ms.saturating_sub(held.used_ms);
         let is_idle = |held: &Held| idle_ms(held) >= REPLACE_IDLE_MS;
         self.held.get(&key).is_some_and(is_idle) && !(look.is_in_use)(key)
     }
 
     /// The adapter to evict: one in an outdated version, or else the least used.
-    fn victim(&self, look: &Look<'_>) -> Option<&Held> {
+    fn victim(&self, look: &OrderContext<'_>) -> Option<&Held> {
         let is_current = |held: &Held| (look.named)(&held.adapter) <= held.version;
         let evicted_before = |left: &&Held, right: &&Held| {
             let by_version = is_current(left).cmp(&is_current(right));
--- a/crates/tinbay-core/tests/serving_contents_test.rs
+++ b/crates/tinbay-core/tests/serving_contents_test.rs
@@ -3,7 +3,7 @@
 use quickcheck::QuickCheck;
 use tinbay_core::serving::configuration::{EngineSpec, ModelSpec};
 use tinbay_core::serving::contents::{
-    Action, AdapterKey, Contents, HeldState, Look, ModelAllowance, OrderAnswer, adapter_key,
+    Action, AdapterKey, Contents, HeldState, ModelAllowance, OrderAnswer, OrderContext, adapter_key,
 };
 use tinbay_core::serving::servers::{HeldAdapter, Report};
 use tinbay_core::serving::wanted_loads::WantedLoad;
@@ -74,8 +74,8 @@
     contents.next_action(wants, &look(&|_| false, now_ms), &mut allowance)
 }
 
-fn look(is_in_use: &dyn Fn(AdapterKey) -> bool, now_ms: u64) -> Look<'_> {
-    Look {
+fn look(is_in_use: &dyn Fn(AdapterKey) -> bool, now_ms: u64) -> OrderContext<'_> {
+    OrderContext {
         named: &|_| None,
         is_in_use,
         now_ms,
@@ -251,7 +251,7 @@
         is_left: true,
         taken: 0,
     };
-    let look = Look {
+    let look = OrderContext {
         named: &named,
         is_in_use: &|_| false,
         now_ms: 5_000,
--- a/crates/tinbay-core/tests/serving_late_orders_test.rs
+++ b/crates/tinbay-core/tests/serving_late_orders_test.rs
@@ -6,7 +6,7 @@
 use rand::{RngExt, SeedableRng};
 use tinbay_core::serving::configuration::{EngineSpec, ModelSpec};
 use tinbay_core::serving::contents::{
-    Action, AdapterKey, Contents, Look, ModelAllowance, OrderAnswer, adapter_key,
+    Action, AdapterKey, Contents, ModelAllowance, OrderAnswer, OrderContext, adapter_key,
 };
 use tinbay_core::serving::servers::{HeldAdapter, Report};
 use tinbay_core::serving::wanted_loads::{WantedLoad, WantedLoads};
@@ -294,7 +294,7 @@
             .filter(known)
             .map(|run| adapter_key(&run.adapter))
             .collect();
-        let look = Look {
+        let look = OrderContext {
             named: &|_| None,
             is_in_use: &|key| in_use.contains(&key),
             now_ms: self.now_ms,
--- a/crates/tinbay-gateway/src/orders/holder.rs
+++ b/crates/tinbay-gateway/src/orders/holder.rs
@@ -10,7 +10,9 @@
 use hyper::Method;
 use log::Level;
 use serde::Serialize;
-use tinbay_core::serving::contents::{Action, Look, ModelAllowance, OrderAnswer, adapter_key};
+use tinbay_core::serving::contents::{
+    Action, ModelAllowance, OrderAnswer, OrderContext, adapter_key,
+};
 use tinbay_core::serving::servers::{Report, ServerRecord};
 use tinbay_core::serving::wanted_loads::WantedLoad;
 use tinbay_core::units::Millis;
@@ -197,7 +199,7 @@
     }
 
     fn next_action(&self, wants: &[WantedLoad], now_ms: Millis) -> Option<Action> {
-        let look = Look {
+        let look = OrderContext {
             named: &|adapter: &str| self.node.named_version(adapter),
             is_in_use: &|key| self.held.is_in_use(&self.server, key, now_ms),
             now_ms,
