--- a/crates/tinbay-core/src/handover/mod.rs
+++ b/crates/tinbay-core/src/handover/mod.rs
@@ -7,8 +7,8 @@
 //!
 //! Like the rest of the core this does no I/O and reads no clock.
 
-pub mod course;
 pub mod events;
 pub mod need;
 pub mod prefill_interference;
 pub mod roles;
+pub mod transitions;
--- a/crates/tinbay-core/tests/handover_test.rs
+++ b/crates/tinbay-core/tests/handover_test.rs
@@ -2,13 +2,13 @@
 //! steps.
 
 use quickcheck::quickcheck;
-use tinbay_core::handover::course::{
-    MoveAnswer, Place, ResumeAnswer, Step, after_move, after_resume,
-};
 use tinbay_core::handover::events::EventScanner;
 use tinbay_core::handover::need::PrefillNeed;
 use tinbay_core::handover::prefill_interference::can_prefill_beside_streams;
 use tinbay_core::handover::roles::{Engine, Role, assign_roles, has_places_for_two};
+use tinbay_core::handover::transitions::{
+    MoveAnswer, Place, ResumeAnswer, Step, after_move, after_resume,
+};
 
 const STREAM: &str = "id: 1\ndata: a\n\nweight-versions: 2\nid: 2\ndata: b\n\n";
 
--- a/crates/tinbay-gateway/src/front/moving/mover.rs
+++ b/crates/tinbay-gateway/src/front/moving/mover.rs
@@ -9,7 +9,7 @@
 use hyper::{Method, Request, StatusCode};
 use log::Level;
 use serde::Serialize;
-use tinbay_core::handover::course::{MoveAnswer, Place};
+use tinbay_core::handover::transitions::{MoveAnswer, Place};
 use tinbay_core::units::Millis;
 use tokio::sync::oneshot;
 
--- a/crates/tinbay-gateway/src/handover/drive.rs
+++ b/crates/tinbay-gateway/src/handover/drive.rs
@@ -3,7 +3,7 @@
 use std::pin::Pin;
 use std::time::Duration;
 
-use tinbay_core::handover::course::{self, MoveAnswer, Place, ResumeAnswer, Step};
+use tinbay_core::handover::transitions::{self, MoveAnswer, Place, ResumeAnswer, Step};
 
 use super::passage::Passage;
 
@@ -90,7 +90,7 @@
         mover,
         handle: answer.handle().map(str::to_string),
     };
-    let mut step = course::after_move(answer);
+    let mut step = transitions::after_move(answer);
     if matches!(step, Step::Resume { .. }) {
         let broken_off = passage.wait_until_broken_off();
         let _ = tokio::time::timeout(LONGEST_END_WAIT, broken_off).await;
@@ -110,7 +110,7 @@
             Resumed::Not => ResumeAnswer::NotResumed,
             Resumed::Unknown => ResumeAnswer::Unknown,
         };
-        step = course::after_resume(at, &handle, answer);
+        step = transitions::after_resume(at, &handle, answer);
         if let Resumed::Goes(answer) = resumed {
             copy.handle = None;
             passage.drop_partial();
--- a/crates/tinbay-gateway/tests/handover_test.rs
+++ b/crates/tinbay-gateway/tests/handover_test.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 
 use bytes::Bytes;
-use tinbay_core::handover::course::{MoveAnswer, Place};
+use tinbay_core::handover::transitions::{MoveAnswer, Place};
 use tinbay_gateway::handover::drive::{Doing, Outcome, Resumed, RunMover, drive};
 use tinbay_gateway::handover::passage::Passage;
 use tokio::sync::Notify;
