--- a/crates/tinbay-core/src/serving/budget.rs
+++ b/crates/tinbay-core/src/serving/budget.rs
@@ -27,12 +27,12 @@
 
 /// Counts one box's first and extra attempts at one service.
 #[derive(Debug, Default)]
-pub struct SendBudget {
+pub struct AttemptBudget {
     first_attempts: VecDeque<Millis>,
     extra_attempts: VecDeque<Millis>,
 }
 
-impl SendBudget {
+impl AttemptBudget {
     /// Records a first attempt.
     pub fn note_first(&mut self, now_ms: Millis) {
         self.first_attempts.push_back(now_ms);
--- a/crates/tinbay-core/tests/hedge_test.rs
+++ b/crates/tinbay-core/tests/hedge_test.rs
@@ -3,7 +3,7 @@
 use quickcheck::QuickCheck;
 use tinbay_core::hedge::{HedgeCase, hedge_after_ms};
 use tinbay_core::pace::answer_times::AnswerTimes;
-use tinbay_core::serving::budget::{BudgetTerms, SendBudget};
+use tinbay_core::serving::budget::{AttemptBudget, BudgetTerms};
 use tinbay_core::units::Millis;
 
 const TERMS: BudgetTerms = BudgetTerms {
@@ -99,7 +99,7 @@
 /// second time is left for servers that fail.
 #[test]
 fn budget_of_hedges_leaves_half_for_failures() {
-    let mut budget = SendBudget::default();
+    let mut budget = AttemptBudget::default();
     for now_ms in 0..1_000 {
         budget.note_first(now_ms);
     }
--- a/crates/tinbay-core/tests/serving_routes_test.rs
+++ b/crates/tinbay-core/tests/serving_routes_test.rs
@@ -1,7 +1,7 @@
 //! Routes, traffic splits, the budget of extra attempts, and how long callers wait for streams.
 
 use quickcheck::QuickCheck;
-use tinbay_core::serving::budget::{BudgetTerms, SendBudget};
+use tinbay_core::serving::budget::{AttemptBudget, BudgetTerms};
 use tinbay_core::serving::configuration::{Configuration, Route, RouteKind, Target};
 use tinbay_core::serving::routes::RouteTable;
 
@@ -90,7 +90,7 @@
         let mut taken = 0;
         let mut first_count = 0;
         for _ in 0..boxes {
-            let mut budget = SendBudget::default();
+            let mut budget = AttemptBudget::default();
             let mut times: Vec<u64> = firsts.iter().map(|time| u64::from(time % 5_000)).collect();
             times.sort_unstable();
             for time in &times {
@@ -108,7 +108,7 @@
 
 #[test]
 fn take_second_is_allowed_again_after_the_window() {
-    let mut budget = SendBudget::default();
+    let mut budget = AttemptBudget::default();
     let taken = (0..100)
         .filter(|_| budget.take_second(&TERMS, 1, 1_000))
         .count();
--- a/crates/tinbay-gateway/src/node.rs
+++ b/crates/tinbay-gateway/src/node.rs
@@ -8,7 +8,7 @@
 use tinbay_core::accounts::account::Account;
 use tinbay_core::accounts::priority::PriorityRanks;
 use tinbay_core::memory::terms::MemoryTerms;
-use tinbay_core::serving::budget::SendBudget;
+use tinbay_core::serving::budget::AttemptBudget;
 use tinbay_core::serving::claims::{ClaimTable, ClaimTerms, Proof};
 use tinbay_core::serving::configuration::{Configuration, EngineSpec, Limits};
 use tinbay_core::serving::contents::AdapterKey;
@@ -199,7 +199,7 @@
     /// Requests that ask for scarce room.
     pub sharing: Sharing,
     /// Second sends by service.
-    pub budgets: RefCell<HashMap<String, SendBudget>>,
+    pub budgets: RefCell<HashMap<String, AttemptBudget>>,
     /// What is held for requests and answers.
     pub memory: Rc<BoxMemory>,
     /// Answers on their way to callers.
