--- a/crates/tinbay-core/src/serving/budget.rs
+++ b/crates/tinbay-core/src/serving/budget.rs
@@ -39,7 +39,7 @@
     }
 
     /// Takes one retry from the budget if the share of this box among `boxes` allows it.
-    pub fn take_second(&mut self, terms: &BudgetTerms, boxes: usize, now_ms: Millis) -> bool {
+    pub fn take_retry(&mut self, terms: &BudgetTerms, boxes: usize, now_ms: Millis) -> bool {
         self.take(WINDOW_SKEW_FACTOR, terms, boxes, now_ms)
     }
 
--- a/crates/tinbay-core/tests/hedge_test.rs
+++ b/crates/tinbay-core/tests/hedge_test.rs
@@ -105,7 +105,7 @@
     }
     let count = |is_taken: &mut dyn FnMut() -> bool| (0..1_000).filter(|_| is_taken()).count();
     let hedged = count(&mut || budget.take_hedge(&TERMS, 1, 1_000));
-    let failed = count(&mut || budget.take_second(&TERMS, 1, 1_000));
+    let failed = count(&mut || budget.take_retry(&TERMS, 1, 1_000));
     assert!(hedged > 0);
     assert!(failed >= hedged);
     let allowed = TERMS.ratio * 1_000.0 + TERMS.extra;
--- a/crates/tinbay-core/tests/serving_routes_test.rs
+++ b/crates/tinbay-core/tests/serving_routes_test.rs
@@ -98,7 +98,7 @@
                 first_count += 1;
             }
             taken += (0..100)
-                .filter(|_| budget.take_second(&TERMS, boxes, 5_000))
+                .filter(|_| budget.take_retry(&TERMS, boxes, 5_000))
                 .count();
         }
         taken as f64 <= TERMS.ratio * f64::from(first_count) + TERMS.extra
@@ -110,11 +110,11 @@
 fn take_second_is_allowed_again_after_the_window() {
     let mut budget = AttemptBudget::default();
     let taken = (0..100)
-        .filter(|_| budget.take_second(&TERMS, 1, 1_000))
+        .filter(|_| budget.take_retry(&TERMS, 1, 1_000))
         .count();
     assert!(taken > 0);
-    assert!(!budget.take_second(&TERMS, 1, 1_000));
-    assert!(budget.take_second(&TERMS, 1, 11_001));
+    assert!(!budget.take_retry(&TERMS, 1, 1_000));
+    assert!(budget.take_retry(&TERMS, 1, 11_001));
 }
 
 #[test]
--- a/crates/tinbay-gateway/src/front/deliver.rs
+++ b/crates/tinbay-gateway/src/front/deliver.rs
@@ -397,7 +397,7 @@
     let now_ms = node.now_ms();
     let mut budgets = node.budgets.borrow_mut();
     let budget = budgets.entry(question.service.clone()).or_default();
-    let is_taken = budget.take_second(&terms, boxes, now_ms);
+    let is_taken = budget.take_retry(&terms, boxes, now_ms);
     let outcome = if is_taken { "sent" } else { "no_budget" };
     node.metrics
         .second_sends
