--- a/crates/tinbay-core/tests/serving_routes_test.rs
+++ b/crates/tinbay-core/tests/serving_routes_test.rs
@@ -94,7 +94,7 @@
             let mut times: Vec<u64> = firsts.iter().map(|time| u64::from(time % 5_000)).collect();
             times.sort_unstable();
             for time in &times {
-                budget.note_first(*time);
+                budget.note_first_attempt(*time);
                 first_count += 1;
             }
             taken += (0..100)
--- a/crates/tinbay-gateway/src/front/filters/delivery.rs
+++ b/crates/tinbay-gateway/src/front/filters/delivery.rs
@@ -27,5 +27,5 @@
     let now_ms = node.now_ms();
     let mut budgets = node.budgets.borrow_mut();
     let budget = budgets.entry(question.service.clone()).or_default();
-    budget.note_first(now_ms);
+    budget.note_first_attempt(now_ms);
 }
