--- a/crates/tinbay-node/src/controllers/control_handler.rs
+++ b/crates/tinbay-node/src/controllers/control_handler.rs
@@ -14,11 +14,11 @@
 use crate::util::sync::{lock, read, write};
 
 /// Handles the control messages that arrive at one box.
-pub struct ControlAnswers {
+pub struct ControlHandler {
     node: Arc<Node>,
 }
 
-impl ControlAnswers {
+impl ControlHandler {
     /// Creates the handler of `node`.
     pub fn new(node: &Arc<Node>) -> Self {
         Self {
@@ -27,7 +27,7 @@
     }
 }
 
-impl Answer for ControlAnswers {
+impl Answer for ControlHandler {
     fn answer(&self, envelope: Envelope) -> LocalBoxFuture<'static, Reply> {
         let node = Arc::clone(&self.node);
         async move { answer(&node, envelope).await }.boxed_local()
--- a/crates/tinbay-node/src/controllers/mod.rs
+++ b/crates/tinbay-node/src/controllers/mod.rs
@@ -22,7 +22,7 @@
 mod zone_heartbeat;
 
 pub use box_lease::BoxLease;
-pub use control_handler::{ControlAnswers, zone_status};
+pub use control_handler::{ControlHandler, zone_status};
 pub use loads::Loads;
 pub use members::Members;
 pub use ownership::OWNERSHIP_PERIOD_MS;
--- a/crates/tinbay-node/src/node.rs
+++ b/crates/tinbay-node/src/node.rs
@@ -14,7 +14,7 @@
 
 use crate::admin;
 use crate::control::{ControlClient, ControlServer, run_client};
-use crate::controllers::{ControlAnswers, start_controllers};
+use crate::controllers::{ControlHandler, start_controllers};
 use crate::entry;
 use crate::error::NodeError;
 use crate::logging::part;
@@ -110,7 +110,7 @@
             Ok((node, jobs, client_task)) => {
                 ntex::rt::spawn(run_client(client_task));
                 let traffic = node.control.traffic().clone();
-                ntex::rt::spawn(control.run(ControlAnswers::new(&node), traffic));
+                ntex::rt::spawn(control.run(ControlHandler::new(&node), traffic));
                 ntex::rt::spawn(run_orders(Arc::clone(&node), jobs));
                 start_controllers(&node);
                 let _ = ready.send(Ok((node, control_address)));
