--- a/crates/tinbay-node/src/owners/mod.rs
+++ b/crates/tinbay-node/src/owners/mod.rs
@@ -15,11 +15,11 @@
 
 /// The engines that this box owns, by name.
 #[derive(Default)]
-pub struct Owners {
+pub struct OwnedEngines {
     engines: RwLock<HashMap<EngineId, Arc<OwnedEngine>>>,
 }
 
-impl Owners {
+impl OwnedEngines {
     /// An engine by name, if this box owns it.
     pub fn get(&self, engine: &EngineId) -> Option<Arc<OwnedEngine>> {
         read(&self.engines).get(engine).cloned()
--- a/crates/tinbay-node/src/state.rs
+++ b/crates/tinbay-node/src/state.rs
@@ -22,7 +22,7 @@
 use crate::logging::part;
 use crate::metrics::Metrics;
 use crate::options::Options;
-use crate::owners::{OrderJob, Owners};
+use crate::owners::{OrderJob, OwnedEngines};
 use crate::platform::{BoxListService, KvService};
 use crate::util::clock::{Clock, wall_ms};
 use crate::util::sync::{lock, read, write};
@@ -53,7 +53,7 @@
     /// The other boxes.
     pub members: RwLock<Members>,
     /// The engines owned.
-    pub owners: Owners,
+    pub owners: OwnedEngines,
     /// Successions told by owners, for takeovers while the key-value service is out.
     pub successions: Mutex<HashMap<EngineId, Succession>>,
     /// Engines found without an owner.
@@ -116,7 +116,7 @@
             incarnation: me.incarnation,
             config: ConfigStore::default(),
             members: RwLock::new(Members::new(me.clone())),
-            owners: Owners::default(),
+            owners: OwnedEngines::default(),
             successions: Mutex::default(),
             vacancies: Mutex::default(),
             keys: Mutex::new(KeyTable::new(me.id.clone(), me.incarnation)),
