--- a/crates/tinbay-node/src/controllers/loads.rs
+++ b/crates/tinbay-node/src/controllers/loads.rs
@@ -78,14 +78,14 @@
 
 /// Limits adapter loads to the weight store's allowance.
 #[derive(Default)]
-pub struct Loads {
+pub struct LoadLimiter {
     /// Loads of the whole region, used while this box is its arbiter.
     region: Mutex<GrantQueue>,
     /// Loads of this box alone, used while the arbiter cannot be reached.
     local: Mutex<GrantQueue>,
 }
 
-impl Loads {
+impl LoadLimiter {
     /// Waits until a load is granted.
     pub async fn ask(&self, node: &Node, wish: LoadWish) {
         loop {
--- a/crates/tinbay-node/src/controllers/mod.rs
+++ b/crates/tinbay-node/src/controllers/mod.rs
@@ -23,7 +23,7 @@
 
 pub use box_lease::BoxLease;
 pub use control_handler::{ControlHandler, zone_status};
-pub use loads::Loads;
+pub use loads::LoadLimiter;
 pub use members::Members;
 pub use ownership::OWNERSHIP_PERIOD_MS;
 pub use policies::PolicyCache;
--- a/crates/tinbay-node/src/state.rs
+++ b/crates/tinbay-node/src/state.rs
@@ -18,7 +18,7 @@
 use tokio::sync::{Notify, mpsc};
 
 use crate::control::{ASK_WITHIN, ControlClient, ControlError};
-use crate::controllers::{BoxLease, Loads, Members, PolicyCache};
+use crate::controllers::{BoxLease, LoadLimiter, Members, PolicyCache};
 use crate::logging::part;
 use crate::metrics::Metrics;
 use crate::options::Options;
@@ -61,7 +61,7 @@
     /// The keys of which this box is the home.
     pub keys: Mutex<KeyTable>,
     /// The shared allowance of the weight store.
-    pub loads: Loads,
+    pub loads: LoadLimiter,
     /// The lease under which orders go to engines that do not check them.
     pub lease: BoxLease,
     /// Compiled policies.
@@ -120,7 +120,7 @@
             successions: Mutex::default(),
             vacancies: Mutex::default(),
             keys: Mutex::new(KeyTable::new(me.id.clone(), me.incarnation)),
-            loads: Loads::default(),
+            loads: LoadLimiter::default(),
             lease: BoxLease::default(),
             policies: PolicyCache::default(),
             budgets: Mutex::default(),
