--- a/crates/tinbay-node/src/controllers/box_lease.rs
+++ b/crates/tinbay-node/src/controllers/box_lease.rs
@@ -37,7 +37,7 @@
 
 impl BoxLease {
     /// Whether the lease is certainly held at `now_ms`.
-    pub fn is_sure(&self, now_ms: Millis) -> bool {
+    pub fn is_certainly_held(&self, now_ms: Millis) -> bool {
         now_ms < self.valid_until_ms.load(Ordering::Acquire)
     }
 
--- a/crates/tinbay-node/src/state.rs
+++ b/crates/tinbay-node/src/state.rs
@@ -305,7 +305,7 @@
     /// Whether an order to an engine may go out now. Engines that check fences judge for
     /// themselves; for others the lease is read against the monotonic clock right here.
     pub fn may_order(&self, engine: &EngineSpec) -> bool {
-        engine.checks_orders || self.lease.is_sure(self.clock.now_ms())
+        engine.checks_orders || self.lease.is_certainly_held(self.clock.now_ms())
     }
 
     /// Gives an engine up after another box has taken it.
