--- a/crates/tinbay-gateway/src/front/room.rs
+++ b/crates/tinbay-gateway/src/front/room.rs
@@ -11,7 +11,7 @@
 use crate::members::box_fingerprint;
 use crate::node::Node;
 use crate::servers::Server;
-use crate::sharing::asking::{self, RoomWish};
+use crate::sharing::asking::{self, RoomRequest};
 use crate::sharing::links::RoomLinks;
 
 /// Servers whose holders are asked for room for one request: what the second one has no place for either
@@ -61,7 +61,7 @@
 
 /// What a request of a client account asks for; nothing for one without account or adapter: nobody deals
 /// the room of plain servers.
-fn wish(node: &Node, question: &Question) -> Option<RoomWish> {
+fn wish(node: &Node, question: &Question) -> Option<RoomRequest> {
     let account = question.client_account()?;
     question.model_key?;
     let units = match question.prompt.count {
@@ -69,7 +69,7 @@
         TokenCount::Undeclared | TokenCount::Unreadable => question.prompt.tokens,
     };
     let reading_ms = node.reading_ms(&question.service, question.prompt.tokens) as Millis;
-    Some(RoomWish {
+    Some(RoomRequest {
         account: box_fingerprint(&account.name),
         rank: question.rank(),
         units,
--- a/crates/tinbay-gateway/src/sharing/asking.rs
+++ b/crates/tinbay-gateway/src/sharing/asking.rs
@@ -36,7 +36,7 @@
 
 /// Request for capacity at a server.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct RoomWish {
+pub struct RoomRequest {
     /// Fingerprint of the client account's name.
     pub account: Fingerprint,
     /// Priority rank; 0 is served first.
@@ -82,7 +82,7 @@
 pub async fn ask(
     links: &dyn RoomLinks,
     server: &Rc<Server>,
-    request: RoomWish,
+    request: RoomRequest,
 ) -> Option<RoomResult> {
     if !links.is_scarce(server) {
         return None;
@@ -108,7 +108,7 @@
     Some(result)
 }
 
-fn build_request(server: &Server, number: u32, request: RoomWish) -> RoomRequestPart {
+fn build_request(server: &Server, number: u32, request: RoomRequest) -> RoomRequestPart {
     RoomRequestPart {
         server: server.fingerprint(),
         number,
--- a/crates/tinbay-gateway/tests/sharing_asking_test.rs
+++ b/crates/tinbay-gateway/tests/sharing_asking_test.rs
@@ -9,12 +9,12 @@
 use tinbay_gateway::clock::Clock;
 use tinbay_gateway::servers::{Server, ServerTable};
 use tinbay_gateway::sharing::Sharing;
-use tinbay_gateway::sharing::asking::{RoomResult, RoomWish, ask};
+use tinbay_gateway::sharing::asking::{RoomRequest, RoomResult, ask};
 use tinbay_gateway::sharing::links::{RoomHolder, RoomLinks};
 use tinbay_gateway::sharing::messages::{RoomReply, RoomReplyPart, RoomRequestPart};
 use tinbay_gateway::sharing::taken::RoomOutcome;
 
-const WISH: RoomWish = RoomWish {
+const WISH: RoomRequest = RoomRequest {
     account: 1,
     rank: 0,
     units: 100,
