--- a/crates/tinbay-gateway/src/front/question.rs
+++ b/crates/tinbay-gateway/src/front/question.rs
@@ -21,7 +21,7 @@
 use crate::limits::AdmittedBy;
 use crate::members::box_fingerprint;
 use crate::node::{InForce, Node};
-use crate::sharing::taken::RoomTaken;
+use crate::sharing::taken::RoomOutcomes;
 
 /// Time a caller is taken to wait where it names none.
 const DEFAULT_DEADLINE_MS: Millis = 30_000;
@@ -109,7 +109,7 @@
     /// Servers that were passed over as their limits had no room.
     pub at_limits: Cell<u32>,
     /// What it was told of room at servers.
-    pub room: RoomTaken,
+    pub room: RoomOutcomes,
     /// The caller's connection.
     pub connection: ConnectionNumber,
     /// The route.
@@ -184,7 +184,7 @@
             sight: Cell::default(),
             handover: Cell::default(),
             at_limits: Cell::default(),
-            room: RoomTaken::default(),
+            room: RoomOutcomes::default(),
             connection,
             model_key: model.as_deref().map(adapter_key),
             model,
--- a/crates/tinbay-gateway/src/sharing/taken.rs
+++ b/crates/tinbay-gateway/src/sharing/taken.rs
@@ -33,13 +33,13 @@
 
 /// Outcomes of one request's attempts to get capacity.
 #[derive(Debug, Default)]
-pub struct RoomTaken {
+pub struct RoomOutcomes {
     outcome: Cell<Option<RoomOutcome>>,
     wait_ms: Cell<Option<Millis>>,
     without: RefCell<Vec<ServerKey>>,
 }
 
-impl RoomTaken {
+impl RoomOutcomes {
     /// Records the outcome of an attempt and how long it took.
     pub fn note(&self, outcome: RoomOutcome, took_ms: Millis) {
         self.outcome.set(Some(outcome));
