--- a/crates/tinbay-gateway/src/front/room.rs
+++ b/crates/tinbay-gateway/src/front/room.rs
@@ -12,7 +12,7 @@
 use crate::node::Node;
 use crate::servers::Server;
 use crate::sharing::asking::{self, RoomRequest};
-use crate::sharing::links::RoomLinks;
+use crate::sharing::links::RoomContext;
 
 /// Servers whose holders are asked for room for one request: what the second one has no place for either
 /// finds none in time.
--- a/crates/tinbay-gateway/src/sharing/asking.rs
+++ b/crates/tinbay-gateway/src/sharing/asking.rs
@@ -7,7 +7,7 @@
 use tinbay_core::serving::servers::Fingerprint;
 use tinbay_core::units::Millis;
 
-use super::links::{RoomHolder, RoomLinks};
+use super::links::{RoomContext, RoomHolder};
 use super::messages::{RoomReply, RoomRequestPart};
 use super::taken::RoomOutcome;
 use crate::servers::Server;
@@ -80,7 +80,7 @@
 
 /// Requests capacity at a server. Returns `None` where none has to be requested.
 pub async fn ask(
-    links: &dyn RoomLinks,
+    links: &dyn RoomContext,
     server: &Rc<Server>,
     request: RoomRequest,
 ) -> Option<RoomResult> {
@@ -123,7 +123,7 @@
 
 /// Repeats the request until the holder decides; `None` if it doesn't answer.
 async fn request_until_decided(
-    links: &dyn RoomLinks,
+    links: &dyn RoomContext,
     holder: &RoomHolder,
     server: &Rc<Server>,
     part: RoomRequestPart,
@@ -154,14 +154,14 @@
     sends_in_time as u32 + MAX_LATE_SENDS
 }
 
-fn is_silent(links: &dyn RoomLinks, holder: &RoomHolder) -> bool {
+fn is_silent(links: &dyn RoomContext, holder: &RoomHolder) -> bool {
     match holder {
         RoomHolder::Own => false,
         RoomHolder::Other(holder) => links.sharing().is_silent(holder, links.now_ms()),
     }
 }
 
-fn note_silent(links: &dyn RoomLinks, holder: &RoomHolder) {
+fn note_silent(links: &dyn RoomContext, holder: &RoomHolder) {
     if let RoomHolder::Other(holder) = holder {
         let until_ms = links.now_ms() + SILENT_HOLDER_PAUSE_MS;
         links.sharing().note_silent(holder, until_ms);
--- a/crates/tinbay-gateway/src/sharing/links.rs
+++ b/crates/tinbay-gateway/src/sharing/links.rs
@@ -21,7 +21,7 @@
 }
 
 /// What a request for capacity needs from its box.
-pub trait RoomLinks {
+pub trait RoomContext {
     /// Milliseconds on the monotonic clock of this process.
     fn now_ms(&self) -> Millis;
 
@@ -40,7 +40,7 @@
     fn ask(&self, holder: &RoomHolder, server: &Rc<Server>, part: RoomRequestPart);
 }
 
-impl RoomLinks for Node {
+impl RoomContext for Node {
     fn now_ms(&self) -> Millis {
         self.now_ms()
     }
--- a/crates/tinbay-gateway/tests/sharing_asking_test.rs
+++ b/crates/tinbay-gateway/tests/sharing_asking_test.rs
@@ -10,7 +10,7 @@
 use tinbay_gateway::servers::{Server, ServerTable};
 use tinbay_gateway::sharing::Sharing;
 use tinbay_gateway::sharing::asking::{RoomRequest, RoomResult, ask};
-use tinbay_gateway::sharing::links::{RoomHolder, RoomLinks};
+use tinbay_gateway::sharing::links::{RoomContext, RoomHolder};
 use tinbay_gateway::sharing::messages::{RoomReply, RoomReplyPart, RoomRequestPart};
 use tinbay_gateway::sharing::taken::RoomOutcome;
 
@@ -47,7 +47,7 @@
     }
 }
 
-impl RoomLinks for FakeLinks {
+impl RoomContext for FakeLinks {
     fn now_ms(&self) -> Millis {
         self.now_ms.get()
     }
