--- a/crates/tinbay-gateway/src/front/room.rs
+++ b/crates/tinbay-gateway/src/front/room.rs
@@ -51,7 +51,7 @@
     let Some(retry_after_ms) = answered.turn_in_ms else {
         return Ok(Room::Here);
     };
-    question.room.note_without(server.key);
+    question.room.note_full(server.key);
     let may_ask_more = question.room.without_count() < MOST_ASKED;
     if may_ask_more && has_other_room(node, question, tried) {
         return Ok(Room::Elsewhere);
--- a/crates/tinbay-gateway/src/sharing/taken.rs
+++ b/crates/tinbay-gateway/src/sharing/taken.rs
@@ -48,7 +48,7 @@
     }
 
     /// Records a server that had no capacity for the request.
-    pub fn note_without(&self, server: ServerKey) {
+    pub fn note_full(&self, server: ServerKey) {
         self.without.borrow_mut().push(server);
     }
 
