--- a/crates/tinbay-gateway/src/front/choice.rs
+++ b/crates/tinbay-gateway/src/front/choice.rs
@@ -141,7 +141,7 @@
     let is_asked_enough = question.at_limits.get() >= MOST_AT_LIMITS;
     ready.retain(|server| {
         let is_passed_over = is_asked_enough && server.limit_per_s().is_some();
-        let has_room = !question.room.is_without(server.key);
+        let has_room = !question.room.is_full(server.key);
         !is_passed_over && has_room && !tried.contains(&server.record().id)
     });
     let objective_ms = question.route.objective_ms;
--- a/crates/tinbay-gateway/src/sharing/taken.rs
+++ b/crates/tinbay-gateway/src/sharing/taken.rs
@@ -53,7 +53,7 @@
     }
 
     /// Whether a server had no capacity for the request.
-    pub fn is_without(&self, server: ServerKey) -> bool {
+    pub fn is_full(&self, server: ServerKey) -> bool {
         self.without.borrow().contains(&server)
     }
 
