--- a/crates/tinbay-gateway/src/front/room.rs
+++ b/crates/tinbay-gateway/src/front/room.rs
@@ -52,7 +52,7 @@
         return Ok(Room::Here);
     };
     question.room.note_full(server.key);
-    let may_ask_more = question.room.without_count() < MOST_ASKED;
+    let may_ask_more = question.room.full_count() < MOST_ASKED;
     if may_ask_more && has_other_room(node, question, tried) {
         return Ok(Room::Elsewhere);
     }
--- a/crates/tinbay-gateway/src/sharing/taken.rs
+++ b/crates/tinbay-gateway/src/sharing/taken.rs
@@ -58,7 +58,7 @@
     }
 
     /// Number of servers that had no capacity for the request.
-    pub fn without_count(&self) -> usize {
+    pub fn full_count(&self) -> usize {
         self.without.borrow().len()
     }
 
