--- a/crates/tinbay-gateway/src/front/attempt.rs
+++ b/crates/tinbay-gateway/src/front/attempt.rs
@@ -19,7 +19,7 @@
 use crate::limits::permits::Permit;
 use crate::node::Node;
 use crate::port::dialect::HeaderNames;
-use crate::servers::notices::{self, AnswerHead, AskedFor};
+use crate::servers::notices::{self, AnswerHead, RequestKind};
 use crate::servers::{RunningRequest, Server};
 
 /// How a try ended.
@@ -261,7 +261,7 @@
         || status == StatusCode::MISDIRECTED_REQUEST;
     if is_own {
         let head = AnswerHead {
-            asked_for: AskedFor::Request(&question.id),
+            asked_for: RequestKind::Request(&question.id),
             asked_ms: sent_ms,
             status: status.as_u16(),
             headers: response.headers(),
--- a/crates/tinbay-gateway/src/orders/holder.rs
+++ b/crates/tinbay-gateway/src/orders/holder.rs
@@ -24,7 +24,7 @@
 use crate::http::call::{Call, CallError, Caller, Reply};
 use crate::node::Node;
 use crate::port::dialect::{DecodeError, Order, OrderAction};
-use crate::servers::notices::{self, AnswerHead, AskedFor};
+use crate::servers::notices::{self, AnswerHead, RequestKind};
 use crate::servers::view::ServerStatus;
 use crate::servers::{Server, ServerChange};
 use crate::watch::servers::log_change;
@@ -290,15 +290,15 @@
     /// Decodes the answer to a report request and applies the notices in its headers.
     fn read_reply(&self, reply: &Reply, asked_ms: Millis) -> Option<Report> {
         if reply.status != 200 {
-            self.apply_notices(AskedFor::Report, asked_ms, reply);
+            self.apply_notices(RequestKind::Report, asked_ms, reply);
             return None;
         }
         let report = self.read_report(&reply.body)?;
-        self.apply_notices(AskedFor::Report, asked_ms, reply);
+        self.apply_notices(RequestKind::Report, asked_ms, reply);
         Some(report)
     }
 
-    fn apply_notices(&self, asked_for: AskedFor<'_>, asked_ms: Millis, reply: &Reply) {
+    fn apply_notices(&self, asked_for: RequestKind<'_>, asked_ms: Millis, reply: &Reply) {
         if self.is_from_another_server(reply) {
             return;
         }
@@ -423,7 +423,7 @@
                 if self.is_from_another_server(&reply) {
                     self.note_displaced();
                 }
-                self.apply_notices(AskedFor::Order, asked_ms, &reply);
+                self.apply_notices(RequestKind::Order, asked_ms, &reply);
                 match reply.status {
                     200 => OrderAnswer::Done,
                     202 => OrderAnswer::Accepted,
--- a/crates/tinbay-gateway/src/servers/notices.rs
+++ b/crates/tinbay-gateway/src/servers/notices.rs
@@ -18,7 +18,7 @@
 
 /// Kind of request that a server answered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum AskedFor<'a> {
+pub enum RequestKind<'a> {
     /// A caller's request, by its id.
     Request(&'a str),
     /// A load or unload order.
@@ -27,19 +27,19 @@
     Report,
 }
 
-impl AskedFor<'_> {
+impl RequestKind<'_> {
     fn name(&self) -> &'static str {
         match self {
-            AskedFor::Request(_) => "request",
-            AskedFor::Order => "order",
-            AskedFor::Report => "report",
+            RequestKind::Request(_) => "request",
+            RequestKind::Order => "order",
+            RequestKind::Report => "report",
         }
     }
 
     fn request(&self) -> Option<&str> {
         match self {
-            AskedFor::Request(id) => Some(id),
-            AskedFor::Order | AskedFor::Report => None,
+            RequestKind::Request(id) => Some(id),
+            RequestKind::Order | RequestKind::Report => None,
         }
     }
 }
@@ -48,7 +48,7 @@
 #[derive(Debug, Clone, Copy)]
 pub struct AnswerHead<'a> {
     /// Kind of request.
-    pub asked_for: AskedFor<'a>,
+    pub asked_for: RequestKind<'a>,
     /// Time at which the request was sent.
     pub asked_ms: Millis,
     /// HTTP status.
