--- a/crates/tinbay-gateway/src/front/adapters.rs
+++ b/crates/tinbay-gateway/src/front/adapters.rs
@@ -105,7 +105,7 @@
     let now_ms = node.now_ms();
     let wait_ms = node.load_wait_ms(server);
     let asked_ms = asked.loads.get(&server.key).map(|load| load.first_ms);
-    if asked_ms.is_some_and(|asked_ms| node.is_told_since(server, asked_ms)) {
+    if asked_ms.is_some_and(|asked_ms| node.has_status_since(server, asked_ms)) {
         asked.note_wait(server.key, wait_ms);
     }
     let expected_ms = asked.expected_ms(server.key).unwrap_or(now_ms);
--- a/crates/tinbay-gateway/src/node.rs
+++ b/crates/tinbay-gateway/src/node.rs
@@ -515,9 +515,9 @@
     }
 
     /// Whether the holder of a server has told how it stands since `asked_ms`.
-    pub fn is_told_since(&self, server: &Server, asked_ms: Millis) -> bool {
+    pub fn has_status_since(&self, server: &Server, asked_ms: Millis) -> bool {
         let is_held = self.held_server(server.key).is_some();
-        is_held || server.view.borrow().is_told_since(asked_ms)
+        is_held || server.view.borrow().has_status_since(asked_ms)
     }
 
     /// Whether asking how busy a server is would tell this box more than it knows.
--- a/crates/tinbay-gateway/src/servers/view.rs
+++ b/crates/tinbay-gateway/src/servers/view.rs
@@ -168,7 +168,7 @@
     }
 
     /// Whether a status has arrived since `asked_ms`.
-    pub fn is_told_since(&self, asked_ms: Millis) -> bool {
+    pub fn has_status_since(&self, asked_ms: Millis) -> bool {
         self.status.is_some() && self.received_ms >= asked_ms
     }
 
