--- a/crates/tinbay-gateway/src/front/adapters.rs
+++ b/crates/tinbay-gateway/src/front/adapters.rs
@@ -71,10 +71,10 @@
 
 /// Asks the server's holder for its status, and waits a moment for the answer.
 pub(super) async fn refresh_status(node: &Node, server: &Server, asked: &mut Asked) {
-    let status_came = server.status_came.notified();
+    let status_received = server.status_received.notified();
     node.request_status(server);
     asked.status_requests.insert(server.key, node.now_ms());
-    let _ = tokio::time::timeout(ANSWER_WAIT, status_came).await;
+    let _ = tokio::time::timeout(ANSWER_WAIT, status_received).await;
 }
 
 /// Until when a request can be sent so that its first piece still finds the caller. Its own
@@ -130,14 +130,14 @@
 ) {
     let adapter = node.waiters.join(question.model_key.unwrap_or_default());
     let adapter_ready = adapter.notified();
-    let status_came = server.status_came.notified();
+    let status_received = server.status_received.notified();
     let now_ms = node.now_ms();
     if asked.takes_load_request(server.key, now_ms) {
         node.request_load(server, want(node, question, false));
     }
     tokio::select! {
         () = adapter_ready => {}
-        () = status_came => {}
+        () = status_received => {}
         () = tokio::time::sleep(pause) => {}
     }
 }
--- a/crates/tinbay-gateway/src/orders/holder.rs
+++ b/crates/tinbay-gateway/src/orders/holder.rs
@@ -556,7 +556,7 @@
         let change = self.server.view.borrow_mut().note(status, now_ms);
         self.node.waiters.wake(&change.ready);
         if change.has_lost || audience == Audience::Users {
-            self.server.status_came.notify_waiters();
+            self.server.status_received.notify_waiters();
         }
         let boxes = match audience {
             Audience::Affected => self.held.affected_boxes(&change, now_ms),
--- a/crates/tinbay-gateway/src/peers/inbox.rs
+++ b/crates/tinbay-gateway/src/peers/inbox.rs
@@ -246,7 +246,7 @@
     };
     let change = server.view.borrow_mut().note(status, now_ms);
     node.waiters.wake(&change.ready);
-    server.status_came.notify_waiters();
+    server.status_received.notify_waiters();
 }
 
 fn to_entry(adapter: &AdapterPart) -> (Fingerprint, ViewEntry) {
--- a/crates/tinbay-gateway/src/servers/server.rs
+++ b/crates/tinbay-gateway/src/servers/server.rs
@@ -52,7 +52,7 @@
     /// Notified when its holder may have an order to send.
     pub order_due: Notify,
     /// Notified when a status from its holder has arrived.
-    pub status_came: Notify,
+    pub status_received: Notify,
     /// View by the status messages of its holder.
     pub view: RefCell<View>,
     /// Requests that this box has running there.
@@ -119,7 +119,7 @@
             key,
             address_text: record.address.to_string(),
             order_due: Notify::new(),
-            status_came: Notify::new(),
+            status_received: Notify::new(),
             view: RefCell::default(),
             usage: RefCell::default(),
             cut: RefCell::default(),
