--- a/crates/tinbay-gateway/src/node.rs
+++ b/crates/tinbay-gateway/src/node.rs
@@ -610,7 +610,7 @@
             let reading_ms = self.reading_ms(&question.service, tokens);
             let mut view = server.view.borrow_mut();
             view.note_begun(reading_ms, self.now_ms());
-            self.outbox.tell_uses(server.key);
+            self.outbox.post_usage(server.key);
         }
         server.begin_request(question.model_key, tokens)
     }
--- a/crates/tinbay-gateway/src/peers/exchange.rs
+++ b/crates/tinbay-gateway/src/peers/exchange.rs
@@ -75,7 +75,7 @@
     let now_ms = node.now_ms();
     for server in node.servers.borrow().all() {
         if server.usage.borrow().is_due(now_ms) {
-            node.outbox.tell_uses(server.key);
+            node.outbox.post_usage(server.key);
         }
     }
     if ticks.is_multiple_of(GOSSIP_TICKS) {
@@ -97,7 +97,7 @@
     };
     for server in &scarce {
         if server.usage.borrow().is_due(now_ms) {
-            node.outbox.tell_uses(server.key);
+            node.outbox.post_usage(server.key);
         }
     }
     holder::decide_all(node);
--- a/crates/tinbay-gateway/src/peers/outbox.rs
+++ b/crates/tinbay-gateway/src/peers/outbox.rs
@@ -44,7 +44,7 @@
     }
 
     /// Queues a usage report for the holder of a server.
-    pub fn tell_uses(&self, server: ServerKey) {
+    pub fn post_usage(&self, server: ServerKey) {
         self.due.borrow_mut().usage_reports.insert(server);
         self.queued.notify_one();
     }
