--- a/crates/tinbay-gateway/src/front/deliver.rs
+++ b/crates/tinbay-gateway/src/front/deliver.rs
@@ -206,7 +206,7 @@
     match question.model_key {
         Some(key) if status == StatusCode::MISDIRECTED_REQUEST => {
             server.note_missing(key);
-            node.note_contradiction(server);
+            node.report_contents_mismatch(server);
         }
         _ => server.add_mistrust(MISTRUST_DECLINED, node.now_ms()),
     }
--- a/crates/tinbay-gateway/src/node.rs
+++ b/crates/tinbay-gateway/src/node.rs
@@ -484,7 +484,7 @@
 
     /// Has a server's holder look whether it has started again: it refused a request for an adapter that
     /// it should hold.
-    pub fn note_contradiction(&self, server: &Server) {
+    pub fn report_contents_mismatch(&self, server: &Server) {
         if let Some(held) = self.held_server(server.key) {
             held.is_contradicted.set(true);
             server.order_due.notify_one();
--- a/crates/tinbay-gateway/src/peers/inbox.rs
+++ b/crates/tinbay-gateway/src/peers/inbox.rs
@@ -206,7 +206,7 @@
 
 fn handle_contradiction(node: &Node, fingerprint: Fingerprint) {
     if let Some(server) = node.servers.borrow().by_fingerprint(fingerprint) {
-        node.note_contradiction(&server);
+        node.report_contents_mismatch(&server);
     }
 }
 
