--- a/crates/tinbay-gateway/src/node.rs
+++ b/crates/tinbay-gateway/src/node.rs
@@ -486,7 +486,7 @@
     /// it should hold.
     pub fn report_contents_mismatch(&self, server: &Server) {
         if let Some(held) = self.held_server(server.key) {
-            held.is_contradicted.set(true);
+            held.restart_check_due.set(true);
             server.order_due.notify_one();
         } else if let Some(holder) = self.holder_of(server) {
             let part = FramePart::Contradiction(server.fingerprint());
--- a/crates/tinbay-gateway/src/orders/held_server.rs
+++ b/crates/tinbay-gateway/src/orders/held_server.rs
@@ -51,7 +51,7 @@
     /// Allocation of the server's capacity to boxes while it is scarce.
     pub room: RefCell<ServerRoom>,
     /// Set when the server refused a request for an adapter that it should hold.
-    pub is_contradicted: Cell<bool>,
+    pub restart_check_due: Cell<bool>,
     /// Set when the server's limit changed and its users have not been told yet.
     pub limit_changed: Cell<bool>,
     checked_ms: Cell<Millis>,
@@ -66,7 +66,7 @@
             contents: RefCell::new(Contents::new(spec, now_ms)),
             wants: RefCell::default(),
             room: RefCell::default(),
-            is_contradicted: Cell::default(),
+            restart_check_due: Cell::default(),
             limit_changed: Cell::default(),
             checked_ms: Cell::default(),
             subscribers: RefCell::default(),
@@ -77,7 +77,7 @@
     /// Returns whether to check for a restart of the server now, and clears the request for it.
     pub fn take_due_check(&self, now_ms: Millis) -> bool {
         let is_due = now_ms >= self.checked_ms.get() + MIN_CHECK_INTERVAL_MS;
-        if !is_due || !self.is_contradicted.take() {
+        if !is_due || !self.restart_check_due.take() {
             return false;
         }
         self.checked_ms.set(now_ms);
