--- a/crates/tinbay-gateway/src/front/adapters.rs
+++ b/crates/tinbay-gateway/src/front/adapters.rs
@@ -56,7 +56,7 @@
                 wait_for_load(node, question, &server, LOOK_PAUSE.min(left), &mut asked).await;
             }
             Choice::Nowhere => {
-                let retry_after_ms = permits::return_in_ms(node, &question.service);
+                let retry_after_ms = permits::caller_retry_after_ms(node, &question.service);
                 return Err(Refusal::NoServer { retry_after_ms });
             }
         }
--- a/crates/tinbay-gateway/src/front/deliver.rs
+++ b/crates/tinbay-gateway/src/front/deliver.rs
@@ -416,7 +416,8 @@
     }
     Refusal::NotRun {
         reason: NotRunReason::Declined,
-        retry_after_ms: permits::return_in_ms(node, &question.service).unwrap_or(SHORTEST_RETRY_MS),
+        retry_after_ms: permits::caller_retry_after_ms(node, &question.service)
+            .unwrap_or(SHORTEST_RETRY_MS),
     }
 }
 
--- a/crates/tinbay-gateway/src/limits/permits.rs
+++ b/crates/tinbay-gateway/src/limits/permits.rs
@@ -78,7 +78,7 @@
 /// Returns the retry delay for a caller while all servers of a service are at their limits; `None`
 /// if a server has capacity. Successive callers rejected by this box get increasing delays, spaced
 /// by this box's share of the rate that all boxes may send.
-pub fn return_in_ms(node: &Node, service: &str) -> Option<Millis> {
+pub fn caller_retry_after_ms(node: &Node, service: &str) -> Option<Millis> {
     let room_in_ms = node.rest_ms(service)?;
     let limits_per_s = node.servers.borrow().limits_per_s(service);
     if limits_per_s <= 0.0 {
