--- a/crates/tinbay-gateway/src/node.rs
+++ b/crates/tinbay-gateway/src/node.rs
@@ -442,7 +442,7 @@
         if !servers.ready(service).is_empty() {
             return None;
         }
-        let end_ms = servers.first_rest_end_ms(service)?;
+        let end_ms = servers.first_available_ms(service)?;
         Some(end_ms.saturating_sub(self.now_ms()))
     }
 
--- a/crates/tinbay-gateway/src/servers/mod.rs
+++ b/crates/tinbay-gateway/src/servers/mod.rs
@@ -192,7 +192,7 @@
 
     /// Earliest time at which one of a service's servers that are paused or at their limits accepts
     /// requests again; `None` if there is no such server.
-    pub fn first_rest_end_ms(&self, service: &str) -> Option<Millis> {
+    pub fn first_available_ms(&self, service: &str) -> Option<Millis> {
         let now_ms = self.clock.now_ms();
         let end_ms = |server: &Rc<Server>| {
             let paused_until_ms = server.paused_until_ms(now_ms);
--- a/crates/tinbay-gateway/tests/servers_test.rs
+++ b/crates/tinbay-gateway/tests/servers_test.rs
@@ -177,8 +177,8 @@
     };
     server.apply_notice(notice, 1);
     assert!(table.ready("engine").is_empty());
-    let end_ms = table.first_rest_end_ms("engine");
+    let end_ms = table.first_available_ms("engine");
     assert_eq!(end_ms, server.paused_until_ms(1));
     assert!(server.takes_work(end_ms.expect("the server is paused")));
-    assert_eq!(table.first_rest_end_ms("plain"), None);
+    assert_eq!(table.first_available_ms("plain"), None);
 }
