--- a/crates/tinbay-gateway/src/node.rs
+++ b/crates/tinbay-gateway/src/node.rs
@@ -218,7 +218,8 @@
     ) -> Self {
         let members = Members::new(&settings.zone);
         let clock = Clock::start();
-        let servers = ServerTable::new(clock).with_measure(metrics.server_connections.clone());
+        let servers =
+            ServerTable::new(clock).with_connection_metric(metrics.server_connections.clone());
         let memory_terms = MemoryTerms::of_memory(settings.resources.memory_mb);
         let memory = Rc::new(BoxMemory::new(memory_terms, metrics.held_bytes.clone()));
         let cuts = Box::new(SlowCallers::new(metrics.slow_cuts.clone()));
--- a/crates/tinbay-gateway/src/servers/mod.rs
+++ b/crates/tinbay-gateway/src/servers/mod.rs
@@ -73,7 +73,7 @@
     }
 
     /// Returns the table with a metric for connections to servers.
-    pub fn with_measure(self, measure: IntCounterVec) -> Self {
+    pub fn with_connection_metric(self, measure: IntCounterVec) -> Self {
         Self {
             connections_metric: Some(measure),
             ..self
