--- a/crates/tinbay-gateway/src/node.rs
+++ b/crates/tinbay-gateway/src/node.rs
@@ -490,7 +490,7 @@
             held.restart_check_due.set(true);
             server.order_due.notify_one();
         } else if let Some(holder) = self.holder_of(server) {
-            let part = FramePart::Contradiction(server.fingerprint());
+            let part = FramePart::ContentsMismatch(server.fingerprint());
             self.outbox.post(&holder, part);
         }
     }
--- a/crates/tinbay-gateway/src/peers/frame.rs
+++ b/crates/tinbay-gateway/src/peers/frame.rs
@@ -59,7 +59,7 @@
     /// Request for the status of a server that the receiver holds, by the server's fingerprint.
     StatusRequest(Fingerprint),
     /// A server that the receiver holds refused a request for an adapter that it should hold.
-    Contradiction(Fingerprint),
+    ContentsMismatch(Fingerprint),
     /// Requests that the sender has running at a server that the receiver holds.
     Usage(UsagePart),
     /// Status of a server that the sender holds.
@@ -86,7 +86,7 @@
             FramePart::ServerLimit(_) => "server_limit",
             FramePart::LoadRequest(_) => "load_request",
             FramePart::StatusRequest(_) => "status_request",
-            FramePart::Contradiction(_) => "contradiction",
+            FramePart::ContentsMismatch(_) => "contradiction",
             FramePart::Usage(_) => "usage",
             FramePart::Status(_) => "status",
             FramePart::RoomRequest(_) => "room_request",
--- a/crates/tinbay-gateway/src/peers/inbox.rs
+++ b/crates/tinbay-gateway/src/peers/inbox.rs
@@ -111,7 +111,7 @@
             FramePart::StatusRequest(server) => {
                 handle_status_request(node, &frame.box_id, server, now_ms)
             }
-            FramePart::Contradiction(server) => handle_contradiction(node, server),
+            FramePart::ContentsMismatch(server) => handle_contents_mismatch(node, server),
             FramePart::RoomRequest(part) => holder::handle_request(node, &frame.box_id, &part),
             FramePart::RoomReply(part) => node.sharing.take_reply(part),
             FramePart::Usage(usage) => {
@@ -204,7 +204,7 @@
     }
 }
 
-fn handle_contradiction(node: &Node, fingerprint: Fingerprint) {
+fn handle_contents_mismatch(node: &Node, fingerprint: Fingerprint) {
     if let Some(server) = node.servers.borrow().by_fingerprint(fingerprint) {
         node.report_contents_mismatch(&server);
     }
