--- a/crates/tinbay-gateway/src/front/question.rs
+++ b/crates/tinbay-gateway/src/front/question.rs
@@ -21,7 +21,7 @@
 use crate::limits::AdmittedBy;
 use crate::members::box_fingerprint;
 use crate::node::{InForce, Node};
-use crate::sharing::taken::RoomOutcomes;
+use crate::sharing::outcome::RoomOutcomes;
 
 /// Time a caller is taken to wait where it names none.
 const DEFAULT_DEADLINE_MS: Millis = 30_000;
--- a/crates/tinbay-gateway/src/sharing/asking.rs
+++ b/crates/tinbay-gateway/src/sharing/asking.rs
@@ -9,7 +9,7 @@
 
 use super::links::{RoomContext, RoomHolder};
 use super::messages::{RoomReply, RoomRequestPart};
-use super::taken::RoomOutcome;
+use super::outcome::RoomOutcome;
 use crate::servers::Server;
 
 /// Interval between repeated requests, as messages may be lost. A repeated request also shows the
--- a/crates/tinbay-gateway/src/sharing/mod.rs
+++ b/crates/tinbay-gateway/src/sharing/mod.rs
@@ -7,7 +7,7 @@
 pub mod holder;
 pub mod links;
 pub mod messages;
-pub mod taken;
+pub mod outcome;
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
--- a/crates/tinbay-gateway/tests/sharing_asking_test.rs
+++ b/crates/tinbay-gateway/tests/sharing_asking_test.rs
@@ -12,7 +12,7 @@
 use tinbay_gateway::sharing::asking::{RoomRequest, RoomResult, ask};
 use tinbay_gateway::sharing::links::{RoomContext, RoomHolder};
 use tinbay_gateway::sharing::messages::{RoomReply, RoomReplyPart, RoomRequestPart};
-use tinbay_gateway::sharing::taken::RoomOutcome;
+use tinbay_gateway::sharing::outcome::RoomOutcome;
 
 const WISH: RoomRequest = RoomRequest {
     account: 1,
