--- a/crates/tinbay-gateway/src/front/room.rs
+++ b/crates/tinbay-gateway/src/front/room.rs
@@ -48,7 +48,7 @@
         .room
         .note(answered.outcome, node.now_ms() - began_ms);
     count(node, question, answered.outcome.name());
-    let Some(retry_after_ms) = answered.turn_in_ms else {
+    let Some(retry_after_ms) = answered.retry_after_ms else {
         return Ok(Room::Here);
     };
     question.room.note_full(server.key);
--- a/crates/tinbay-gateway/src/sharing/asking.rs
+++ b/crates/tinbay-gateway/src/sharing/asking.rs
@@ -57,23 +57,23 @@
     /// Whether and by whom the request was admitted.
     pub outcome: RoomOutcome,
     /// Retry delay for a rejected request; `None` for an admitted one.
-    pub turn_in_ms: Option<Millis>,
+    pub retry_after_ms: Option<Millis>,
 }
 
 impl RoomResult {
     fn admitted(outcome: RoomOutcome) -> Self {
-        let turn_in_ms = None;
+        let retry_after_ms = None;
         Self {
             outcome,
-            turn_in_ms,
+            retry_after_ms,
         }
     }
 
-    fn rejected(outcome: RoomOutcome, turn_in_ms: Millis) -> Self {
-        let turn_in_ms = Some(turn_in_ms);
+    fn rejected(outcome: RoomOutcome, retry_after_ms: Millis) -> Self {
+        let retry_after_ms = Some(retry_after_ms);
         Self {
             outcome,
-            turn_in_ms,
+            retry_after_ms,
         }
     }
 }
@@ -97,8 +97,8 @@
     links.sharing().end(number);
     let result = match reply {
         Some(RoomReply::Admitted) => RoomResult::admitted(RoomOutcome::Holder),
-        Some(RoomReply::Rejected { turn_in_ms }) => {
-            RoomResult::rejected(RoomOutcome::Rejected, Millis::from(turn_in_ms))
+        Some(RoomReply::Rejected { retry_after_ms }) => {
+            RoomResult::rejected(RoomOutcome::Rejected, Millis::from(retry_after_ms))
         }
         Some(RoomReply::NotHolder | RoomReply::Queued) | None => {
             note_silent(links, &holder);
--- a/crates/tinbay-gateway/src/sharing/messages.rs
+++ b/crates/tinbay-gateway/src/sharing/messages.rs
@@ -61,7 +61,7 @@
     /// The request can't start in time and must not run.
     Rejected {
         /// Time after which a retry can succeed, in ms.
-        turn_in_ms: u16,
+        retry_after_ms: u16,
     },
     /// The receiver of the request doesn't hold the server.
     NotHolder,
@@ -72,7 +72,7 @@
         match answer {
             RoomAnswer::LetIn => RoomReply::Admitted,
             RoomAnswer::TurnedAway { turn_in_ms } => RoomReply::Rejected {
-                turn_in_ms: u16::try_from(turn_in_ms).unwrap_or(u16::MAX),
+                retry_after_ms: u16::try_from(turn_in_ms).unwrap_or(u16::MAX),
             },
         }
     }
--- a/crates/tinbay-gateway/tests/sharing_asking_test.rs
+++ b/crates/tinbay-gateway/tests/sharing_asking_test.rs
@@ -101,7 +101,7 @@
 }
 
 fn outcome(result: Option<RoomResult>) -> Option<(RoomOutcome, Option<Millis>)> {
-    result.map(|result| (result.outcome, result.turn_in_ms))
+    result.map(|result| (result.outcome, result.retry_after_ms))
 }
 
 #[test]
@@ -116,7 +116,9 @@
 
 #[test]
 fn ask_admitted_and_rejected() {
-    let rejected = RoomReply::Rejected { turn_in_ms: 700 };
+    let rejected = RoomReply::Rejected {
+        retry_after_ms: 700,
+    };
     let links = FakeLinks::new(&[Some(RoomReply::Admitted), Some(rejected)]);
     let first = run(ask(&links, &server(), WISH));
     assert_eq!(outcome(first), Some((RoomOutcome::Holder, None)));
@@ -151,7 +153,7 @@
     let running = server.begin_request(Some(7), 100);
     let second = run(ask(&links, &server, WISH)).expect("a result while the server is scarce");
     assert_eq!(second.outcome, RoomOutcome::NoAnswer);
-    assert!(second.turn_in_ms > Some(0));
+    assert!(second.retry_after_ms > Some(0));
     assert_eq!(links.sends.get(), sends);
     drop(running);
     links.now_ms.set(3_000);
