--- a/crates/tinbay-gateway/src/crashes/spread.rs
+++ b/crates/tinbay-gateway/src/crashes/spread.rs
@@ -30,8 +30,8 @@
 /// Boxes in the zone to which a quarantine is announced directly, and which pass it on.
 const ZONE_PEERS: usize = 4;
 
-/// Upper bound on requests listed in one message. A random selection is sent each time, so that all
-/// are listed in time.
+/// Upper bound on requests listed in one message. Each message lists a random selection, so that all
+/// requests are listed over time.
 const MAX_LISTED: usize = 24;
 
 /// Zones to which a quarantine is announced directly.
--- a/crates/tinbay-gateway/src/limits/mod.rs
+++ b/crates/tinbay-gateway/src/limits/mod.rs
@@ -40,10 +40,10 @@
 /// take long to answer, and a large fleet refuses requests for which it got no units.
 const MAX_SENDS: usize = 4;
 
-/// Homes result in turn when each redirects to another.
+/// Homes asked in turn when each redirects to another.
 const MAX_HOMES: usize = 5;
 
-/// Time for which a home that did not answer is not result again.
+/// Time for which a home that did not answer is not asked again.
 const FAILED_HOME_PAUSE_MS: Millis = 1_000;
 
 /// Least interval between prefetches of units.
--- a/crates/tinbay-gateway/tests/sharing_asking_test.rs
+++ b/crates/tinbay-gateway/tests/sharing_asking_test.rs
@@ -162,7 +162,7 @@
     assert_eq!(outcome(third), Some((RoomOutcome::Holder, None)));
 }
 
-/// The box sends is no longer the holder.
+/// The box that is asked is no longer the holder.
 #[test]
 fn ask_not_holder_limits_own_requests() {
     let links = FakeLinks::new(&[Some(RoomReply::NotHolder)]);
