--- a/crates/tinbay-node/src/controllers/succession.rs
+++ b/crates/tinbay-node/src/controllers/succession.rs
@@ -318,7 +318,7 @@
 }
 
 /// Sends a succession to the boxes that it names, so that they can take over during an outage, and
-/// to leaving boxes, one of which may be the former owner.
+/// to leaving boxes. The former owner is usually among them.
 async fn announce(node: &Node, succession: &Succession) {
     let recipients: Vec<BoxRecord> = {
         let members = read(&node.members);
