--- a/crates/tinbay-core/src/handover/mod.rs
+++ b/crates/tinbay-core/src/handover/mod.rs
@@ -9,6 +9,6 @@
 
 pub mod events;
 pub mod need;
-pub mod prefill_interference;
+pub mod reading_room;
 pub mod roles;
 pub mod transitions;
--- a/crates/tinbay-gateway/src/front/apart.rs
+++ b/crates/tinbay-gateway/src/front/apart.rs
@@ -5,7 +5,7 @@
 
 use std::rc::Rc;
 
-use tinbay_core::handover::prefill_interference::can_prefill_beside_streams;
+use tinbay_core::handover::reading_room::can_prefill_beside_streams;
 use tinbay_core::serving::placement::Pick;
 
 use super::adapters::is_to_ask;
