--- a/crates/tinbay-core/src/engine/contents.rs
+++ b/crates/tinbay-core/src/engine/contents.rs
@@ -1,4 +1,4 @@
-//! What is known of an engine's contents, from the ends of orders and from its own reports.
+//! Updates the slots from the outcome of loads and unloads and from the engine's reports.
 
 use super::owner::{EngineOwner, FailedLoads, backoff_ms, refuse};
 use super::slots::{Slot, SlotState};
@@ -6,8 +6,8 @@
 use crate::ids::ModelRef;
 use crate::units::Millis;
 
-/// Time until an unload that failed is ordered again.
-const UNLOAD_PAUSE_MS: Millis = 500;
+/// Time until a failed unload may be tried again.
+const UNLOAD_RETRY_MS: Millis = 500;
 
 impl EngineOwner {
     pub(super) fn note_loaded(&mut self, now_ms: Millis, model: &ModelRef, out: &mut Vec<Command>) {
@@ -21,7 +21,7 @@
         let load_ms = now_ms.saturating_sub(slot.ordered_ms);
         slot.note_demand(now_ms, self.queue.has_urgent(model));
         self.load.add(load_ms);
-        self.queue.set_open(model, true);
+        self.queue.set_dispatchable(model, true);
     }
 
     pub(super) fn note_load_failed(
@@ -79,8 +79,8 @@
         }
         if let Some(slot) = self.slots.get_mut(model) {
             slot.state = SlotState::Loaded;
-            slot.keep_until_ms = now_ms + UNLOAD_PAUSE_MS;
-            self.queue.set_open(model, true);
+            slot.keep_until_ms = now_ms + UNLOAD_RETRY_MS;
+            self.queue.set_dispatchable(model, true);
         }
     }
 
@@ -88,14 +88,14 @@
         let serving = |slot: &Slot| slot.state == SlotState::Loaded;
         if self.slots.get(model).is_some_and(serving) {
             self.slots.remove(model);
-            self.queue.set_open(model, false);
+            self.queue.set_dispatchable(model, false);
         }
     }
 
-    /// Takes over what the engine says; slots it does not name are gone.
+    /// Replaces the slots by those that the engine reports.
     ///
-    /// A slot with an order under way stays until that order's own end is known: the end of
-    /// an order from before a restart must not be taken for that of a later one.
+    /// A slot with a load or unload in progress stays until the outcome of that order is known:
+    /// the outcome of an order from before a restart must not be attributed to a later one.
     pub(super) fn learn(&mut self, now_ms: Millis, contents: &EngineContents) {
         let known: Vec<ModelRef> = self.slots.iter().map(|(m, _)| m.clone()).collect();
         for model in known {
@@ -104,7 +104,7 @@
                 Some(slot) if slot.state == SlotState::Loading => {}
                 Some(slot) if slot.state == SlotState::Unloading => slot.lost = !named,
                 _ => {
-                    self.queue.set_open(&model, false);
+                    self.queue.set_dispatchable(&model, false);
                     self.slots.remove(&model);
                 }
             }
@@ -112,7 +112,7 @@
         for model in &contents.loaded {
             if self.slots.get(model).is_none() {
                 self.slots.insert(model.clone(), SlotState::Loaded, now_ms);
-                self.queue.set_open(model, true);
+                self.queue.set_dispatchable(model, true);
             }
         }
         for run in self.running.values() {
@@ -125,7 +125,7 @@
         self.leaving = false;
     }
 
-    /// Counts the requests of earlier owners, which hold places and slots as well.
+    /// Counts the running requests of earlier owners, which occupy batch places and pin slots too.
     pub(super) fn count_inherited(&mut self, contents: &EngineContents) {
         self.inherited.clear();
         for model in &contents.inherited {
--- a/crates/tinbay-core/src/engine/demand.rs
+++ b/crates/tinbay-core/src/engine/demand.rs
@@ -1,14 +1,14 @@
-//! Decaying rates and averages.
+//! Exponentially decaying counters and averages.
 
 use crate::units::Millis;
 
-/// After this long without use an adapter's demand counts half.
+/// Half-life of an adapter's demand.
 const HALF_LIFE_MS: f64 = 300_000.0;
 
 /// Weight of the newest sample in a moving average.
 const NEWEST_WEIGHT: f64 = 0.1;
 
-/// Requests for a model, older ones counting less.
+/// Exponentially decaying count of the requests for a model.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Demand {
     weight: f64,
@@ -16,27 +16,27 @@
 }
 
 impl Demand {
-    /// Notes one request.
+    /// Counts one request.
     pub fn note(&mut self, now_ms: Millis) {
         self.weight = self.at(now_ms) + 1.0;
         self.noted_ms = now_ms;
     }
 
-    /// The decayed count.
+    /// The count, decayed up to `now_ms`.
     pub fn at(&self, now_ms: Millis) -> f64 {
         let age_ms = now_ms.saturating_sub(self.noted_ms) as f64;
         self.weight * (-age_ms / HALF_LIFE_MS).exp2()
     }
 }
 
-/// An exponentially weighted moving average of spans.
+/// Exponentially weighted moving average of durations.
 #[derive(Debug, Clone, Copy)]
 pub struct MovingAverage {
     mean_ms: f64,
 }
 
 impl MovingAverage {
-    /// Starts from a guess.
+    /// Creates an average with an initial estimate.
     pub fn new(guess_ms: f64) -> Self {
         Self { mean_ms: guess_ms }
     }
@@ -46,7 +46,7 @@
         self.mean_ms += NEWEST_WEIGHT * (sample_ms as f64 - self.mean_ms);
     }
 
-    /// The mean.
+    /// The average, in milliseconds.
     pub fn mean_ms(&self) -> f64 {
         self.mean_ms
     }
--- a/crates/tinbay-core/src/engine/mod.rs
+++ b/crates/tinbay-core/src/engine/mod.rs
@@ -1,8 +1,9 @@
-//! The decisions of one engine's owner: queue, slots, loads and dispatch.
+//! The scheduler of one engine: request queue, adapter slots, loads and dispatch.
 //!
-//! One owner decides for one engine, under one lock, so that "never unload what serves a
-//! counter request" is a local question. Drivers feed [`Event`]s and carry out
-//! [`Command`]s; [`Scheduler`] is the border behind which the naive baseline fits too.
+//! Each engine has one owner at a time, which takes all decisions under one lock. The rule
+//! "never unload an adapter that is serving an urgent request" therefore needs no
+//! coordination between boxes. Drivers feed [`Event`]s and carry out [`Command`]s; the
+//! naive baseline implements [`Scheduler`] too.
 
 mod contents;
 mod demand;
@@ -21,55 +22,55 @@
 use crate::ids::{ModelRef, RequestId};
 use crate::units::Millis;
 
-/// What an engine offers.
+/// Capacity of an engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineShape {
-    /// Adapters it can hold at once.
+    /// Adapters that it can hold at once.
     pub slots: u32,
-    /// Requests it batches at once.
+    /// Requests that it runs in one batch.
     pub batch_limit: u32,
 }
 
 /// A request that waits for an engine.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ask {
-    /// Its number in this box.
+    /// Unique within this box.
     pub id: RequestId,
-    /// Adapter and version to run on.
+    /// Adapter and version to run.
     pub model: ModelRef,
-    /// Whose request it is.
+    /// Organisation of the caller, the unit of fair queueing.
     pub organisation: String,
-    /// 0 goes first.
+    /// Priority; 0 goes first.
     pub rank: u8,
-    /// Counter or desk traffic.
+    /// Whether a person waits for the answer, as opposed to batch work.
     pub urgent: bool,
-    /// When it reached the system.
+    /// When it reached the first box.
     pub arrived_ms: Millis,
-    /// When it must have started.
+    /// Latest time at which it may start.
     pub start_by_ms: Millis,
 }
 
-/// What an engine says it holds and runs.
+/// An engine's report of what it holds and runs.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct EngineContents {
-    /// Models in its slots.
+    /// Models in the slots.
     pub loaded: Vec<ModelRef>,
-    /// Models of the requests that run and that this owner did not send, one entry each.
+    /// One entry, its model, for each running request that this owner did not dispatch.
     pub inherited: Vec<ModelRef>,
 }
 
-/// Something that happened to an engine or its queue.
+/// Input of a [`Scheduler`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Event {
-    /// A request asks to run.
+    /// A request arrived.
     Submit(Ask),
-    /// The caller of a queued request has gone.
+    /// The caller of a queued request disconnected.
     Cancel(RequestId),
-    /// A dispatched request has left the engine, however it ended.
+    /// A dispatched request has left the engine, with any outcome.
     Finished(RequestId),
-    /// Nobody here follows a dispatched request any more, and the engine may still run it.
+    /// This box no longer tracks a dispatched request, which the engine may still be running.
     Detached(RequestId),
-    /// The weight store's allowance permits a load that was asked for.
+    /// The load arbiter permits a load requested with [`Command::AskLoad`].
     LoadGranted(ModelRef),
     /// A load succeeded.
     Loaded(ModelRef),
@@ -77,56 +78,56 @@
     LoadFailed(ModelRef),
     /// An unload succeeded.
     Unloaded(ModelRef),
-    /// An unload failed; the model is taken as still there.
+    /// An unload failed; the model is assumed to be still loaded.
     UnloadFailed(ModelRef),
-    /// The engine said it does not hold this model after all.
+    /// The engine reported that it does not hold a model that was thought to be loaded.
     Missing(ModelRef),
-    /// The engine reported what it holds: after a takeover or a restart.
+    /// The engine reported its contents after a change of owner or a restart.
     Learnt(EngineContents),
-    /// The engine reported what it runs; slots stay as the owner knows them.
+    /// The engine reported its running requests; the slots stay unchanged.
     Observed(EngineContents),
-    /// The engine says that it is leaving: it ends what it has and takes nothing new.
+    /// The engine is shutting down: it finishes its requests and accepts no new ones.
     EngineLeaves,
-    /// This box is not the owner any more, or is leaving.
+    /// This box has lost the ownership of the engine, or is shutting down.
     Released,
-    /// Time passed.
+    /// Periodic call, for timeouts.
     Tick,
 }
 
-/// What the driver is to do.
+/// Output of a [`Scheduler`], which the driver carries out.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Command {
     /// Ask the arbiter for permission to load.
     AskLoad {
-        /// What to load.
+        /// Model to load.
         model: ModelRef,
-        /// Rank of the most pressing request.
+        /// Best rank among the requests that wait for the model.
         rank: u8,
-        /// Since when it waits.
+        /// When that request arrived.
         since_ms: Millis,
     },
-    /// A permitted load has ended.
+    /// Tell the arbiter that a permitted load has ended.
     EndLoad(ModelRef),
-    /// A permission is given back unused.
+    /// Return an unused permission to the arbiter.
     ReturnLoad(ModelRef),
     /// Order the engine to load.
     Load(ModelRef),
     /// Order the engine to unload.
     Unload(ModelRef),
-    /// Run a request now.
+    /// Send a request to the engine.
     Dispatch {
-        /// Which one.
+        /// Request to run.
         id: RequestId,
         /// How long it waited for its adapter to be loaded.
         stall_ms: Millis,
     },
-    /// Answer a request at once: it did not run.
+    /// Answer a request with a refusal, without having run it.
     Refuse {
-        /// Which one.
+        /// Request to refuse.
         id: RequestId,
-        /// Why.
+        /// Cause of the refusal.
         reason: Refusal,
-        /// When asking again makes sense.
+        /// Earliest useful time for a retry, from now.
         retry_after_ms: Millis,
     },
 }
@@ -135,29 +136,29 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Refusal {
-    /// It would start too late.
+    /// By the estimate it would start after its latest start time.
     Overloaded,
-    /// It waited until its last moment to start.
+    /// Its latest start time passed in the queue.
     DeadlinePassed,
-    /// Its adapter could not be loaded here.
+    /// Its adapter could not be loaded on this engine.
     LoadFailed,
     /// This box does not own the engine.
     NotOwner,
-    /// The engine is leaving.
+    /// The engine is shutting down.
     EngineLeaves,
 }
 
-/// Decides for one engine.
+/// Decides what one engine loads and runs.
 pub trait Scheduler: Send {
-    /// Takes an event at a time and returns what is to be done.
+    /// Handles one event and returns the commands that follow from it.
     fn handle(&mut self, now_ms: Millis, event: Event) -> Vec<Command>;
 
-    /// Requests waiting.
+    /// Number of requests in the queue.
     fn queued(&self) -> usize;
 
-    /// Requests dispatched and not finished.
+    /// Number of requests dispatched and not finished.
     fn running(&self) -> usize;
 
-    /// How long a request of `rank` that came now would wait for a place in the batch.
+    /// Estimated wait for a place in the batch of a request of `rank` that arrives now.
     fn expected_wait_ms(&self, now_ms: Millis, rank: u8) -> Millis;
 }
--- a/crates/tinbay-core/src/engine/owner.rs
+++ b/crates/tinbay-core/src/engine/owner.rs
@@ -1,10 +1,10 @@
-//! The scheduler a box runs for each engine it owns.
+//! The scheduler that a box runs for each engine that it owns.
 
 use std::collections::{BTreeMap, HashMap};
 
 use super::demand::MovingAverage;
-use super::pace::Paces;
-use super::placement::Wish;
+use super::pace::DispatchIntervals;
+use super::placement::PendingLoad;
 use super::queue::Queue;
 use super::settings::OwnerSettings;
 use super::slots::{Slot, SlotState, Slots};
@@ -13,16 +13,16 @@
 use crate::rendezvous;
 use crate::units::Millis;
 
-/// First guess of how long a request runs, until measured.
-const GUESSED_SERVICE_MS: f64 = 500.0;
+/// Assumed run time of a request until the first one ends.
+const INITIAL_SERVICE_MS: f64 = 500.0;
 
-/// First guess of how long a load takes, until measured.
-const GUESSED_LOAD_MS: f64 = 500.0;
+/// Assumed duration of a load until the first one ends.
+const INITIAL_LOAD_MS: f64 = 500.0;
 
-/// Backoff after the first failed load; doubles with each further one.
+/// Base of the backoff after failed loads, which doubles with each one.
 const LOAD_BACKOFF_MS: Millis = 500;
 
-/// Longest backoff after failed loads.
+/// Upper bound of the backoff after failed loads.
 const MAX_LOAD_BACKOFF_MS: Millis = 30_000;
 
 /// A request in the engine's batch.
@@ -32,14 +32,14 @@
     started_ms: Millis,
 }
 
-/// Failed loads of a model in a row.
+/// Consecutive failed loads of a model.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct FailedLoads {
     pub(super) count: u32,
     pub(super) retry_ms: Millis,
 }
 
-/// Decides for one engine.
+/// The [`Scheduler`] of an engine that this box owns.
 #[derive(Debug)]
 pub struct EngineOwner {
     pub(super) shape: EngineShape,
@@ -47,22 +47,23 @@
     pub(super) queue: Queue,
     pub(super) slots: Slots,
     pub(super) running: HashMap<RequestId, Running>,
-    /// Requests that the engine runs and nobody here follows: those of earlier owners, and detached ones.
+    /// Number of requests per model that the engine runs and this box does not track: those of
+    /// earlier owners, and detached ones.
     pub(super) inherited: HashMap<ModelRef, u32>,
-    pub(super) wishes: BTreeMap<ModelRef, Wish>,
-    /// Granted loads that wait for their slot to be unloaded, by the model being unloaded.
+    pub(super) pending_loads: BTreeMap<ModelRef, PendingLoad>,
+    /// Granted loads whose slot is still being unloaded, by the model that is unloaded.
     pub(super) replacing: HashMap<ModelRef, ModelRef>,
     pub(super) failures: HashMap<ModelRef, FailedLoads>,
     pub(super) service: MovingAverage,
     pub(super) load: MovingAverage,
-    pub(super) paces: Paces,
+    pub(super) dispatch_intervals: DispatchIntervals,
     pub(super) dispatches: u32,
     pub(super) learnt: bool,
     pub(super) leaving: bool,
 }
 
 impl EngineOwner {
-    /// An owner that must first learn what the engine holds.
+    /// Creates an owner that dispatches nothing until [`Event::Learnt`] reports the engine's contents.
     pub fn new(shape: EngineShape, settings: OwnerSettings) -> Self {
         Self {
             shape,
@@ -71,12 +72,12 @@
             slots: Slots::new(shape.slots),
             running: HashMap::new(),
             inherited: HashMap::new(),
-            wishes: BTreeMap::new(),
+            pending_loads: BTreeMap::new(),
             replacing: HashMap::new(),
             failures: HashMap::new(),
-            service: MovingAverage::new(GUESSED_SERVICE_MS),
-            load: MovingAverage::new(GUESSED_LOAD_MS),
-            paces: Paces::default(),
+            service: MovingAverage::new(INITIAL_SERVICE_MS),
+            load: MovingAverage::new(INITIAL_LOAD_MS),
+            dispatch_intervals: DispatchIntervals::default(),
             dispatches: 0,
             learnt: false,
             leaving: false,
@@ -88,7 +89,7 @@
         self.settings = settings;
     }
 
-    /// Models that can serve now.
+    /// Models that can serve requests now, sorted.
     pub fn loaded(&self) -> Vec<ModelRef> {
         let mut loaded: Vec<ModelRef> = self
             .slots
@@ -100,7 +101,7 @@
         loaded
     }
 
-    /// Whether the owner has learnt what the engine holds.
+    /// Whether the engine's contents are known.
     pub fn has_learnt(&self) -> bool {
         self.learnt
     }
@@ -110,7 +111,7 @@
             out.push(refuse(ask.id, Refusal::EngineLeaves, 0));
             return;
         }
-        if self.backs_off(&ask.model, now_ms) {
+        if self.is_backing_off(&ask.model, now_ms) {
             out.push(refuse(ask.id, Refusal::LoadFailed, LOAD_BACKOFF_MS));
             return;
         }
@@ -123,19 +124,19 @@
         if let Some(slot) = self.slots.get_mut(&ask.model) {
             slot.note_demand(now_ms, ask.urgent);
         }
-        let closing = |slot: &Slot| slot.state == SlotState::Closing;
-        if ask.urgent && self.slots.get(&ask.model).is_some_and(closing) {
-            self.reopen(&ask.model);
+        let draining = |slot: &Slot| slot.state == SlotState::Draining;
+        if ask.urgent && self.slots.get(&ask.model).is_some_and(draining) {
+            self.cancel_drain(&ask.model);
         }
         let share_ms =
             self.service.mean_ms() / (f64::from(self.shape.batch_limit) * self.settings.fair_share);
         if self.queue.of_rank(ask.rank) == 0 {
-            self.paces.begin(ask.rank, now_ms);
+            self.dispatch_intervals.note_backlog(ask.rank, now_ms);
         }
         self.queue.push(ask, share_ms as Millis);
     }
 
-    fn backs_off(&self, model: &ModelRef, now_ms: Millis) -> bool {
+    fn is_backing_off(&self, model: &ModelRef, now_ms: Millis) -> bool {
         let failure = self.failures.get(model);
         failure.is_some_and(|failure| now_ms < failure.retry_ms)
     }
@@ -158,7 +159,7 @@
         }
     }
 
-    /// Holds the place of a request until the engine reports that it does not run it any more.
+    /// Keeps the batch place of a request occupied until the engine's reports no longer list it.
     fn detach(&mut self, id: RequestId) {
         let Some(run) = self.running.remove(&id) else {
             return;
@@ -174,7 +175,7 @@
         self.refuse_all(Refusal::NotOwner, out);
     }
 
-    /// From now on everything is refused, until the engine comes back as a new run.
+    /// Refuses all requests until the engine reports its contents again after a restart.
     fn leave(&mut self, out: &mut Vec<Command>) {
         self.leaving = true;
         self.refuse_all(Refusal::EngineLeaves, out);
@@ -201,12 +202,13 @@
                 return;
             };
             let Some(slot) = self.slots.get_mut(&ask.model) else {
-                // Open models have slots; were one missing, the request must still get an end.
+                // A dispatchable model always has a slot. If that were violated, the caller would
+                // still need an answer.
                 out.push(refuse(id, Refusal::LoadFailed, 0));
                 continue;
             };
             slot.serving += 1;
-            self.paces.note_dispatch(ask.rank, now_ms);
+            self.dispatch_intervals.note_dispatch(ask.rank, now_ms);
             let stall_ms = slot.loaded_ms.saturating_sub(ask.arrived_ms);
             self.dispatches = self.dispatches.wrapping_add(1);
             self.running.insert(
@@ -228,11 +230,11 @@
         if self.dispatches.is_multiple_of(self.settings.late_every) {
             let horizon_ms = now_ms + self.settings.late_within_ms;
             let depth = self.settings.late_every as usize;
-            if let Some(late) = self.queue.late_open(horizon_ms, depth) {
+            if let Some(late) = self.queue.late_dispatchable(horizon_ms, depth) {
                 return Some(late.id);
             }
         }
-        let first = self.queue.first_open()?;
+        let first = self.queue.first_dispatchable()?;
         let limit = if first.urgent {
             self.shape.batch_limit
         } else {
@@ -241,7 +243,7 @@
         (busy < limit).then_some(first.id)
     }
 
-    /// Places for batch work; the reserve never takes an engine's only place.
+    /// Batch places open to batch work; an engine with a single place has no reserve.
     fn batch_work_limit(&self) -> u32 {
         let limit = self.shape.batch_limit;
         limit.saturating_sub(self.settings.urgent_reserve).max(1)
@@ -298,14 +300,14 @@
         let by_count_ms = (beyond as f64 * self.service.mean_ms() / limit as f64) as Millis;
         let queued = self.queue.of_rank(rank);
         if queued <= limit {
-            // Too few for their pace to say more than the count does.
+            // With less than a batch queued, the dispatch interval says no more than the count.
             return by_count_ms;
         }
-        by_count_ms.max(self.paces.wait_ms(rank, queued, now_ms))
+        by_count_ms.max(self.dispatch_intervals.wait_ms(rank, queued, now_ms))
     }
 }
 
-/// Tells that a request did not run.
+/// Builds the command that refuses a request.
 pub(super) fn refuse(id: RequestId, reason: Refusal, retry_after_ms: Millis) -> Command {
     Command::Refuse {
         id,
@@ -314,7 +316,8 @@
     }
 }
 
-/// Doubling backoff; the jitter comes from the model's name, so runs repeat.
+/// Exponential backoff with jitter. The jitter is derived from the model's name, so that
+/// simulations are reproducible.
 pub(super) fn backoff_ms(model: &ModelRef, count: u32) -> Millis {
     let doubled = LOAD_BACKOFF_MS.saturating_mul(1 << count.min(10));
     let capped = doubled.min(MAX_LOAD_BACKOFF_MS);
--- a/crates/tinbay-core/src/engine/pace.rs
+++ b/crates/tinbay-core/src/engine/pace.rs
@@ -1,57 +1,63 @@
-//! How fast each rank's queue moves, as measured.
+//! Measures how fast the requests of each rank are dispatched.
 
 use std::collections::BTreeMap;
 
 use super::demand::MovingAverage;
 use crate::units::Millis;
 
-/// First guess of the time between two dispatches of a backlogged rank.
-const GUESSED_GAP_MS: f64 = 0.0;
+/// Assumed time between two dispatches of a rank with a backlog until the first dispatch.
+const INITIAL_INTERVAL_MS: f64 = 0.0;
 
 #[derive(Debug, Clone, Copy)]
-struct RankPace {
-    /// When the rank's queue last moved, or began to wait.
-    moved_ms: Millis,
-    gap: MovingAverage,
+struct RankInterval {
+    /// Last dispatch of the rank, or the begin of its backlog if that is later.
+    last_progress_ms: Millis,
+    mean: MovingAverage,
 }
 
-/// The time between dispatches of each rank while it has a backlog.
+/// Mean time between dispatches of each rank while it has a backlog.
 ///
-/// A rank behind others moves only as fast as they leave room for, which no count of the
-/// requests ahead of it tells. Source of the estimate: Little, "A proof for the queuing
-/// formula L = lambda W", Operations Research 1961.
+/// A low-priority rank is dispatched only as fast as the higher ones leave capacity, which
+/// the number of requests ahead of it does not show. The estimate follows Little, "A proof
+/// for the queuing formula L = lambda W", Operations Research 1961.
 #[derive(Debug, Default)]
-pub struct Paces {
-    ranks: BTreeMap<u8, RankPace>,
+pub struct DispatchIntervals {
+    ranks: BTreeMap<u8, RankInterval>,
 }
 
-impl Paces {
-    /// Notes that a rank's queue, empty until now, begins to wait.
-    pub fn begin(&mut self, rank: u8, now_ms: Millis) {
-        self.pace(rank, now_ms).moved_ms = now_ms;
+impl DispatchIntervals {
+    /// Records that a rank's queue, empty until now, has a backlog.
+    pub fn note_backlog(&mut self, rank: u8, now_ms: Millis) {
+        self.interval(rank, now_ms).last_progress_ms = now_ms;
     }
 
-    /// Notes that one request of a rank left the queue for the engine.
+    /// Records that a request of a rank was dispatched.
     pub fn note_dispatch(&mut self, rank: u8, now_ms: Millis) {
-        let pace = self.pace(rank, now_ms);
-        pace.gap.add(now_ms.saturating_sub(pace.moved_ms));
-        pace.moved_ms = now_ms;
+        let interval = self.interval(rank, now_ms);
+        interval
+            .mean
+            .add(now_ms.saturating_sub(interval.last_progress_ms));
+        interval.last_progress_ms = now_ms;
     }
 
-    /// How long the last of `queued` requests of a rank waits. A queue that has not moved
-    /// for longer than usual counts that time as well.
+    /// Estimated wait of the last of `queued` requests of a rank. If the time since the last
+    /// dispatch, spread over the queue, exceeds the mean interval, it replaces the mean.
     pub fn wait_ms(&self, rank: u8, queued: usize, now_ms: Millis) -> Millis {
-        let Some(pace) = self.ranks.get(&rank) else {
+        let Some(interval) = self.ranks.get(&rank) else {
             return 0;
         };
-        let standing_ms = now_ms.saturating_sub(pace.moved_ms) as f64;
-        (queued as f64 * pace.gap.mean_ms().max(standing_ms / (queued as f64 + 1.0))) as Millis
+        let stalled_ms = now_ms.saturating_sub(interval.last_progress_ms) as f64;
+        (queued as f64
+            * interval
+                .mean
+                .mean_ms()
+                .max(stalled_ms / (queued as f64 + 1.0))) as Millis
     }
 
-    fn pace(&mut self, rank: u8, now_ms: Millis) -> &mut RankPace {
-        self.ranks.entry(rank).or_insert(RankPace {
-            moved_ms: now_ms,
-            gap: MovingAverage::new(GUESSED_GAP_MS),
+    fn interval(&mut self, rank: u8, now_ms: Millis) -> &mut RankInterval {
+        self.ranks.entry(rank).or_insert(RankInterval {
+            last_progress_ms: now_ms,
+            mean: MovingAverage::new(INITIAL_INTERVAL_MS),
         })
     }
 }
--- a/crates/tinbay-core/src/engine/placement.rs
+++ b/crates/tinbay-core/src/engine/placement.rs
@@ -1,4 +1,4 @@
-//! Which models get slots: loads, unloads, and slots that are closed to make room.
+//! Slot allocation: loads, evictions, and draining of busy slots.
 
 use super::owner::EngineOwner;
 use super::slots::{Slot, SlotState};
@@ -6,32 +6,32 @@
 use crate::ids::ModelRef;
 use crate::units::Millis;
 
-/// Rank below that of counter and desk work at which late batch work asks for a load.
+/// Best rank at which late batch work requests a load; rank 0 stays ahead of it.
 const LATE_RANK: u8 = 1;
 
-/// A load that was asked for.
+/// A load requested from the arbiter and not granted yet.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Wish {
+pub(super) struct PendingLoad {
     rank: u8,
     urgent: bool,
 }
 
-/// A model that waits for a slot.
+/// A model without a slot for which requests wait.
 #[derive(Debug)]
-struct WantedLoad {
+struct LoadCandidate {
     model: ModelRef,
-    wish: Wish,
+    load: PendingLoad,
     /// Whether it may take a slot that other batch work uses.
-    pressing: bool,
+    may_preempt: bool,
     since_ms: Millis,
 }
 
 impl EngineOwner {
     pub(super) fn start_load(&mut self, now_ms: Millis, model: ModelRef, out: &mut Vec<Command>) {
-        if self.is_under_way(&model) {
+        if self.is_load_in_progress(&model) {
             return;
         }
-        let Some(wish) = self.wishes.remove(&model) else {
+        let Some(load) = self.pending_loads.remove(&model) else {
             out.push(Command::ReturnLoad(model));
             return;
         };
@@ -44,7 +44,7 @@
             out.push(Command::Load(model));
             return;
         }
-        let Some(victim) = self.choose_idle_victim(now_ms, wish) else {
+        let Some(victim) = self.choose_victim(now_ms, load) else {
             out.push(Command::ReturnLoad(model));
             return;
         };
@@ -53,29 +53,29 @@
         out.push(Command::Unload(victim));
     }
 
-    /// Whether an earlier grant for the model is still being used.
-    fn is_under_way(&self, model: &ModelRef) -> bool {
+    /// Whether an earlier grant for the model is still in use.
+    fn is_load_in_progress(&self, model: &ModelRef) -> bool {
         let loading = |slot: &Slot| slot.state == SlotState::Loading;
         self.slots.get(model).is_some_and(loading)
             || self.replacing.values().any(|next| next == model)
     }
 
     fn begin_unload(&mut self, victim: &ModelRef) {
-        self.queue.set_open(victim, false);
+        self.queue.set_dispatchable(victim, false);
         if let Some(slot) = self.slots.get_mut(victim) {
             slot.state = SlotState::Unloading;
         }
     }
 
-    /// The loaded model that serves nothing and is missed least.
-    fn choose_idle_victim(&self, now_ms: Millis, wish: Wish) -> Option<ModelRef> {
-        self.idle_slots(now_ms, wish)
+    /// The idle model with the least demand.
+    fn choose_victim(&self, now_ms: Millis, load: PendingLoad) -> Option<ModelRef> {
+        self.idle_slots(now_ms, load)
             .filter(|(model, _)| {
                 !self.queue.has_urgent(model)
                     && self
                         .queue
                         .head_rank(model)
-                        .is_none_or(|head| head >= wish.rank)
+                        .is_none_or(|head| head >= load.rank)
             })
             .min_by(|(a, slot_a), (b, slot_b)| {
                 let queued = |m: &ModelRef| self.queue.has_waiting(m);
@@ -89,9 +89,13 @@
             .map(|(model, _)| model.clone())
     }
 
-    /// Slots that serve nothing and that work like this may take.
-    fn idle_slots(&self, now_ms: Millis, wish: Wish) -> impl Iterator<Item = (&ModelRef, &Slot)> {
-        let from_batch_only = self.may_take_from_batch_only(now_ms, wish);
+    /// Idle slots that `load` may take.
+    fn idle_slots(
+        &self,
+        now_ms: Millis,
+        load: PendingLoad,
+    ) -> impl Iterator<Item = (&ModelRef, &Slot)> {
+        let from_batch_only = self.may_take_from_batch_only(now_ms, load);
         self.slots.iter().filter(move |(model, slot)| {
             self.is_idle(model, slot, now_ms)
                 && (!from_batch_only || slot.is_held_for_batch(now_ms))
@@ -99,16 +103,17 @@
     }
 
     fn is_idle(&self, model: &ModelRef, slot: &Slot, now_ms: Millis) -> bool {
-        matches!(slot.state, SlotState::Loaded | SlotState::Closing)
+        matches!(slot.state, SlotState::Loaded | SlotState::Draining)
             && slot.serving == 0
             && now_ms >= slot.keep_until_ms
             && !self.inherited.contains_key(model)
     }
 
-    /// Whether batch work holds its share of the slots, so that a further batch model must
-    /// take the place of another: between their requests the counter's models are idle too.
-    fn may_take_from_batch_only(&self, now_ms: Millis, wish: Wish) -> bool {
-        if wish.urgent {
+    /// Whether batch work uses its full share of the slots, so that a further batch model may
+    /// only replace another one. Models of urgent requests are also idle between requests and
+    /// would otherwise be evicted.
+    fn may_take_from_batch_only(&self, now_ms: Millis, load: PendingLoad) -> bool {
+        if load.urgent {
             return false;
         }
         let held = self
@@ -123,16 +128,17 @@
         (share.ceil() as usize).max(1)
     }
 
-    /// Closes the least wanted model that runs only work of a rank behind `rank`.
-    fn close_one(&mut self, now_ms: Millis, rank: u8) {
-        let busy_with_less = |model: &ModelRef| {
+    /// Starts draining the loaded model with the fewest running requests, then the least demand,
+    /// among those with no queued request that is urgent or of `rank` or better.
+    fn drain_one(&mut self, now_ms: Millis, rank: u8) {
+        let has_lower_rank_only = |model: &ModelRef| {
             !self.queue.has_urgent(model)
                 && self.queue.head_rank(model).is_none_or(|head| head > rank)
         };
         let victim = self
             .slots
             .iter()
-            .filter(|(model, slot)| slot.state == SlotState::Loaded && busy_with_less(model))
+            .filter(|(model, slot)| slot.state == SlotState::Loaded && has_lower_rank_only(model))
             .min_by(|(a, slot_a), (b, slot_b)| {
                 slot_a
                     .serving
@@ -146,88 +152,90 @@
             })
             .map(|(model, _)| model.clone());
         let Some(victim) = victim else { return };
-        self.queue.set_open(&victim, false);
+        self.queue.set_dispatchable(&victim, false);
         if let Some(slot) = self.slots.get_mut(&victim) {
-            slot.state = SlotState::Closing;
+            slot.state = SlotState::Draining;
         }
     }
 
-    /// Asks for loads for the most pressing models that are not loaded, and closes as many
-    /// busy slots as pressing models find no other way.
+    /// Requests loads for the first models in the queue that are not loaded. Drains a busy slot
+    /// for each that may preempt and finds no idle slot.
     pub(super) fn plan_loads(&mut self, now_ms: Millis, out: &mut Vec<Command>) {
         let mut unplaced: Vec<u8> = Vec::new();
-        for want in self.wanted_loads(now_ms) {
-            if self.is_under_way(&want.model) {
+        for candidate in self.load_candidates(now_ms) {
+            if self.is_load_in_progress(&candidate.model) {
                 continue;
             }
-            let asked = self.wishes.get(&want.model).copied();
-            if asked.is_some_and(|asked| asked.rank <= want.wish.rank) {
+            let asked = self.pending_loads.get(&candidate.model).copied();
+            if asked.is_some_and(|asked| asked.rank <= candidate.load.rank) {
                 continue;
             }
-            if asked.is_none() && !self.has_room(now_ms, want.wish, want.pressing) {
-                if want.pressing {
-                    unplaced.push(want.wish.rank);
+            if asked.is_none() && !self.has_slot_for(now_ms, candidate.load, candidate.may_preempt)
+            {
+                if candidate.may_preempt {
+                    unplaced.push(candidate.load.rank);
                 }
                 continue;
             }
-            self.wishes.insert(want.model.clone(), want.wish);
+            self.pending_loads
+                .insert(candidate.model.clone(), candidate.load);
             out.push(Command::AskLoad {
-                model: want.model,
-                rank: want.wish.rank,
-                since_ms: want.since_ms,
+                model: candidate.model,
+                rank: candidate.load.rank,
+                since_ms: candidate.since_ms,
             });
         }
-        self.fit_closing_slots(now_ms, &unplaced);
+        self.adjust_draining_slots(now_ms, &unplaced);
     }
 
-    /// The first waiting models without a slot, at most as many as there are slots.
-    fn wanted_loads(&self, now_ms: Millis) -> Vec<WantedLoad> {
+    /// The first models in the queue that have no slot, at most as many as the engine has slots.
+    fn load_candidates(&self, now_ms: Millis) -> Vec<LoadCandidate> {
         let room = self.shape.slots as usize;
         self.queue
-            .closed_heads()
+            .blocked_heads()
             .take(2 * room)
             .filter(|ask| self.slots.get(&ask.model).is_none())
             .take(room)
             .map(|ask| {
                 let waited_ms = now_ms.saturating_sub(ask.arrived_ms);
-                WantedLoad {
+                LoadCandidate {
                     model: ask.model.clone(),
-                    wish: Wish {
+                    load: PendingLoad {
                         rank: self.load_rank(ask, now_ms),
                         urgent: ask.urgent,
                     },
-                    pressing: ask.urgent || waited_ms >= self.settings.swap_patience_ms,
+                    may_preempt: ask.urgent || waited_ms >= self.settings.swap_patience_ms,
                     since_ms: ask.arrived_ms,
                 }
             })
             .collect()
     }
 
-    /// Keeps one busy slot closing for each pressing model that found no room, and opens
-    /// those again that nobody needs any more.
-    fn fit_closing_slots(&mut self, now_ms: Millis, unplaced: &[u8]) {
-        let mut closing: Vec<ModelRef> = self
+    /// Keeps one busy slot draining for each pending load and each model in `unplaced`, which holds
+    /// ranks, and returns surplus ones to service.
+    fn adjust_draining_slots(&mut self, now_ms: Millis, unplaced: &[u8]) {
+        let mut draining: Vec<ModelRef> = self
             .slots
             .iter()
-            .filter(|(_, slot)| slot.state == SlotState::Closing)
+            .filter(|(_, slot)| slot.state == SlotState::Draining)
             .map(|(model, _)| model.clone())
             .collect();
-        closing.sort();
-        let promised = self.wishes.len();
-        let needed = unplaced.len() + promised;
-        for model in closing.iter().skip(needed) {
-            self.reopen(model);
+        draining.sort();
+        let pending = self.pending_loads.len();
+        let needed = unplaced.len() + pending;
+        for model in draining.iter().skip(needed) {
+            self.cancel_drain(model);
         }
-        if let Some(rank) = unplaced.get(closing.len().saturating_sub(promised)) {
-            self.close_one(now_ms, *rank);
+        if let Some(rank) = unplaced.get(draining.len().saturating_sub(pending)) {
+            self.drain_one(now_ms, *rank);
         }
     }
 
-    pub(super) fn reopen(&mut self, model: &ModelRef) {
+    pub(super) fn cancel_drain(&mut self, model: &ModelRef) {
         if let Some(slot) = self.slots.get_mut(model) {
             slot.state = SlotState::Loaded;
         }
-        self.queue.set_open(model, true);
+        self.queue.set_dispatchable(model, true);
     }
 
     fn load_rank(&self, ask: &Ask, now_ms: Millis) -> u8 {
@@ -238,29 +246,29 @@
         ask.rank
     }
 
-    /// Whether one more load than those promised already would find a slot. Wishes that stand
-    /// behind this one do not count: whoever is granted first takes the slot.
-    fn has_room(&self, now_ms: Millis, wish: Wish, pressing: bool) -> bool {
-        let promised = self
-            .wishes
+    /// Whether one more load than those pending would find a slot. Pending loads of a lower
+    /// priority do not count, as the load that is granted first takes the slot.
+    fn has_slot_for(&self, now_ms: Millis, load: PendingLoad, may_preempt: bool) -> bool {
+        let pending = self
+            .pending_loads
             .values()
-            .filter(|asked| asked.rank <= wish.rank)
+            .filter(|asked| asked.rank <= load.rank)
             .count();
         let held = self.slots.iter().count();
         let free = (self.shape.slots as usize).saturating_sub(held);
-        let yielding = self
-            .idle_slots(now_ms, wish)
-            .filter(|(model, _)| self.yields(model, wish.rank, pressing));
-        promised < free + yielding.count()
+        let evictable = self
+            .idle_slots(now_ms, load)
+            .filter(|(model, _)| self.may_evict(model, load.rank, may_preempt));
+        pending < free + evictable.count()
     }
 
-    /// Whether an idle model gives way: at once when nothing waits for it, else only to
-    /// work that goes before and has waited long enough.
-    fn yields(&self, model: &ModelRef, rank: u8, pressing: bool) -> bool {
+    /// Whether an idle model may be evicted for a load of `rank`: always if no request waits for
+    /// it, otherwise only if the load may preempt and no waiting request is urgent or ranked better.
+    fn may_evict(&self, model: &ModelRef, rank: u8, may_preempt: bool) -> bool {
         match self.queue.head_rank(model) {
             None => true,
             Some(_) if self.queue.has_urgent(model) => false,
-            Some(head) => pressing && head >= rank,
+            Some(head) => may_preempt && head >= rank,
         }
     }
 }
--- a/crates/tinbay-core/src/engine/queue.rs
+++ b/crates/tinbay-core/src/engine/queue.rs
@@ -1,8 +1,8 @@
-//! The waiting requests of one engine, ordered by rank, then by deadline.
+//! The request queue of one engine, ordered by rank, then by deadline.
 //!
-//! Requests are grouped by model. The first request of each group stands in one of two
-//! ordered sets, one for models that can be dispatched to now and one for the others, so
-//! every operation costs a logarithm of the queue's length.
+//! Requests are grouped by model. The first request of each group is kept in one of two
+//! ordered sets: one for dispatchable models, one for the others. Insertions and removals
+//! are therefore logarithmic in the queue's length.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 
@@ -10,34 +10,34 @@
 use crate::ids::{ModelRef, RequestId};
 use crate::units::Millis;
 
-/// Above this many organisations remembered, those without a backlog are forgotten.
-const REMEMBERED_ORGANISATIONS: usize = 1_024;
+/// Above this number of tracked organisations, those without a backlog are dropped.
+const MAX_TRACKED_ORGANISATIONS: usize = 1_024;
 
-/// The place of a request in the order.
+/// Sort key of a queued request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Place {
-    /// 0 goes first.
+pub struct QueueKey {
+    /// Priority; 0 goes first.
     pub rank: u8,
-    /// Deadline, pushed back for an organisation that floods the engine.
+    /// Latest start time, pushed back for an organisation above its fair share.
     pub due_ms: Millis,
-    /// Breaks ties by arrival.
+    /// Breaks ties in the order of arrival.
     pub id: RequestId,
 }
 
 #[derive(Debug)]
 struct Waiting {
     ask: Ask,
-    place: Place,
+    key: QueueKey,
 }
 
 /// The queue of one engine.
 #[derive(Debug, Default)]
 pub struct Queue {
     items: HashMap<RequestId, Waiting>,
-    groups: HashMap<ModelRef, BTreeSet<Place>>,
-    open: HashSet<ModelRef>,
-    open_heads: BTreeSet<(Place, ModelRef)>,
-    other_heads: BTreeSet<(Place, ModelRef)>,
+    groups: HashMap<ModelRef, BTreeSet<QueueKey>>,
+    dispatchable: HashSet<ModelRef>,
+    dispatchable_heads: BTreeSet<(QueueKey, ModelRef)>,
+    blocked_heads: BTreeSet<(QueueKey, ModelRef)>,
     expiry: BTreeSet<(Millis, RequestId)>,
     late_batch: BTreeSet<(Millis, RequestId)>,
     per_rank: BTreeMap<u8, usize>,
@@ -46,14 +46,15 @@
 }
 
 impl Queue {
-    /// Adds a request. `share_ms` is the spacing at which one organisation uses its fair
-    /// share; its requests beyond that are placed as if they had arrived later.
+    /// Adds a request. `share_ms` is the interval between requests at which one organisation
+    /// uses exactly its fair share; requests above that rate are queued as if they had arrived
+    /// later.
     ///
-    /// Kin: Goyal, Vin and Cheng, "Start-time fair queueing", SIGCOMM 1996.
+    /// Related: Goyal, Vin and Cheng, "Start-time fair queueing", SIGCOMM 1996.
     pub fn push(&mut self, ask: Ask, share_ms: Millis) {
         let arrival_ms = self.virtual_arrival(&ask, share_ms);
         let patience_ms = ask.start_by_ms.saturating_sub(ask.arrived_ms);
-        let place = Place {
+        let key = QueueKey {
             rank: ask.rank,
             due_ms: arrival_ms + patience_ms,
             id: ask.id,
@@ -66,14 +67,14 @@
             self.late_batch.insert((ask.start_by_ms, ask.id));
         }
         self.change_group(&ask.model, |group| {
-            group.insert(place);
+            group.insert(key);
         });
-        self.items.insert(ask.id, Waiting { ask, place });
+        self.items.insert(ask.id, Waiting { ask, key });
     }
 
-    /// Takes a request out.
+    /// Removes a request.
     pub fn remove(&mut self, id: RequestId) -> Option<Ask> {
-        let Waiting { ask, place } = self.items.remove(&id)?;
+        let Waiting { ask, key } = self.items.remove(&id)?;
         self.expiry.remove(&(ask.start_by_ms, id));
         if let Some(count) = self.per_rank.get_mut(&ask.rank) {
             *count -= 1;
@@ -84,90 +85,90 @@
             self.late_batch.remove(&(ask.start_by_ms, id));
         }
         self.change_group(&ask.model, |group| {
-            group.remove(&place);
+            group.remove(&key);
         });
         Some(ask)
     }
 
-    /// Says whether a model's requests may be dispatched now.
-    pub fn set_open(&mut self, model: &ModelRef, open: bool) {
+    /// Sets whether a model's requests may be dispatched now.
+    pub fn set_dispatchable(&mut self, model: &ModelRef, dispatchable: bool) {
         let head = self.head(model);
         self.unlist(model, head);
-        if open {
-            self.open.insert(model.clone());
+        if dispatchable {
+            self.dispatchable.insert(model.clone());
         } else {
-            self.open.remove(model);
+            self.dispatchable.remove(model);
         }
         self.list(model, head);
     }
 
-    /// The first request that may be dispatched now.
-    pub fn first_open(&self) -> Option<&Ask> {
-        let (place, _) = self.open_heads.first()?;
-        self.ask(place.id)
+    /// The first request of a dispatchable model.
+    pub fn first_dispatchable(&self) -> Option<&Ask> {
+        let (key, _) = self.dispatchable_heads.first()?;
+        self.ask(key.id)
     }
 
-    /// The non-urgent request nearest to its deadline among the first `depth` that may be
-    /// dispatched now and would be late after `horizon_ms`.
-    pub fn late_open(&self, horizon_ms: Millis, depth: usize) -> Option<&Ask> {
+    /// The first dispatchable request among the `depth` batch requests with the earliest start
+    /// limits, if that limit is before `horizon_ms`.
+    pub fn late_dispatchable(&self, horizon_ms: Millis, depth: usize) -> Option<&Ask> {
         self.late_batch
             .iter()
             .take(depth)
             .take_while(|(start_by_ms, _)| *start_by_ms < horizon_ms)
             .filter_map(|(_, id)| self.ask(*id))
-            .find(|ask| self.open.contains(&ask.model))
+            .find(|ask| self.dispatchable.contains(&ask.model))
     }
 
-    /// The first requests of models that may not be dispatched to, best first.
-    pub fn closed_heads(&self) -> impl Iterator<Item = &Ask> {
-        self.other_heads
+    /// The first request of each model that is not dispatchable, in queue order.
+    pub fn blocked_heads(&self) -> impl Iterator<Item = &Ask> {
+        self.blocked_heads
             .iter()
-            .filter_map(|(place, _)| self.ask(place.id))
+            .filter_map(|(key, _)| self.ask(key.id))
     }
 
-    /// A request whose last moment to start has passed.
+    /// A request whose latest start time has passed.
     pub fn first_expired(&self, now_ms: Millis) -> Option<RequestId> {
         let (start_by_ms, id) = self.expiry.first()?;
         (*start_by_ms < now_ms).then_some(*id)
     }
 
-    /// Requests waiting for a model.
+    /// Requests queued for a model, in queue order.
     pub fn waiting_for(&self, model: &ModelRef) -> Vec<RequestId> {
         let group = self.groups.get(model);
-        group.into_iter().flatten().map(|place| place.id).collect()
+        group.into_iter().flatten().map(|key| key.id).collect()
     }
 
-    /// Whether any request waits for a model.
+    /// Whether any request is queued for a model.
     pub fn has_waiting(&self, model: &ModelRef) -> bool {
         self.groups.contains_key(model)
     }
 
-    /// Whether an urgent request waits for a model.
+    /// Whether an urgent request is queued for a model.
     pub fn has_urgent(&self, model: &ModelRef) -> bool {
         self.urgent.contains_key(model)
     }
 
-    /// The rank of the first request for a model.
+    /// Rank of the first request queued for a model.
     pub fn head_rank(&self, model: &ModelRef) -> Option<u8> {
-        self.head(model).map(|place| place.rank)
+        self.head(model).map(|key| key.rank)
     }
 
-    /// Requests that go before a new one of `rank`.
+    /// Number of requests that go before a new one of `rank`.
     pub fn ahead_of(&self, rank: u8) -> usize {
         self.per_rank.range(..=rank).map(|(_, count)| count).sum()
     }
 
-    /// Requests of one rank.
+    /// Number of requests of one rank.
     pub fn of_rank(&self, rank: u8) -> usize {
         self.per_rank.get(&rank).copied().unwrap_or(0)
     }
 
-    /// Requests waiting.
+    /// Number of queued requests.
     pub fn len(&self) -> usize {
         self.items.len()
     }
 
-    /// Every waiting request.
+    /// All queued requests, sorted by id.
     pub fn ids(&self) -> Vec<RequestId> {
         let mut ids: Vec<RequestId> = self.items.keys().copied().collect();
         ids.sort_unstable();
@@ -178,11 +179,11 @@
         self.items.get(&id).map(|waiting| &waiting.ask)
     }
 
-    fn head(&self, model: &ModelRef) -> Option<Place> {
+    fn head(&self, model: &ModelRef) -> Option<QueueKey> {
         self.groups.get(model)?.first().copied()
     }
 
-    fn change_group(&mut self, model: &ModelRef, change: impl FnOnce(&mut BTreeSet<Place>)) {
+    fn change_group(&mut self, model: &ModelRef, change: impl FnOnce(&mut BTreeSet<QueueKey>)) {
         let head = self.head(model);
         self.unlist(model, head);
         let group = self.groups.entry(model.clone()).or_default();
@@ -194,23 +195,23 @@
         self.list(model, head);
     }
 
-    fn list(&mut self, model: &ModelRef, head: Option<Place>) {
-        let Some(place) = head else { return };
-        let open = self.open.contains(model);
-        self.heads(open).insert((place, model.clone()));
+    fn list(&mut self, model: &ModelRef, head: Option<QueueKey>) {
+        let Some(key) = head else { return };
+        let dispatchable = self.dispatchable.contains(model);
+        self.heads(dispatchable).insert((key, model.clone()));
     }
 
-    fn unlist(&mut self, model: &ModelRef, head: Option<Place>) {
-        let Some(place) = head else { return };
-        let open = self.open.contains(model);
-        self.heads(open).remove(&(place, model.clone()));
+    fn unlist(&mut self, model: &ModelRef, head: Option<QueueKey>) {
+        let Some(key) = head else { return };
+        let dispatchable = self.dispatchable.contains(model);
+        self.heads(dispatchable).remove(&(key, model.clone()));
     }
 
-    fn heads(&mut self, open: bool) -> &mut BTreeSet<(Place, ModelRef)> {
-        if open {
-            &mut self.open_heads
+    fn heads(&mut self, dispatchable: bool) -> &mut BTreeSet<(QueueKey, ModelRef)> {
+        if dispatchable {
+            &mut self.dispatchable_heads
         } else {
-            &mut self.other_heads
+            &mut self.blocked_heads
         }
     }
 
@@ -224,7 +225,7 @@
     }
 
     fn virtual_arrival(&mut self, ask: &Ask, share_ms: Millis) -> Millis {
-        if self.virtual_ms.len() > REMEMBERED_ORGANISATIONS {
+        if self.virtual_ms.len() > MAX_TRACKED_ORGANISATIONS {
             self.virtual_ms
                 .retain(|_, next_ms| *next_ms > ask.arrived_ms);
         }
--- a/crates/tinbay-core/src/engine/settings.rs
+++ b/crates/tinbay-core/src/engine/settings.rs
@@ -1,27 +1,27 @@
-//! How an owner weighs load stalls against full batches.
+//! Settings that trade load stalls against batch efficiency.
 
 use crate::policy::PolicySettings;
 use crate::units::Millis;
 
-/// How the owner weighs what it wants.
+/// Settings of an [`EngineOwner`](super::EngineOwner).
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct OwnerSettings {
-    /// How long batch work waits before it takes a slot from other batch work.
+    /// How long batch work waits before it may take a slot from other batch work.
     pub swap_patience_ms: Millis,
-    /// Share of the slots that batch work may hold while urgent work asks for the others.
+    /// Share of the slots, from 0 to 1, that batch work may hold while urgent work needs the others.
     pub batch_slot_share: f64,
-    /// Places in the batch kept for urgent work.
+    /// Batch places reserved for urgent work.
     pub urgent_reserve: u32,
-    /// Every so many dispatches one goes to batch work that would else be late.
+    /// One in this many dispatches goes to batch work that would otherwise be late.
     pub late_every: u32,
-    /// Batch work within this of its last moment counts as late.
+    /// Batch work counts as late from this long before its latest start time.
     pub late_within_ms: Millis,
-    /// Share of the engine one organisation may use before its requests stand back.
+    /// Share of the engine, from 0 to 1, beyond which an organisation's requests are deferred.
     pub fair_share: f64,
 }
 
-/// The patience of a policy that weighs batch efficiency alone.
-const LONGEST_PATIENCE_MS: f64 = 4_000.0;
+/// Swap patience of a policy that weighs batch efficiency alone.
+const MAX_SWAP_PATIENCE_MS: f64 = 4_000.0;
 
 impl Default for OwnerSettings {
     fn default() -> Self {
@@ -30,11 +30,11 @@
 }
 
 impl OwnerSettings {
-    /// The settings that follow from a policy's weights.
+    /// Derives the settings from a policy's stall weight.
     pub fn from_policy(settings: PolicySettings) -> Self {
         let batch_weight = 1.0 - settings.stall_weight;
         Self {
-            swap_patience_ms: (batch_weight * LONGEST_PATIENCE_MS) as Millis,
+            swap_patience_ms: (batch_weight * MAX_SWAP_PATIENCE_MS) as Millis,
             batch_slot_share: batch_weight,
             urgent_reserve: 1,
             late_every: 8,
--- a/crates/tinbay-core/src/engine/slots.rs
+++ b/crates/tinbay-core/src/engine/slots.rs
@@ -6,49 +6,49 @@
 use crate::ids::ModelRef;
 use crate::units::Millis;
 
-/// What a slot does.
+/// State of a slot.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SlotState {
     /// Its model is being loaded.
     Loading,
-    /// Its model can serve.
+    /// Its model can serve requests.
     Loaded,
-    /// Its model takes no new batch work, so that the slot becomes free.
-    Closing,
+    /// Its model gets no new batch work, so that the slot becomes free.
+    Draining,
     /// Its model is being unloaded.
     Unloading,
 }
 
-/// One slot and its model.
+/// One occupied slot.
 #[derive(Debug, Clone)]
 pub struct Slot {
-    /// What it does.
+    /// Load state of its model.
     pub state: SlotState,
-    /// Requests that run on the model.
+    /// Number of this owner's requests that run on the model.
     pub serving: u32,
-    /// When the model became able to serve.
+    /// When the load ended.
     pub loaded_ms: Millis,
     /// When the load was ordered.
     pub ordered_ms: Millis,
-    /// The engine lost the model, by a restart, while it was being unloaded.
+    /// Whether the engine lost the model, by a restart, while it was being unloaded.
     pub lost: bool,
-    /// Not to be unloaded before then, after an unload that failed.
+    /// Earliest time of the next unload, after one that failed; 0 otherwise.
     pub keep_until_ms: Millis,
-    /// How much urgent requests ask for it.
+    /// Recent urgent requests for the model.
     pub urgent_demand: Demand,
-    /// How much other requests ask for it.
+    /// Recent batch requests for the model.
     pub batch_demand: Demand,
 }
 
-/// What a batch request counts beside an urgent one when slots are compared: a batch request
-/// that has to wait for a load stalls nobody.
+/// Weight of a batch request relative to an urgent one when slots are compared for eviction:
+/// nobody waits for the answer of a batch request that is stalled by a load.
 const BATCH_DEMAND_WEIGHT: f64 = 0.1;
 
-/// Below this urgent demand a slot counts as held for batch work.
-const LEAST_URGENT_DEMAND: f64 = 0.1;
+/// A slot with less urgent demand than this counts as used for batch work only.
+const MIN_URGENT_DEMAND: f64 = 0.1;
 
 impl Slot {
-    /// Notes a request for the model.
+    /// Records a request for the model.
     pub fn note_demand(&mut self, now_ms: Millis, urgent: bool) {
         if urgent {
             self.urgent_demand.note(now_ms);
@@ -57,14 +57,14 @@
         }
     }
 
-    /// How much it would be missed.
+    /// Weighted, decayed count of the requests for the model, by which slots are ranked for eviction.
     pub fn demand_at(&self, now_ms: Millis) -> f64 {
         self.urgent_demand.at(now_ms) + BATCH_DEMAND_WEIGHT * self.batch_demand.at(now_ms)
     }
 
-    /// Whether it is held for batch work: no urgent request has asked for it lately.
+    /// Whether the slot is used for batch work only, with no recent urgent request.
     pub fn is_held_for_batch(&self, now_ms: Millis) -> bool {
-        self.urgent_demand.at(now_ms) < LEAST_URGENT_DEMAND
+        self.urgent_demand.at(now_ms) < MIN_URGENT_DEMAND
     }
 }
 
@@ -76,7 +76,7 @@
 }
 
 impl Slots {
-    /// `limit` empty slots.
+    /// Creates `limit` empty slots.
     pub fn new(limit: u32) -> Self {
         Self {
             limit: limit as usize,
@@ -84,28 +84,28 @@
         }
     }
 
-    /// Whether a slot holds nothing.
+    /// Whether any slot is empty.
     pub fn has_free(&self) -> bool {
         self.held.len() < self.limit
     }
 
-    /// The slot of a model.
+    /// The slot that a model occupies.
     pub fn get(&self, model: &ModelRef) -> Option<&Slot> {
         self.held.get(model)
     }
 
-    /// The slot of a model, to change it.
+    /// The slot that a model occupies, mutable.
     pub fn get_mut(&mut self, model: &ModelRef) -> Option<&mut Slot> {
         self.held.get_mut(model)
     }
 
-    /// Whether a model can serve now.
+    /// Whether a model can serve requests now.
     pub fn is_loaded(&self, model: &ModelRef) -> bool {
         self.get(model)
-            .is_some_and(|slot| matches!(slot.state, SlotState::Loaded | SlotState::Closing))
+            .is_some_and(|slot| matches!(slot.state, SlotState::Loaded | SlotState::Draining))
     }
 
-    /// Puts a model into a free slot.
+    /// Puts a model into an empty slot; the caller checks that there is one.
     pub fn insert(&mut self, model: ModelRef, state: SlotState, now_ms: Millis) {
         let slot = Slot {
             state,
@@ -125,7 +125,7 @@
         self.held.remove(model)
     }
 
-    /// Every model and its slot; slots are few, so callers may walk them.
+    /// All occupied slots, with their models. There are few, so that a linear scan is cheap.
     pub fn iter(&self) -> impl Iterator<Item = (&ModelRef, &Slot)> {
         self.held.iter()
     }
