--- a/crates/tinbay-core/src/sharing/accounts.rs
+++ b/crates/tinbay-core/src/sharing/accounts.rs
@@ -1,4 +1,4 @@
-//! What each client account has had of a server lately.
+//! Recent use of a server by each client account.
 
 use std::collections::HashMap;
 
@@ -8,57 +8,57 @@
 use crate::serving::servers::Fingerprint;
 use crate::units::Millis;
 
-/// Half-life of what an account has had: about the time for which a request holds its place. Who had much
-/// a while ago is not held back for it.
+/// Half-life of an account's recorded use: about the time for which a request occupies its slot,
+/// so that earlier heavy use does not hold an account back.
 const USED_HALF_LIFE_MS: f64 = 2_000.0;
 
-/// Units below which an account is forgotten.
-const FORGOTTEN_UNITS: f64 = 0.01;
+/// Use, in tokens, below which an account's entry is dropped.
+const MIN_TRACKED_UNITS: f64 = 0.01;
 
-/// Factor by which an account must have had more than its part to be above it.
-const CLEARLY_MORE: f64 = 1.25;
+/// Factor by which the use of an account must exceed its fair share to count as above it.
+const ABOVE_SHARE_FACTOR: f64 = 1.25;
 
-/// Least part of what all had that an account is taken to get next.
-const LEAST_PART: f64 = 0.05;
+/// Lower bound of an account's share of the total use.
+const MIN_SHARE: f64 = 0.05;
 
 #[derive(Debug, Clone, Copy, Default)]
-struct Had {
+struct Usage {
     used: Fading,
     turns: Turns,
 }
 
-/// What client accounts have had of a server lately.
+/// Recent use of a server by client account, in tokens.
 #[derive(Debug, Clone, Default)]
-pub struct AccountsHad {
-    by_account: HashMap<Fingerprint, Had>,
+pub struct AccountUsage {
+    by_account: HashMap<Fingerprint, Usage>,
 }
 
-impl AccountsHad {
-    /// Notes what an account gets.
+impl AccountUsage {
+    /// Adds the tokens of an admitted request to its account's use.
     pub fn note(&mut self, account: Fingerprint, units: f64, now_ms: Millis) {
-        let had = self.by_account.entry(account).or_default();
-        had.used.add(units, USED_HALF_LIFE_MS, now_ms);
+        let usage = self.by_account.entry(account).or_default();
+        usage.used.add(units, USED_HALF_LIFE_MS, now_ms);
     }
 
-    /// What an account has had lately.
+    /// Recent use of an account, in tokens.
     pub fn used(&self, account: Fingerprint, now_ms: Millis) -> f64 {
-        let had = self.by_account.get(&account);
-        had.map_or(0.0, |had| had.used.at(USED_HALF_LIFE_MS, now_ms))
+        let usage = self.by_account.get(&account);
+        usage.map_or(0.0, |usage| usage.used.at(USED_HALF_LIFE_MS, now_ms))
     }
 
-    /// The part that an account had of what all had lately.
-    pub fn part(&self, account: Fingerprint, now_ms: Millis) -> f64 {
+    /// An account's share of the total recent use, at least [`MIN_SHARE`] and at most 1.
+    pub fn share(&self, account: Fingerprint, now_ms: Millis) -> f64 {
         let all: f64 = self
             .by_account
             .values()
-            .map(|had| had.used.at(USED_HALF_LIFE_MS, now_ms))
+            .map(|usage| usage.used.at(USED_HALF_LIFE_MS, now_ms))
             .sum();
-        let part = self.used(account, now_ms) / all.max(1.0);
-        part.clamp(LEAST_PART, 1.0)
+        let share = self.used(account, now_ms) / all.max(1.0);
+        share.clamp(MIN_SHARE, 1.0)
     }
 
-    /// What an account had lately for its weight above which it has had clearly more than its part.
-    pub fn most_for_weight(&self, weights: &AccountWeights, now_ms: Millis) -> f64 {
+    /// Use per weight above which an account counts as above its fair share.
+    pub fn max_use_per_weight(&self, weights: &AccountWeights, now_ms: Millis) -> f64 {
         let accounts = self.by_account.keys();
         let (used, weight) = accounts.fold((0.0, 0.0), |(used, weight), key| {
             (used + self.used(*key, now_ms), weight + weights.of(*key))
@@ -66,17 +66,17 @@
         if weight <= 0.0 {
             return f64::INFINITY;
         }
-        CLEARLY_MORE * used / weight
+        ABOVE_SHARE_FACTOR * used / weight
     }
 
-    /// The turns of an account's requests that are turned away.
+    /// Retry times given to an account's rejected requests.
     pub fn turns(&mut self, account: Fingerprint) -> &mut Turns {
         &mut self.by_account.entry(account).or_default().turns
     }
 
-    /// Forgets accounts that had nothing for long.
+    /// Drops the entries of accounts without recent use.
     pub fn tidy(&mut self, now_ms: Millis) {
         self.by_account
-            .retain(|_, had| had.used.at(USED_HALF_LIFE_MS, now_ms) >= FORGOTTEN_UNITS);
+            .retain(|_, usage| usage.used.at(USED_HALF_LIFE_MS, now_ms) >= MIN_TRACKED_UNITS);
     }
 }
--- a/crates/tinbay-core/src/sharing/mod.rs
+++ b/crates/tinbay-core/src/sharing/mod.rs
@@ -1,11 +1,13 @@
-//! Scarce room of a server, shared among client accounts.
+//! Admission control of a server at capacity, with fair sharing among client accounts.
 //!
-//! While a server has places, requests go to it as they come. Once its places are taken, the box that holds
-//! the server lets requests in one by one: each client account gets its part of what the server reads and
-//! makes, whatever others ask for, and what an account leaves goes to the others at once. Within an account
-//! the urgent go first, and what can't begin in time is refused at once with a time to come back.
+//! While a server has free slots, boxes send it requests without asking. Once all slots are
+//! taken, the box that holds the server admits requests one by one. Each client account gets
+//! its weighted share of the tokens that the server processes, whatever the load of the others;
+//! what an account leaves unused goes to the others at once. Within an account, requests of
+//! better rank go first. A request that can't start in time is rejected at once, with a retry
+//! time.
 //!
-//! Like the rest of the core this does no I/O and reads no clock.
+//! No I/O, and no clock: callers pass the time in.
 
 pub mod accounts;
 pub mod order;
--- a/crates/tinbay-core/src/sharing/order.rs
+++ b/crates/tinbay-core/src/sharing/order.rs
@@ -1,64 +1,65 @@
-//! In which order requests that wait for a server are let in.
+//! The order in which waiting requests are admitted to a server.
 
 use std::cmp::Ordering;
 use std::collections::HashMap;
 
-use super::accounts::AccountsHad;
+use super::accounts::AccountUsage;
 use super::weights::AccountWeights;
 use crate::serving::servers::Fingerprint;
 use crate::units::Millis;
 
-/// What decides a waiting request's place in the order.
+/// The properties of a waiting request that decide when it is admitted.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Place {
-    /// Its client account.
+pub struct QueueEntry {
+    /// Client account of its caller.
     pub account: Fingerprint,
-    /// Whether it was turned away before and this is its turn.
-    pub is_return: bool,
-    /// Its rank, 0 first.
+    /// Whether it was rejected before and comes back at its retry time.
+    pub is_retry: bool,
+    /// Priority; 0 goes first.
     pub rank: u8,
-    /// When it came.
-    pub came_ms: Millis,
-    /// Tokens it has the server read and make.
+    /// When it first asked for admission.
+    pub arrived_ms: Millis,
+    /// Prompt and completion tokens.
     pub units: f64,
 }
 
-impl Place {
-    /// Within an account: those whose turn it is, then the urgent, then who came first. The length counts
-    /// for nothing, so that the long get in as well.
+impl QueueEntry {
+    /// Order within an account: due retries first, then by rank, then by arrival. The length of a
+    /// request plays no part, so that long ones are not starved.
     fn compare(&self, other: &Self) -> Ordering {
-        let returns = other.is_return.cmp(&self.is_return);
-        returns
+        let retries_first = other.is_retry.cmp(&self.is_retry);
+        retries_first
             .then(self.rank.cmp(&other.rank))
-            .then(self.came_ms.cmp(&other.came_ms))
+            .then(self.arrived_ms.cmp(&other.arrived_ms))
     }
 }
 
-/// Positions of waiting requests in the order in which they are let in.
+/// Indices into `entries` in the order of admission, by weighted fair queueing.
 ///
-/// The next is always of the account that has had least for its weight. Each is taken to have had what its
-/// earlier requests count, so an account that asks for little is let in at once, however many of another
-/// account wait, and an account alone gets everything.
+/// The next request is always one of the account with the least use per weight, where the
+/// account's requests ahead of it count as used. An account that asks for little is therefore
+/// admitted at once, however many requests of another account wait, and a single account gets
+/// all of the capacity.
 pub fn order(
-    places: &[Place],
-    had: &AccountsHad,
+    entries: &[QueueEntry],
+    usage: &AccountUsage,
     weights: &AccountWeights,
     now_ms: Millis,
 ) -> Vec<usize> {
-    let mut positions: Vec<usize> = (0..places.len()).collect();
-    positions.sort_by(|left, right| places[*left].compare(&places[*right]));
+    let mut positions: Vec<usize> = (0..entries.len()).collect();
+    positions.sort_by(|left, right| entries[*left].compare(&entries[*right]));
     let mut reached: HashMap<Fingerprint, f64> = HashMap::new();
-    let mut begins = vec![0.0; places.len()];
+    let mut virtual_starts = vec![0.0; entries.len()];
     for position in &positions {
-        let place = &places[*position];
-        let weight = weights.of(place.account);
+        let entry = &entries[*position];
+        let weight = weights.of(entry.account);
         let reached = reached
-            .entry(place.account)
-            .or_insert_with(|| had.used(place.account, now_ms) / weight);
-        begins[*position] = *reached;
-        *reached += place.units / weight;
+            .entry(entry.account)
+            .or_insert_with(|| usage.used(entry.account, now_ms) / weight);
+        virtual_starts[*position] = *reached;
+        *reached += entry.units / weight;
     }
-    // The sort is stable: among accounts that have had the same the urgent and the early stay first.
-    positions.sort_by(|left, right| begins[*left].total_cmp(&begins[*right]));
+    // The sort is stable: between accounts with equal use the first sort decides.
+    positions.sort_by(|left, right| virtual_starts[*left].total_cmp(&virtual_starts[*right]));
     positions
 }
--- a/crates/tinbay-core/src/sharing/returns.rs
+++ b/crates/tinbay-core/src/sharing/returns.rs
@@ -1,54 +1,57 @@
-//! Requests that were turned away with a time to come back, so that they are known when they do.
+//! Remembers rejected requests with a retry time, so that they are recognised when they come back.
 
 use std::collections::HashMap;
 
 use crate::units::Millis;
 
-/// Most of them that are remembered at one server.
-const MOST_REMEMBERED: usize = 256;
+/// Upper bound of the requests remembered for one server.
+const MAX_REMEMBERED: usize = 256;
 
-/// Time by which a caller may come before its turn: its clock and the way differ by milliseconds.
-const EARLY_MS: Millis = 50;
+/// How much before its retry time a request may come back. Callers' timers and network delays vary
+/// by milliseconds.
+const EARLY_TOLERANCE_MS: Millis = 50;
 
-/// Time after its turn by which a caller has come back.
-const LATE_MS: Millis = 2_000;
+/// How long after its retry time a request is still recognised.
+const LATE_TOLERANCE_MS: Millis = 2_000;
 
-/// Requests that were turned away, by what tells them apart, and when their turn is.
+/// Retry times of rejected requests, by request digest.
 #[derive(Debug, Clone, Default)]
-pub struct Returns {
-    turns: HashMap<u64, Millis>,
+pub struct ScheduledRetries {
+    retry_times: HashMap<u64, Millis>,
 }
 
-impl Returns {
-    /// Notes when a request that is turned away has its turn.
-    pub fn promise(&mut self, digest: u64, turn_ms: Millis, now_ms: Millis) {
-        if self.turns.len() >= MOST_REMEMBERED {
-            self.turns.retain(|_, turn_ms| now_ms <= *turn_ms + LATE_MS);
+impl ScheduledRetries {
+    /// Remembers the retry time of a rejected request, unless [`MAX_REMEMBERED`] others are pending.
+    pub fn schedule(&mut self, digest: u64, retry_at_ms: Millis, now_ms: Millis) {
+        if self.retry_times.len() >= MAX_REMEMBERED {
+            self.retry_times
+                .retain(|_, retry_at_ms| now_ms <= *retry_at_ms + LATE_TOLERANCE_MS);
         }
-        if self.turns.len() < MOST_REMEMBERED {
-            self.turns.insert(digest, turn_ms);
+        if self.retry_times.len() < MAX_REMEMBERED {
+            self.retry_times.insert(digest, retry_at_ms);
         }
     }
 
-    /// Whether a request comes back at its turn; it has one turn.
+    /// Whether a request comes back at its retry time. That is forgotten then, unless the request
+    /// is too early.
     pub fn take(&mut self, digest: u64, now_ms: Millis) -> bool {
-        let Some(turn_ms) = self.turns.get(&digest).copied() else {
+        let Some(retry_at_ms) = self.retry_times.get(&digest).copied() else {
             return false;
         };
-        if now_ms + EARLY_MS < turn_ms {
+        if now_ms + EARLY_TOLERANCE_MS < retry_at_ms {
             return false;
         }
-        self.turns.remove(&digest);
-        now_ms <= turn_ms + LATE_MS
+        self.retry_times.remove(&digest);
+        now_ms <= retry_at_ms + LATE_TOLERANCE_MS
     }
 
-    /// Turns that are remembered.
+    /// Number of remembered requests.
     pub fn len(&self) -> usize {
-        self.turns.len()
+        self.retry_times.len()
     }
 
-    /// Whether there is none.
+    /// Whether no request is remembered.
     pub fn is_empty(&self) -> bool {
-        self.turns.is_empty()
+        self.retry_times.is_empty()
     }
 }
--- a/crates/tinbay-core/src/sharing/scarcity.rs
+++ b/crates/tinbay-core/src/sharing/scarcity.rs
@@ -1,28 +1,29 @@
-//! Whether a server has too little room, without changing its mind at each request.
+//! Decides whether a server is at capacity, with hysteresis.
 
 use crate::units::Millis;
 
-/// Part of the places below which a server is no longer scarce: one place that becomes free for a moment
-/// ends nothing.
-const PLENTY_PART: f64 = 0.75;
+/// Fraction of the slots below which a server has spare capacity. It is below 1, so that a single
+/// slot that is free for a moment does not end the scarcity.
+const SPARE_FRACTION: f64 = 0.75;
 
-/// Part of the shortest objective that a new request may have to wait for what is read before it: the rest
-/// is for its own reading and its first tokens.
-const MOST_BACKLOG_PART: f64 = 0.5;
+/// Fraction of the shortest latency objective that the prefill backlog may take; the rest is for a
+/// new request's own prefill and first tokens.
+const MAX_BACKLOG_FRACTION: f64 = 0.5;
 
-/// How long there must be plenty before a server is no longer scarce: about the time of some requests.
-const PLENTY_FOR_MS: Millis = 500;
+/// How long a server must have spare capacity before it is no longer scarce: about the duration of
+/// a few requests.
+const SPARE_FOR_MS: Millis = 500;
 
-/// How full a server is.
+/// Load of a server.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Fullness {
-    /// Requests that run there or were let in.
+    /// Requests running or admitted.
     pub running: usize,
-    /// Requests it works on at once.
+    /// Requests that the server runs concurrently.
     pub slots: usize,
-    /// What it has to read before it begins a new request, as time.
+    /// Prefill work ahead of a new request, as time.
     pub backlog_ms: f64,
-    /// The shortest objective among the routes of its service.
+    /// Shortest latency objective among the routes of its service.
     pub objective_ms: Millis,
 }
 
@@ -31,44 +32,44 @@
         self.running >= self.slots.max(1) || self.backlog_ms > self.most_backlog_ms()
     }
 
-    fn is_plenty(&self) -> bool {
-        let most_running = self.slots.max(1) as f64 * PLENTY_PART;
+    fn has_spare_capacity(&self) -> bool {
+        let most_running = self.slots.max(1) as f64 * SPARE_FRACTION;
         (self.running as f64) < most_running && self.backlog_ms <= self.most_backlog_ms() / 2.0
     }
 
-    /// Most that the server may have to read without being scarce.
+    /// Upper bound of the prefill backlog of a server that is not scarce.
     pub fn most_backlog_ms(&self) -> f64 {
-        self.objective_ms as f64 * MOST_BACKLOG_PART
+        self.objective_ms as f64 * MAX_BACKLOG_FRACTION
     }
 }
 
-/// Whether a server has too little room.
+/// Whether a server is at capacity.
 ///
-/// It begins as soon as all places are taken, before anything waits at the server itself.
+/// It is from the moment that all slots are taken, before requests queue at the server itself.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Scarcity {
     is_scarce: bool,
-    /// Since when there has been plenty.
-    plenty_since_ms: Option<Millis>,
+    /// Begin of the current period of spare capacity.
+    spare_since_ms: Option<Millis>,
 }
 
 impl Scarcity {
-    /// Notes how full the server is; whether requests wait keeps it scarce.
+    /// Updates the state with the server's load. Waiting requests keep the server scarce.
     pub fn note(&mut self, fullness: Fullness, has_waiting: bool, now_ms: Millis) {
         if fullness.is_full() || has_waiting {
             self.is_scarce = true;
         }
-        if !fullness.is_plenty() || has_waiting {
-            self.plenty_since_ms = None;
+        if !fullness.has_spare_capacity() || has_waiting {
+            self.spare_since_ms = None;
             return;
         }
-        let since_ms = *self.plenty_since_ms.get_or_insert(now_ms);
-        if now_ms >= since_ms + PLENTY_FOR_MS {
+        let since_ms = *self.spare_since_ms.get_or_insert(now_ms);
+        if now_ms >= since_ms + SPARE_FOR_MS {
             self.is_scarce = false;
         }
     }
 
-    /// Whether it has too little room.
+    /// Whether the server is at capacity.
     pub fn is_scarce(&self) -> bool {
         self.is_scarce
     }
--- a/crates/tinbay-core/src/sharing/weights.rs
+++ b/crates/tinbay-core/src/sharing/weights.rs
@@ -1,25 +1,24 @@
-//! How much of scarce room each client account may have, against the others.
+//! Weights of client accounts in the sharing of a server at capacity.
 
 use std::collections::HashMap;
 
 use crate::accounts::account::{Account, LimitUnit};
 use crate::serving::servers::Fingerprint;
 
-/// Weight of an account where limits say nothing.
-const USUAL_WEIGHT: f64 = 1.0;
+/// Weight of an account without a comparable limit.
+const DEFAULT_WEIGHT: f64 = 1.0;
 
-/// Weights of client accounts, by the short form of their names.
+/// Weights of client accounts, by the fingerprints of their names.
 ///
-/// What operators allow an account says how much it is meant to have: its limit is its weight. Limits that
-/// count different things can't be compared, and without a limit there is nothing to go by: then all weigh
-/// the same.
+/// The weight of an account is its configured rate limit. If any account has no limit, or limits
+/// count different units, they can't be compared and all accounts weigh the same.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct AccountWeights {
     by_account: HashMap<Fingerprint, f64>,
 }
 
 impl AccountWeights {
-    /// The weights of accounts, each with the short form of its name.
+    /// Derives the weights of accounts, each given with the fingerprint of its name.
     pub fn new(accounts: &[(Fingerprint, &Account)]) -> Self {
         if !are_comparable(accounts) {
             return Self::default();
@@ -35,7 +34,7 @@
     /// The weight of an account.
     pub fn of(&self, account: Fingerprint) -> f64 {
         let weight = self.by_account.get(&account);
-        weight.copied().unwrap_or(USUAL_WEIGHT)
+        weight.copied().unwrap_or(DEFAULT_WEIGHT)
     }
 }
 
