--- a/crates/tinbay-core/src/limits/bucket.rs
+++ b/crates/tinbay-core/src/limits/bucket.rs
@@ -1,17 +1,17 @@
-//! A token bucket: units that come at a rate and are kept up to a number.
+//! Token bucket.
 
 use crate::units::{MS_PER_SECOND, Millis};
 
-/// How a bucket is filled.
+/// Refill rate and capacity of a bucket.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Filling {
-    /// Units a second.
+pub struct Refill {
+    /// Units per second.
     pub per_s: f64,
-    /// Most units that are kept.
-    pub most: f64,
+    /// Upper bound of the level.
+    pub capacity: f64,
 }
 
-/// A token bucket; below zero it is in debt, which is paid first.
+/// A token bucket. Its level may fall below zero; that debt is paid off by the refill first.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Bucket {
     level: f64,
@@ -19,7 +19,7 @@
 }
 
 impl Bucket {
-    /// An empty bucket that fills from now on.
+    /// Creates an empty bucket that refills from now on.
     pub fn empty(now_ms: Millis) -> Self {
         Self {
             level: 0.0,
@@ -27,31 +27,31 @@
         }
     }
 
-    /// Empties it; a debt stays.
-    pub fn empty_out(&mut self, now_ms: Millis) {
+    /// Drops all units; a debt stays.
+    pub fn clear(&mut self, now_ms: Millis) {
         self.level = self.level.min(0.0);
         self.filled_ms = now_ms;
     }
 
-    /// Lets in what has come since it was last filled.
-    pub fn fill(&mut self, filling: Filling, now_ms: Millis) {
+    /// Adds the units due since the last refill.
+    pub fn refill(&mut self, refill: Refill, now_ms: Millis) {
         let passed_ms = now_ms.saturating_sub(self.filled_ms);
-        let came = filling.per_s * passed_ms as f64 / MS_PER_SECOND as f64;
-        self.level = (self.level + came).min(filling.most);
+        let added = refill.per_s * passed_ms as f64 / MS_PER_SECOND as f64;
+        self.level = (self.level + added).min(refill.capacity);
         self.filled_ms = self.filled_ms.max(now_ms);
     }
 
-    /// Units that are there.
+    /// Units in the bucket; negative for a debt.
     pub fn level(&self) -> f64 {
         self.level
     }
 
-    /// Takes units, into debt where they are not there.
+    /// Takes units, if need be on debt.
     pub fn take(&mut self, units: f64) {
         self.level -= units;
     }
 
-    /// Time until so many units are there, at a rate.
+    /// Time until the bucket holds `units` at a refill rate of `per_s`.
     pub fn time_to_ms(&self, units: f64, per_s: f64) -> Millis {
         let missing = (units - self.level).max(0.0);
         if per_s <= 0.0 {
--- a/crates/tinbay-core/src/limits/denied.rs
+++ b/crates/tinbay-core/src/limits/denied.rs
@@ -1,51 +1,52 @@
-//! Requests that a limit turned away, so that they are known when they come back.
+//! Remembers requests that a limit rejected, so that their retries are recognised.
 //!
-//! Load it answers: an account that asks for many times its limit, whose callers come back each some
-//! seconds later, late by then. Units that go to these are missing for new requests, which could still
-//! be in time.
+//! When an account exceeds its limit many times over, its callers retry seconds later, when their
+//! answers are late already. Units spent on these retries are missing for new requests, which could
+//! still be answered in time.
 
 use std::collections::{HashMap, VecDeque};
 
 use crate::units::Millis;
 
-/// Most that are remembered of one limit: some seconds of an account that asks for a thousand requests
-/// a second beyond it.
-const MOST_REMEMBERED: usize = 4_096;
+/// Upper bound of the requests remembered per limit: about 4 s of an account that exceeds its
+/// limit by 1,000 requests per second.
+const MAX_REMEMBERED: usize = 4_096;
 
-/// How long they are remembered: longer than callers wait before they come back.
+/// How long a request is remembered; longer than callers wait before they retry.
 const REMEMBERED_MS: Millis = 15_000;
 
-/// One try of a caller, as far as it matters for the order in which they get units.
+/// One attempt of a caller at a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CallerTry {
-    /// Tells one request from another; the same one has the same digest each time it comes.
+    /// Digest of the request; the same for each attempt.
     pub digest: u64,
-    /// Time after its first try by which its answer is late.
+    /// Time from the first attempt after which the answer is late.
     pub objective_ms: Millis,
 }
 
-/// Requests that a limit turned away.
+/// Requests that a limit rejected, with the time of their first rejection.
 #[derive(Debug, Clone, Default)]
-pub struct DeniedTries {
+pub struct DeniedRequests {
     first_ms: HashMap<u64, Millis>,
     in_order: VecDeque<(Millis, u64)>,
 }
 
-impl DeniedTries {
-    /// Notes a try that is turned away; the first time counts.
+impl DeniedRequests {
+    /// Records the rejection of an attempt. For one request the first rejection counts.
     pub fn note(&mut self, of: CallerTry, now_ms: Millis) {
         self.forget(now_ms);
         if self.first_ms.contains_key(&of.digest) {
             return;
         }
-        if self.in_order.len() >= MOST_REMEMBERED {
+        if self.in_order.len() >= MAX_REMEMBERED {
             self.drop_oldest();
         }
         self.first_ms.insert(of.digest, now_ms);
         self.in_order.push_back((now_ms, of.digest));
     }
 
-    /// Whether a try is one of a request that was turned away so long ago that it is late by now.
+    /// Whether an attempt belongs to a request that was first rejected so long ago that its answer
+    /// would be late.
     pub fn is_late(&self, of: CallerTry, now_ms: Millis) -> bool {
         let first_ms = self.first_ms.get(&of.digest);
         first_ms.is_some_and(|first_ms| {
@@ -54,12 +55,12 @@
         })
     }
 
-    /// Requests that are remembered.
+    /// Number of remembered requests.
     pub fn len(&self) -> usize {
         self.first_ms.len()
     }
 
-    /// Whether none is.
+    /// Whether no request is remembered.
     pub fn is_empty(&self) -> bool {
         self.first_ms.is_empty()
     }
--- a/crates/tinbay-core/src/limits/home.rs
+++ b/crates/tinbay-core/src/limits/home.rs
@@ -1,104 +1,104 @@
-//! A limit where one box keeps it for all.
+//! The home of a limit: the box that grants its units to all boxes.
 //!
-//! All boxes draw the same box for a limit, its home, and ask it for units before they let requests in.
-//! Load it answers: one account that asks for many times its usual at all boxes at once, while others keep
-//! within theirs; a server in need that all boxes go on to use.
+//! Every box computes the same home for a limit and requests units from it before it admits
+//! requests. So the limit also holds when one account sends many times its usual load to all boxes
+//! at once, or when all boxes keep using a server that has named a limit.
 //!
-//! Where a part of the fleet can't be reached, each side may take another box for the home. So a
-//! home deals only the part of the rate that belongs to the boxes it reaches: a fleet that is cut
-//! in two deals the rate once, whatever both sides believe.
+//! In a network partition each side may have its own home. A home therefore grants only the
+//! fraction of the rate that corresponds to the boxes it can reach, so that both sides together
+//! stay within the rate.
 
 use crate::units::{MS_PER_SECOND, Millis};
 
-use super::bucket::{Bucket, Filling};
-use super::denied::{CallerTry, DeniedTries};
+use super::bucket::{Bucket, Refill};
+use super::denied::{CallerTry, DeniedRequests};
 use super::terms::LimitTerms;
 use super::turns::Turns;
 
-/// Part of the bucket that is kept for requests that wait: above it boxes are given units ahead.
-const KEPT_PART: f64 = 0.5;
+/// Fraction of the bucket reserved for requests that wait. Only units above it are granted ahead of
+/// demand.
+const RESERVED_FRACTION: f64 = 0.5;
 
-/// Time for which units have come after a pause in dealing: some, as an account may just have rested, but
-/// not all, as another home may have dealt them.
-const REMEMBERED_MS: Millis = 500;
+/// After a pause in granting, the bucket holds the units of this time only: not none, as the account
+/// may just have been idle, and not all, as another home may have granted them.
+const REFILL_AFTER_PAUSE_MS: Millis = 500;
 
-/// What a box asks for.
+/// A box's request for units of a limit.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct UnitRequest {
-    /// Units that a request waits for; 0 where none does.
+    /// Units for a request that waits; 0 if none does.
     pub needed: f64,
-    /// Units that the box would use soon besides.
+    /// Further units that the box expects to use soon.
     pub ahead: f64,
 }
 
-/// What a box gets.
+/// The home's answer to a [`UnitRequest`].
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct UnitGrant {
-    /// Units it may let in.
+    /// Units granted.
     pub units: f64,
-    /// Where what was needed is not given: time until there is room for it.
+    /// If the needed units are not granted: time until a retry, absent otherwise.
     pub room_in_ms: Option<Millis>,
 }
 
-/// How much may be dealt.
+/// Conditions under which the home grants units.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct DealTerms {
-    /// How the limit is kept.
+    /// Terms of the limit.
     pub limit_terms: LimitTerms,
-    /// Part of the fleet that this box reaches, from 0 to 1.
+    /// Fraction of the fleet that this box can reach, from 0 to 1.
     pub reached: f64,
-    /// Boxes of the fleet.
+    /// Number of boxes in the fleet.
     pub boxes: usize,
 }
 
-/// What is kept of a limit at its home.
+/// State of a limit at its home.
 #[derive(Debug, Clone)]
 pub struct LimitHome {
     bucket: Bucket,
-    /// Who is turned away is told to come back when there is room for it.
+    /// Spaces the retry times of rejected requests.
     turns: Turns,
-    /// Requests that were turned away: late ones among these get what new ones leave.
-    denied: DeniedTries,
-    /// When units were last dealt.
-    dealt_ms: Millis,
+    /// Rejected requests. Those that are late get only units that new ones leave.
+    denied: DeniedRequests,
+    /// When units were last requested.
+    last_request_ms: Millis,
 }
 
 impl LimitHome {
-    /// A home that has just become one: it starts empty, as the one before may have dealt all.
+    /// Creates the state of a new home. Its bucket is empty, as the previous home may have granted
+    /// all units.
     pub fn new(now_ms: Millis) -> Self {
         Self {
             bucket: Bucket::empty(now_ms),
             turns: Turns::default(),
-            denied: DeniedTries::default(),
-            dealt_ms: now_ms,
+            denied: DeniedRequests::default(),
+            last_request_ms: now_ms,
         }
     }
 
-    /// The same, where units are held back first.
+    /// Creates the state of a new home that withholds the first `debt` units.
     pub fn in_debt(debt: f64, now_ms: Millis) -> Self {
         let mut home = Self::new(now_ms);
         home.bucket.take(debt);
         home
     }
 
-    /// Deals units.
+    /// Grants units to a box.
     ///
-    /// Of a bucket that is more than half full more is given ahead than a box asks for: its
-    /// part of the rest, were all boxes to ask.
+    /// From a bucket that is more than half full, a box gets more than it requests ahead: an equal
+    /// share of the surplus per box of the fleet.
     ///
-    /// A request gets in when all that it counts is there, or the bucket is full. Of an account at
-    /// its limit short requests get in before long ones. Letting any in while there is anything, with
-    /// a debt, gave long ones the same chance, and refused 2,300 requests in place of 847 in 34 s
-    /// for the same worth (0.775 against 0.777; 0.56 against 0.59 where two accounts asked six
-    /// times their usual).
+    /// Needed units are granted if the bucket holds all of them or is full. So short requests of an
+    /// account at its limit are admitted before long ones. Granting on debt would treat both alike,
+    /// but reject almost three times as many requests without serving more of them in time.
     pub fn deal(&mut self, terms: DealTerms, request: UnitRequest, now_ms: Millis) -> UnitGrant {
         self.deal_to(terms, request, None, now_ms)
     }
 
-    /// Deals units to one try of a caller.
+    /// Grants units to a box for one attempt of a caller.
     ///
-    /// One that was turned away before and is late by now gets only what is left above the part that is
-    /// kept for requests which wait: a unit serves a caller who can still be in time better.
+    /// An attempt that is late after an earlier rejection gets only units above
+    /// [`RESERVED_FRACTION`]: units are worth more to requests that can still be answered in time.
     pub fn deal_to(
         &mut self,
         terms: DealTerms,
@@ -108,26 +108,27 @@
     ) -> UnitGrant {
         let limit = terms.limit_terms.limit;
         let reached = terms.reached.clamp(0.0, 1.0);
-        let filling = Filling {
+        let refill = Refill {
             per_s: limit.per_s * reached,
-            most: (limit.burst * reached).max(1.0),
+            capacity: (limit.burst * reached).max(1.0),
         };
         if now_ms
             >= self
-                .dealt_ms
-                .saturating_add(terms.limit_terms.forgotten_after_ms)
+                .last_request_ms
+                .saturating_add(terms.limit_terms.reset_after_ms)
         {
-            self.bucket.empty_out(now_ms.saturating_sub(REMEMBERED_MS));
+            self.bucket
+                .clear(now_ms.saturating_sub(REFILL_AFTER_PAUSE_MS));
         }
-        self.dealt_ms = now_ms;
-        self.bucket.fill(filling, now_ms);
+        self.last_request_ms = now_ms;
+        self.bucket.refill(refill, now_ms);
         let is_late = of.is_some_and(|of| self.denied.is_late(of, now_ms));
-        let left_for_others = if is_late {
-            KEPT_PART * filling.most
+        let reserved = if is_late {
+            RESERVED_FRACTION * refill.capacity
         } else {
             0.0
         };
-        if self.bucket.level() < request.needed.min(filling.most) + left_for_others {
+        if self.bucket.level() < request.needed.min(refill.capacity) + reserved {
             if let Some(of) = of {
                 self.denied.note(of, now_ms);
             }
@@ -135,32 +136,32 @@
             let room_in_ms = if is_late {
                 longest_ms
             } else {
-                self.promise_room(request.needed, filling, longest_ms, now_ms)
+                self.schedule_retry(request.needed, refill, longest_ms, now_ms)
             };
             return UnitGrant {
                 units: 0.0,
                 room_in_ms: Some(room_in_ms),
             };
         }
-        let spare = self.bucket.level() - request.needed - KEPT_PART * filling.most;
+        let spare = self.bucket.level() - request.needed - RESERVED_FRACTION * refill.capacity;
         let ahead = request.ahead.max(spare / terms.boxes.max(1) as f64);
-        // Messages carry whole units: a part of one would be lost.
+        // Messages carry whole units, so that a fraction would be lost.
         let units = request.needed + ahead.min(spare).max(0.0).floor();
         self.bucket.take(units);
         let room_in_ms = None;
         UnitGrant { units, room_in_ms }
     }
 
-    fn promise_room(
+    fn schedule_retry(
         &mut self,
         needed: f64,
-        filling: Filling,
+        refill: Refill,
         longest_ms: Millis,
         now_ms: Millis,
     ) -> Millis {
-        let needed = needed.min(filling.most);
-        let first_ms = now_ms.saturating_add(self.bucket.time_to_ms(needed, filling.per_s));
-        let own_ms = (needed / filling.per_s * MS_PER_SECOND as f64).ceil() as Millis;
+        let needed = needed.min(refill.capacity);
+        let first_ms = now_ms.saturating_add(self.bucket.time_to_ms(needed, refill.per_s));
+        let own_ms = (needed / refill.per_s * MS_PER_SECOND as f64).ceil() as Millis;
         self.turns.next_ms(first_ms, own_ms, longest_ms, now_ms)
     }
 }
--- a/crates/tinbay-core/src/limits/mod.rs
+++ b/crates/tinbay-core/src/limits/mod.rs
@@ -1,12 +1,14 @@
-//! Limits over all boxes: of client accounts, as operators configure them, and of servers, as these name
-//! them in their answers. A limit binds the sum over boxes, however these know each other.
+//! Fleet-wide rate limits: of client accounts, as operators configure them, and of servers, as
+//! announced in their answers. A limit applies to the sum over all boxes, also when some of these
+//! can't reach each other.
 //!
-//! One box, the home of a limit, deals its units to all others; a box that finds no home lives on a share
-//! of its own. Other sums over boxes stay apart, as nothing is to be dealt there: second sends follow each
-//! box's own first sends, loads of base models whole quotas that change with the holders of servers, and
-//! calls to the store are limited by the few boxes that read it for the others.
+//! One box, the home of a limit, grants units to all others. A box that can't reach the home uses
+//! its own share of the limit. Three other fleet-wide budgets do not use this module, as they need
+//! no distribution of units: hedged requests are bounded relative to each box's own requests, loads
+//! of base models by a quota of the box that holds the server, and store calls by the small number
+//! of boxes that read the store for the others.
 //!
-//! Like the rest of the core this does no I/O and reads no clock.
+//! No I/O, and no clock: callers pass the time in.
 
 pub mod bucket;
 pub mod denied;
--- a/crates/tinbay-core/src/limits/share.rs
+++ b/crates/tinbay-core/src/limits/share.rs
@@ -1,56 +1,57 @@
-//! A limit at a box that lets requests in.
+//! A limit at a box that admits requests.
 //!
-//! What the limit's home has given is used first. A box whose home does not answer uses its own
-//! share, the limit divided by the boxes of the fleet. A share may be too small for one request:
-//! of 29,000 tokens a second 392 are left to each of 74 boxes. So it may be overdrawn by the box's
-//! part of what operators allow beyond the limit; that is paid back before the next request.
+//! Units granted by the limit's home are used first. A box whose home does not answer uses its own
+//! share, the limit divided by the number of boxes. A share may be too small for one request: 74
+//! boxes share 29,000 tokens per second at 392 each. It may therefore be overdrawn by the box's
+//! share of the overdraft that operators allow; the debt is paid back before the next request.
 
 use crate::units::Millis;
 
-use super::bucket::{Bucket, Filling};
+use super::bucket::{Bucket, Refill};
 use super::terms::LimitTerms;
 
-/// How long units last that were given ahead; what is not used by then is lost, so
-/// that many boxes can't save them up and use them at once.
+/// Lifetime of granted units. Unused ones expire, so that many boxes can't accumulate them and
+/// use them at once.
 pub const GRANT_LIFE_MS: Millis = 1_000;
 
-/// Time for which units are asked ahead: some round trips between zones with what may delay them.
-const AHEAD_MS: Millis = 250;
+/// Units are requested ahead for the expected use of this time: several round trips between zones,
+/// with delays.
+const PREFETCH_MS: Millis = 250;
 
-/// Time for which a limit is taken to be reached after its home had no room: about as long
-/// as boxes take to agree on another home.
+/// How long a limit counts as reached after its home refused units: about the time in which boxes
+/// agree on a new home.
 const AT_LIMIT_MS: Millis = 1_500;
 
-/// Time over which the usual use is averaged.
-const USUAL_MS: f64 = 1_000.0;
+/// Time constant of the average use.
+const AVERAGE_USE_MS: f64 = 1_000.0;
 
-/// What the share of one box is worked out from.
+/// Determines the share of one box.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ShareTerms {
-    /// How the limit is kept.
+    /// Terms of the limit.
     pub limit_terms: LimitTerms,
-    /// Boxes of the fleet.
+    /// Number of boxes in the fleet.
     pub boxes: usize,
 }
 
-/// What is kept of a limit at one box.
+/// State of a limit at one box.
 #[derive(Debug, Clone)]
 pub struct LimitShare {
-    given: f64,
-    given_ms: Millis,
+    granted: f64,
+    granted_ms: Millis,
     share: Bucket,
     used_per_ms: f64,
     used_ms: Millis,
-    /// Until when the limit is taken to be reached.
+    /// Until when the limit counts as reached.
     at_limit_until_ms: Millis,
 }
 
 impl LimitShare {
-    /// A box that has neither let in nor been given anything.
+    /// Creates the state of a box without grants and recorded use.
     pub fn new(now_ms: Millis) -> Self {
         Self {
-            given: 0.0,
-            given_ms: now_ms,
+            granted: 0.0,
+            granted_ms: now_ms,
             share: Bucket::empty(now_ms),
             used_per_ms: 0.0,
             used_ms: now_ms,
@@ -58,43 +59,43 @@
         }
     }
 
-    /// The same, where units are held back first.
+    /// Creates the state of a box that withholds the first `debt` units of its share.
     pub fn in_debt(debt: f64, now_ms: Millis) -> Self {
         let mut share = Self::new(now_ms);
         share.share.take(debt);
         share
     }
 
-    /// Notes that the home had no room for a request. An account at its limit does not live on
-    /// shares while its home is not found: together with what that still deals, an account that
-    /// asked six times its limit got 1.15 times of it over 8 s.
+    /// Records that the home refused units for a request. For a while the box then does not use its
+    /// share either, even if the home stops answering: the home may still be granting to other boxes,
+    /// and grants and shares together exceed the limit.
     pub fn note_denied(&mut self, now_ms: Millis) {
         self.at_limit_until_ms = now_ms + AT_LIMIT_MS;
     }
 
-    /// Notes units that the home has given. The own share is not saved up meanwhile: it is among
-    /// what the home deals.
+    /// Records units granted by the home, and clears the box's own share, which is part of what the
+    /// home grants.
     pub fn note_given(&mut self, units: f64, now_ms: Millis) {
-        self.given = self.given_now(now_ms) + units;
-        self.given_ms = now_ms;
-        self.share.empty_out(now_ms);
+        self.granted = self.unexpired_grant(now_ms) + units;
+        self.granted_ms = now_ms;
+        self.share.clear(now_ms);
     }
 
-    /// Lets a request in by what the home has given; whether it got in is returned.
+    /// Takes units for a request from the home's grants; false if they do not suffice.
     pub fn take_given(&mut self, units: f64, now_ms: Millis) -> bool {
-        let given = self.given_now(now_ms);
-        if given < units {
+        let granted = self.unexpired_grant(now_ms);
+        if granted < units {
             return false;
         }
-        self.given = given - units;
+        self.granted = granted - units;
         self.note_use(units, now_ms);
         true
     }
 
-    /// Lets a request in by the own share.
+    /// Takes units for a request from the box's own share.
     ///
     /// # Errors
-    /// The time until there is room, where there is none.
+    /// The time until a retry, if the share does not suffice.
     pub fn take_share(
         &mut self,
         terms: ShareTerms,
@@ -104,8 +105,8 @@
         let boxes = terms.boxes.max(1) as f64;
         let limit = terms.limit_terms.limit;
         let per_s = limit.per_s / boxes;
-        let most = limit.burst.max(limit.per_s) / boxes;
-        self.share.fill(Filling { per_s, most }, now_ms);
+        let capacity = limit.burst.max(limit.per_s) / boxes;
+        self.share.refill(Refill { per_s, capacity }, now_ms);
         let needed = units - terms.limit_terms.overdraft / boxes;
         if now_ms < self.at_limit_until_ms {
             return Err(self.at_limit_until_ms - now_ms);
@@ -118,38 +119,38 @@
         Ok(())
     }
 
-    /// Gives back what a request counted that was not run.
+    /// Returns the units of a request that was not run.
     pub fn give_back(&mut self, units: f64, now_ms: Millis) {
-        self.given = self.given_now(now_ms) + units;
+        self.granted = self.unexpired_grant(now_ms) + units;
     }
 
-    /// Units to ask for ahead: what the box usually uses in the time, less what it has. Nothing is
-    /// asked for while half of that is there.
+    /// Units to request ahead: the expected use in [`PREFETCH_MS`] less the units at hand, or 0 while
+    /// these cover half of it.
     pub fn ahead(&self, now_ms: Millis) -> f64 {
-        let usual = self.usual_per_ms(now_ms) * AHEAD_MS as f64;
-        let given = self.given_now(now_ms);
-        if given * 2.0 >= usual {
+        let expected = self.average_use_per_ms(now_ms) * PREFETCH_MS as f64;
+        let granted = self.unexpired_grant(now_ms);
+        if granted * 2.0 >= expected {
             0.0
         } else {
-            usual - given
+            expected - granted
         }
     }
 
-    fn given_now(&self, now_ms: Millis) -> f64 {
-        if now_ms < self.given_ms + GRANT_LIFE_MS {
-            self.given
+    fn unexpired_grant(&self, now_ms: Millis) -> f64 {
+        if now_ms < self.granted_ms + GRANT_LIFE_MS {
+            self.granted
         } else {
             0.0
         }
     }
 
-    fn usual_per_ms(&self, now_ms: Millis) -> f64 {
+    fn average_use_per_ms(&self, now_ms: Millis) -> f64 {
         let passed_ms = now_ms.saturating_sub(self.used_ms) as f64;
-        self.used_per_ms * (-passed_ms / USUAL_MS).exp()
+        self.used_per_ms * (-passed_ms / AVERAGE_USE_MS).exp()
     }
 
     fn note_use(&mut self, units: f64, now_ms: Millis) {
-        self.used_per_ms = self.usual_per_ms(now_ms) + units / USUAL_MS;
+        self.used_per_ms = self.average_use_per_ms(now_ms) + units / AVERAGE_USE_MS;
         self.used_ms = now_ms;
     }
 }
--- a/crates/tinbay-core/src/limits/terms.rs
+++ b/crates/tinbay-core/src/limits/terms.rs
@@ -1,85 +1,85 @@
-//! What a limit allows, and how each kind of limit is kept.
+//! Terms of limits: what they allow, and how each kind is enforced.
 
 use crate::units::{MS_PER_SECOND, Millis};
 
-/// What a limit allows over all boxes.
+/// A fleet-wide rate limit.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Limit {
-    /// Units a second.
+    /// Units per second.
     pub per_s: f64,
-    /// Units beyond that at once.
+    /// Capacity of the token bucket.
     pub burst: f64,
 }
 
-/// How a limit is kept.
+/// How a limit is enforced.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct LimitTerms {
-    /// What it allows.
+    /// Rate and burst.
     pub limit: Limit,
-    /// Units by which all boxes together may overdraw their shares while they find no home.
+    /// Units by which all boxes together may overdraw their shares while they can't reach a home.
     pub overdraft: f64,
-    /// Units that a new home, and all shares together, hold back first.
+    /// Units that a new home withholds at first, and that all shares withhold together.
     pub first_debt: f64,
-    /// Pause in dealing after which a home forgets what it had saved: another box may have been the home
-    /// meanwhile.
-    pub forgotten_after_ms: Millis,
-    /// Longest time that those who are turned away are told to stay away.
+    /// Pause without requests after which a home drops its saved units: another box may have been
+    /// the home in the meantime.
+    pub reset_after_ms: Millis,
+    /// Upper bound of the retry time given on a rejection.
     pub longest_away_ms: Millis,
 }
 
-/// Pause in dealing after which the home of an account forgets what it saved: another box may have dealt all
-/// of it meanwhile.
-const ACCOUNT_FORGOTTEN_AFTER_MS: Millis = 2_000;
+/// Pause without requests after which the home of an account's limit drops its saved units: another
+/// box may have granted all of them in the meantime.
+const ACCOUNT_RESET_AFTER_MS: Millis = 2_000;
 
-/// Longest time that callers of an account at its limit are told to stay away.
-const ACCOUNT_LONGEST_AWAY_MS: Millis = 30_000;
+/// Upper bound of the retry time given to callers of an account at its limit.
+const ACCOUNT_MAX_RETRY_MS: Millis = 30_000;
 
-/// Span over which a server's limit binds.
+/// Window over which a server's limit applies.
 const SERVER_WINDOW_MS: Millis = 4_000;
 
-/// Part of a second's units that a server may get at once besides one request: with a bucket of one request
-/// a unit that came while nobody asked would be lost.
+/// Seconds' worth of units that the bucket of a server's limit holds beyond one request. With a
+/// capacity of one request, units that accrue while no box asks would be lost.
 const SERVER_BURST_S: f64 = 0.25;
 
-/// Requests, and part of a second's units, by which boxes that find no home may overdraw their shares
-/// together. One and a half times a limit and 5 requests are allowed in 4 s; the home deals once the limit
-/// and a burst, units given ahead live for a second.
+/// Requests by which boxes that can't reach a home may overdraw their shares together, besides
+/// [`SERVER_OVERDRAFT_S`]. A window of 4 s may hold 1.5 times the limit and 5 requests; the home
+/// grants up to the limit and one burst, and granted units live for a second.
 const SERVER_OVERDRAFT: f64 = 2.0;
+/// Seconds' worth of units by which those boxes may overdraw in addition.
 const SERVER_OVERDRAFT_S: f64 = 0.5;
 
-/// What servers usually got, against the limits that they named: two got 9 to 19 requests a second before
-/// they named 3.4 and 3.8. Nothing is sent for so many times as long as the window reaches back to before
-/// the limit was known.
-const USUAL_OVER_LIMIT: f64 = 3.0;
+/// Assumed ratio of a server's request rate before it announced a limit to that limit. Sending stops
+/// for this multiple of the part of the window that lies before the announcement.
+const PRIOR_RATE_RATIO: f64 = 3.0;
 
-/// The home of a server's limit forgets nothing: its bucket holds a request or two, and at a limit of 0.3 a
-/// second nobody may ask for longer than that of an account is remembered.
-const SERVER_FORGOTTEN_AFTER_MS: Millis = Millis::MAX;
+/// The home of a server's limit never drops its saved units: its bucket holds one or two requests,
+/// and at a limit of 0.3 per second, pauses longer than [`ACCOUNT_RESET_AFTER_MS`] are normal.
+const SERVER_RESET_AFTER_MS: Millis = Millis::MAX;
 
-/// Longest time for which a box does not ask for units of a server's limit after it got none. It is also the
-/// longest until the box learns that the limit is over.
-const SERVER_LONGEST_AWAY_MS: Millis = 5_000;
+/// Upper bound of the time for which a box requests no units of a server's limit after a refusal.
+/// It also bounds the time until the box learns that the limit has ended.
+const SERVER_MAX_RETRY_MS: Millis = 5_000;
 
 impl LimitTerms {
-    /// The limit of a client account.
+    /// Terms for the limit of a client account.
     pub fn of_account(limit: Limit, overdraft: f64) -> Self {
         Self {
             limit,
             overdraft,
             first_debt: 0.0,
-            forgotten_after_ms: ACCOUNT_FORGOTTEN_AFTER_MS,
-            longest_away_ms: ACCOUNT_LONGEST_AWAY_MS,
+            reset_after_ms: ACCOUNT_RESET_AFTER_MS,
+            longest_away_ms: ACCOUNT_MAX_RETRY_MS,
         }
     }
 
-    /// The limit of a server, in requests a second, that binds some time after the server first named it;
-    /// `known_for_ms` says for how long it has been known.
+    /// Terms for the limit of a server, in requests per second. The limit applies `binds_after_ms`
+    /// after the server announced it, which was `known_for_ms` ago.
     ///
-    /// Where that time is shorter than the window, the first windows reach back to before the server named
-    /// its limit, and what came there counts as well.
+    /// If `binds_after_ms` is shorter than the window, the first windows include requests from before
+    /// the announcement, which count as well.
     pub fn of_server(per_s: f64, binds_after_ms: Millis, known_for_ms: Millis) -> Self {
         let reaches_back_ms = SERVER_WINDOW_MS.saturating_sub(binds_after_ms) as f64;
-        let held_back_ms = (reaches_back_ms * USUAL_OVER_LIMIT).min(binds_after_ms as f64);
+        let held_back_ms = (reaches_back_ms * PRIOR_RATE_RATIO).min(binds_after_ms as f64);
         let held_back_ms = (held_back_ms - known_for_ms as f64).max(0.0);
         Self {
             limit: Limit {
@@ -88,8 +88,8 @@
             },
             overdraft: SERVER_OVERDRAFT + SERVER_OVERDRAFT_S * per_s,
             first_debt: per_s * held_back_ms / MS_PER_SECOND as f64,
-            forgotten_after_ms: SERVER_FORGOTTEN_AFTER_MS,
-            longest_away_ms: SERVER_LONGEST_AWAY_MS,
+            reset_after_ms: SERVER_RESET_AFTER_MS,
+            longest_away_ms: SERVER_MAX_RETRY_MS,
         }
     }
 }
--- a/crates/tinbay-core/src/limits/turns.rs
+++ b/crates/tinbay-core/src/limits/turns.rs
@@ -1,17 +1,17 @@
-//! When those who are turned away come back: one after the other, each when there is room.
+//! Spaces the retry times of rejected requests.
 
 use crate::units::Millis;
 
-/// Turns of those who were turned away.
+/// Retry times given to rejected requests, one after the other.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Turns {
-    /// Until when the room to come is promised.
-    promised_until_ms: Millis,
+    /// The latest retry time given so far.
+    last_retry_ms: Millis,
 }
 
 impl Turns {
-    /// The time until the next turn: not before there is room at `first_ms`, and `gap_ms` after the turn
-    /// before, but never longer than `longest_ms`.
+    /// Time until the next retry: not before `first_ms`, and `gap_ms` after the previous one, but at
+    /// most `longest_ms`.
     pub fn next_ms(
         &mut self,
         first_ms: Millis,
@@ -19,10 +19,10 @@
         longest_ms: Millis,
         now_ms: Millis,
     ) -> Millis {
-        let next_ms = self.promised_until_ms.saturating_add(gap_ms);
+        let next_ms = self.last_retry_ms.saturating_add(gap_ms);
         let turn_ms = first_ms.max(next_ms);
         let last_ms = now_ms.saturating_add(longest_ms);
-        self.promised_until_ms = turn_ms.min(last_ms);
+        self.last_retry_ms = turn_ms.min(last_ms);
         turn_ms.saturating_sub(now_ms).min(longest_ms)
     }
 }
--- a/crates/tinbay-core/tests/denied_test.rs
+++ b/crates/tinbay-core/tests/denied_test.rs
@@ -2,7 +2,7 @@
 
 use std::collections::VecDeque;
 
-use tinbay_core::limits::denied::{CallerTry, DeniedTries};
+use tinbay_core::limits::denied::{CallerTry, DeniedRequests};
 use tinbay_core::limits::home::{DealTerms, LimitHome, UnitRequest};
 use tinbay_core::limits::terms::{Limit, LimitTerms};
 use tinbay_core::units::Millis;
@@ -130,7 +130,7 @@
 
 #[test]
 fn denied_memory_is_bounded_and_fades() {
-    let mut denied = DeniedTries::default();
+    let mut denied = DeniedRequests::default();
     for digest in 0..100_000 {
         denied.note(try_of(digest), 1_000);
     }
