--- a/crates/tinbay-core/src/crashes/digest.rs
+++ b/crates/tinbay-core/src/crashes/digest.rs
@@ -1,4 +1,4 @@
-//! What makes two requests the same one: who asks, where, and with which body.
+//! Identity of a request across retries: client account, path and body.
 
 use std::fmt;
 use std::str::FromStr;
@@ -6,21 +6,21 @@
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
 
-/// Bytes of a digest: nobody finds a second request with the digest of a given one.
+/// Length of a digest in bytes; long enough that nobody can construct a second request with the
+/// digest of a given one.
 const DIGEST_BYTES: usize = 16;
 
-/// The digest of a request's client account, path and body, alike for each time that it is sent.
+/// The digest of a request's client account, path and body, which is the same for each attempt.
 ///
-/// The account is part of it so that nobody can have another's request refused. Where requests need
-/// no key nobody is told apart: one caller comes from many addresses, and with these a request that
-/// came back through three of them was taken for three. The id of a try, its deadline and other
-/// headers differ from one time to the next.
+/// The account is included so that no caller can have the requests of another account refused.
+/// Where requests need no key, callers are not distinguished: their addresses would not serve, as
+/// one caller's retries may come from several of them and would count as different requests.
+/// Headers such as the attempt's id and deadline differ between attempts and are left out.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RequestDigest([u8; DIGEST_BYTES]);
 
 impl RequestDigest {
-    /// The digest of a request under a client account, with a path and query, and a body or the first
-    /// part of a long one.
+    /// Computes the digest. `path` includes the query; `body` may be the first part of a long one.
     pub fn of(account: Option<&str>, path: &str, body: &[u8]) -> Self {
         let mut hasher = Sha256::new();
         if let Some(account) = account {
@@ -34,7 +34,7 @@
         Self(digest)
     }
 
-    /// Its first part, where it need only tell some hundred requests apart.
+    /// The first 64 bits, for use among some hundred requests.
     pub fn short(&self) -> u64 {
         let mut first = [0; size_of::<u64>()];
         first.copy_from_slice(&self.0[..size_of::<u64>()]);
@@ -42,29 +42,29 @@
     }
 }
 
-/// A text that is no digest.
+/// The text is not a valid digest.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("not a digest of {} hexadecimal digits", 2 * DIGEST_BYTES)]
-pub struct NoDigest;
+pub struct InvalidDigest;
 
 impl FromStr for RequestDigest {
-    type Err = NoDigest;
+    type Err = InvalidDigest;
 
-    fn from_str(text: &str) -> Result<Self, NoDigest> {
+    fn from_str(text: &str) -> Result<Self, InvalidDigest> {
         let is_hex = text.bytes().all(|byte| byte.is_ascii_hexdigit());
         if text.len() != 2 * DIGEST_BYTES || !is_hex {
-            return Err(NoDigest);
+            return Err(InvalidDigest);
         }
         let mut digest = [0; DIGEST_BYTES];
         for (position, byte) in digest.iter_mut().enumerate() {
             let digits = &text[2 * position..2 * position + 2];
-            *byte = u8::from_str_radix(digits, 16).map_err(|_| NoDigest)?;
+            *byte = u8::from_str_radix(digits, 16).map_err(|_| InvalidDigest)?;
         }
         Ok(Self(digest))
     }
 }
 
-/// Adds one part with its length, so that no two lists of parts give the same bytes.
+/// Hashes a part with its name and length, so that different parts can't give the same byte sequence.
 fn add(hasher: &mut Sha256, name: &[u8], part: &[u8]) {
     hasher.update(name);
     hasher.update((part.len() as u64).to_le_bytes());
--- a/crates/tinbay-core/src/crashes/ledger.rs
+++ b/crates/tinbay-core/src/crashes/ledger.rs
@@ -1,24 +1,24 @@
-//! Counts the crashes under which a request ran.
+//! Counts the server crashes during which a request was running.
 
 use std::collections::{HashMap, VecDeque};
 
 use super::digest::RequestDigest;
 use crate::units::Millis;
 
-/// Crashes under one request after which it is refused. One crash has as many suspects as the
-/// server had requests, up to 64, and two may happen beside the same one in a bad minute; three in
-/// an hour beside one that is harmless and never ends well is the work of that request.
+/// Crashes during a request after which it is refused. Every request of a crashed server, up to 64,
+/// is a suspect, and a harmless one may coincide with two crashes in a bad minute. Three in an hour,
+/// with no successful run in between, are unlikely for a harmless request.
 pub const CRASHES_TO_REFUSE: usize = 3;
 
-/// How long a crash counts. A request that comes back every few minutes must not cost a server each
-/// time.
+/// How long crashes count after the last one. A request that is retried every few minutes must not
+/// crash a server each time.
 const CRASH_LIFE_MS: Millis = 3_600_000;
 
-/// Most requests that are kept; the oldest make way. A crash has some tens of suspects, so that this
-/// holds those of a hundred crashes, in about half a megabyte.
-const MOST_SUSPECTS: usize = 4_096;
+/// Upper bound of the requests tracked; the oldest are dropped. A crash has some tens of suspects,
+/// so that this covers about a hundred crashes, in about half a megabyte.
+const MAX_SUSPECTS: usize = 4_096;
 
-/// One crash of one incarnation of a server, alike for all boxes that saw it.
+/// Identifies one crash of one incarnation of a server, on all boxes that saw it.
 pub type CrashKey = u64;
 
 #[derive(Debug)]
@@ -27,16 +27,17 @@
     last_ms: Millis,
 }
 
-/// The requests that ran as servers crashed.
+/// The requests that were running when servers crashed.
 #[derive(Debug, Default)]
 pub struct CrashLedger {
     suspects: HashMap<RequestDigest, Suspect>,
-    /// In the order in which they were first suspected.
+    /// Suspects in the order in which they were added.
     order: VecDeque<RequestDigest>,
 }
 
 impl CrashLedger {
-    /// Notes that a server crashed while it had a request; under how many that one has run so far.
+    /// Records that a server crashed while it ran a request. Returns the request's number of crashes,
+    /// up to [`CRASHES_TO_REFUSE`].
     pub fn note(&mut self, digest: RequestDigest, crash: CrashKey, now_ms: Millis) -> usize {
         if !self.suspects.contains_key(&digest) {
             self.make_room();
@@ -57,25 +58,25 @@
         suspect.crashes.len()
     }
 
-    /// Forgets a request that ended well.
+    /// Drops a request that succeeded.
     pub fn clear(&mut self, digest: RequestDigest) {
         if self.suspects.remove(&digest).is_some() {
             self.order.retain(|kept| *kept != digest);
         }
     }
 
-    /// How many requests are suspected.
+    /// Number of suspects.
     pub fn len(&self) -> usize {
         self.suspects.len()
     }
 
-    /// Whether none is.
+    /// Whether there are no suspects.
     pub fn is_empty(&self) -> bool {
         self.suspects.is_empty()
     }
 
     fn make_room(&mut self) {
-        while self.order.len() >= MOST_SUSPECTS
+        while self.order.len() >= MAX_SUSPECTS
             && let Some(oldest) = self.order.pop_front()
         {
             self.suspects.remove(&oldest);
--- a/crates/tinbay-core/src/crashes/mod.rs
+++ b/crates/tinbay-core/src/crashes/mod.rs
@@ -1,10 +1,10 @@
-//! Requests under which servers crash: told apart, counted over servers, and refused in the end.
+//! Detection and quarantine of requests that crash servers.
 //!
-//! A server that crashes cuts all requests that it runs, and each of them may be the cause. Each box
-//! tells the crashes that it saw to the few boxes that judge a request, drawn by its digest. A
-//! request under which several servers crashed, none of them restarted or mistaken for another,
-//! is held in quarantine, and all boxes are told. A box that has seen the same request end well does
-//! not hold it for a cause.
+//! When a server crashes, each of its running requests may be the cause. Every box reports the
+//! crashes that it saw to a few boxes, chosen by the digest of the request, which count them. A
+//! request that was running in several crashes is quarantined, and all boxes are notified. Planned
+//! restarts and servers mistaken for another one do not count. A box that has seen the same request
+//! succeed does not suspect it.
 
 pub mod digest;
 pub mod ledger;
--- a/crates/tinbay-core/src/crashes/proven.rs
+++ b/crates/tinbay-core/src/crashes/proven.rs
@@ -1,16 +1,16 @@
-//! Requests that were seen to end well.
+//! Requests that are known to have succeeded.
 
 use std::collections::{HashSet, VecDeque};
 
 use super::digest::RequestDigest;
 
-/// Most requests that are kept; the oldest make way. A box at its share of 120,000 requests a second
-/// over 2,200 boxes remembers two minutes, in a third of a megabyte.
-const MOST_PROVEN: usize = 8_192;
+/// Upper bound of the requests remembered; the oldest are dropped. A box of 2,200 that share 120,000
+/// requests per second covers more than two minutes, in a third of a megabyte.
+const MAX_PROVEN: usize = 8_192;
 
-/// Requests that were seen to end well lately: such a one is not what servers crash under, however
-/// often it ran as some did. A caller that asks the same every second would else be refused after
-/// three crashes of other causes.
+/// Requests that succeeded recently. Such a request is not suspected, even if it was running in
+/// several crashes: otherwise a caller that sends the same request every second would be refused
+/// after three crashes with other causes.
 #[derive(Debug, Default)]
 pub struct ProvenRequests {
     known: HashSet<RequestDigest>,
@@ -18,20 +18,20 @@
 }
 
 impl ProvenRequests {
-    /// Notes that a request ended well.
+    /// Records the success of a request.
     pub fn note(&mut self, digest: RequestDigest) {
         if !self.known.insert(digest) {
             return;
         }
         self.order.push_back(digest);
-        if self.order.len() > MOST_PROVEN
+        if self.order.len() > MAX_PROVEN
             && let Some(oldest) = self.order.pop_front()
         {
             self.known.remove(&oldest);
         }
     }
 
-    /// Whether a request was seen to end well.
+    /// Whether a request is known to have succeeded.
     pub fn contains(&self, digest: RequestDigest) -> bool {
         self.known.contains(&digest)
     }
