--- a/crates/tinbay-core/src/accounts/account.rs
+++ b/crates/tinbay-core/src/accounts/account.rs
@@ -5,35 +5,35 @@
 use super::key::KeyDigest;
 use crate::limits::terms::Limit;
 
-/// A client account.
+/// A client account, with its keys and its rate limit.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Account {
-    /// Its name, which servers are told.
+    /// Unique name, which is passed on to servers.
     pub name: Rc<str>,
-    /// Its keys; each one alone lets a request in.
+    /// Digests of its API keys, any of which authenticates a request.
     pub keys: Vec<KeyDigest>,
-    /// Its rank, 0 first; it goes before that of the route.
+    /// Priority, 0 first. It takes precedence over that of the route.
     pub priority: u8,
-    /// What its limit counts.
+    /// Unit of its limit.
     pub unit: LimitUnit,
-    /// What it may ask for over all boxes; none where that is not limited.
+    /// Fleet-wide rate limit; absent if the account is not limited.
     pub limit: Option<Limit>,
 }
 
-/// What a limit counts.
+/// Unit that a limit counts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LimitUnit {
-    /// Requests.
+    /// Each request counts 1.
     Requests,
-    /// Tokens read and made.
+    /// Each request counts its prompt and completion tokens.
     Tokens {
-        /// What a request counts that does not say how many.
+        /// Cost of a request that does not state its tokens.
         plain_tokens: u64,
     },
 }
 
 impl LimitUnit {
-    /// What one request counts; `tokens` are those it says that it reads and makes.
+    /// Cost of one request; `tokens` is the number that it states, if any.
     pub fn cost(self, tokens: Option<u64>) -> f64 {
         match self {
             LimitUnit::Requests => 1.0,
--- a/crates/tinbay-core/src/accounts/key.rs
+++ b/crates/tinbay-core/src/accounts/key.rs
@@ -1,16 +1,17 @@
-//! Keys of client accounts, as their digests alone: a key itself is a secret and is not kept.
+//! Digests of API keys. The keys themselves are secrets and are not stored.
 
 use std::fmt;
 
 use sha2::{Digest, Sha256};
 
-/// Bytes of a digest: no two of a million keys share one, and none can be found for a digest.
+/// Length of a digest in bytes; long enough that a million keys do not collide and that no key can
+/// be found for a given digest.
 const DIGEST_BYTES: usize = 16;
 
-/// Longest text that is taken for a key.
-const MOST_KEY_BYTES: usize = 256;
+/// Maximum length of a key in bytes.
+const MAX_KEY_BYTES: usize = 256;
 
-/// The digest of a key.
+/// Truncated SHA-256 digest of an API key.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct KeyDigest([u8; DIGEST_BYTES]);
 
@@ -21,11 +22,11 @@
 }
 
 impl KeyDigest {
-    /// The digest of a key; none where the text can't be one: empty, too long, or with anything
-    /// but visible ASCII.
+    /// Computes the digest of a key. `None` if the key is empty, too long, or contains anything but
+    /// visible ASCII characters.
     pub fn of(key: &[u8]) -> Option<Self> {
         let is_key = !key.is_empty()
-            && key.len() <= MOST_KEY_BYTES
+            && key.len() <= MAX_KEY_BYTES
             && key.iter().all(|byte| byte.is_ascii_graphic());
         if !is_key {
             return None;
@@ -36,12 +37,12 @@
         Some(Self(digest))
     }
 
-    /// The digest as hexadecimal digits, in which it is passed on.
+    /// The digest in hexadecimal, its form in messages.
     pub fn to_hex(self) -> String {
         self.0.iter().map(|byte| format!("{byte:02x}")).collect()
     }
 
-    /// Reads hexadecimal digits; none where they are not a digest.
+    /// Parses the hexadecimal form; `None` if it is not a digest.
     pub fn from_hex(hex: &str) -> Option<Self> {
         if hex.len() != 2 * DIGEST_BYTES || !hex.is_ascii() {
             return None;
--- a/crates/tinbay-core/src/accounts/key_check.rs
+++ b/crates/tinbay-core/src/accounts/key_check.rs
@@ -1,17 +1,17 @@
-//! Whether a request may be served under the key that it shows.
+//! Authentication of a request by its API key.
 //!
-//! A key that operators have taken away must not let a request in that its caller sent longer
-//! after that than is allowed. A box can't know at once; it knows up to when its copy of the
-//! configuration was certainly complete. A key in a copy that was complete at `c` was taken away
-//! after `c` at the earliest. A request that is decided at `d` was sent before `d`. So while
-//! `d - c` is no longer than the time allowed, it was sent in time, however long it runs or waits
-//! for its server later: one check, once the request has come, is proof. The clock must go on
-//! while the process is frozen, and `c` must be the time at which the store was asked, never that
-//! of its answer.
+//! A request that is sent later than a configured time after the revocation of its key must not be
+//! served. A box does not hear of a revocation at once, but it knows up to which time its copy of
+//! the configuration is complete. A key in a copy that is complete up to `c` was revoked after `c`
+//! at the earliest. A request checked at `d` was sent before `d`. So if `d - c` is at most the
+//! allowed time, the request was sent in time, however long it runs or queues afterwards: a single
+//! check on arrival is sufficient. This requires a clock that advances while the process is
+//! suspended, and `c` must be the time at which the store was queried, not that of its answer.
 //!
-//! Ways that were weighed: checking again before each send adds nothing to the proof and refuses
-//! requests that may run; waiting for a fresh read where the copy is too old keeps requests that
-//! are hardly ever served in time, as the copy is only too old while the store can't be read.
+//! Two alternatives are not used. A further check before each send adds nothing to this argument
+//! and refuses requests that may run. Waiting for a fresh read if the copy is too old only holds
+//! requests that would hardly ever be served in time, as the copy becomes too old only while the
+//! store can't be read.
 
 use std::rc::Rc;
 
@@ -21,61 +21,62 @@
 use super::key::KeyDigest;
 use super::table::AccountTable;
 
-/// Time for which a watch of the store may hear nothing of changes that are made: the store may
-/// have dropped its history, which it tells a second later, and half a second for the way.
+/// How long a watch of the store may miss changes: the store reports dropped history 1 s later, and
+/// 0.5 s is allowed for the network.
 const WATCH_BLIND_MS: Millis = 1_500;
 
-/// Kept free of both bounds for clocks that do not run alike and times rounded to milliseconds.
+/// Safety margin of both bounds for clock drift and rounding to milliseconds.
 const MARGIN_MS: Millis = 200;
 
-/// Bounds that the operators promise.
+/// Configured bounds on the delay of key changes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct KeyTerms {
-    /// Time after which no request may be sent under a key that was taken away.
+    /// Time after a revocation from which requests with the key are no longer served.
     pub withdrawn_within_ms: Millis,
-    /// Time after which a key that was added must be served.
+    /// Time after its addition from which a key must not be reported as unknown.
     pub added_within_ms: Millis,
 }
 
 impl KeyTerms {
-    /// Greatest age of the copy on which a key in it is served.
+    /// Maximum age of the copy at which a key that it holds is accepted.
     pub fn served_age_ms(&self) -> Millis {
         let kept_ms = WATCH_BLIND_MS + MARGIN_MS;
         self.withdrawn_within_ms.saturating_sub(kept_ms)
     }
 
-    /// Greatest age of the copy on which a key that is not in it counts as never given.
+    /// Maximum age of the copy at which a key that it lacks is reported as unknown.
     pub fn unknown_age_ms(&self) -> Millis {
         self.added_within_ms.saturating_sub(MARGIN_MS)
     }
 }
 
-/// The key that a request shows.
+/// The key that a request carries.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ShownKey {
-    /// None, or what can't be one.
+    /// No key, or a malformed one.
     None,
-    /// The one of this digest.
+    /// A well-formed key, by its digest.
     Digest(KeyDigest),
 }
 
-/// Under which account a request may be served.
+/// Result of the authentication.
 #[derive(Debug, Clone, PartialEq)]
 pub enum KeyDecision {
-    /// Under this one; under none where there are no accounts or the route needs no key.
+    /// Serve the request, for this account if any. There is none if no accounts are configured,
+    /// or if the route is public and the key could not be verified.
     Serve(Option<Rc<Account>>),
-    /// It shows no key.
+    /// Refuse: the request carries no key.
     NoKey,
-    /// No account holds its key.
+    /// Refuse: no account has the key.
     Unknown,
-    /// The copy of the configuration is too old to know.
+    /// Refuse: the copy of the configuration is too old to decide.
     CopyTooOld,
 }
 
-/// Decides on a request's key, after the request has come.
+/// Authenticates a request on its arrival.
 ///
-/// `copy_age_ms` is how long ago the accounts were certainly all there are. On a public route a
-/// key that can't be shown to be in force is as none.
+/// `copy_age_ms` is the time since the accounts were known to be complete. On a public route a key
+/// that can't be verified counts as absent.
 pub fn check(
     accounts: &AccountTable,
     is_public: bool,
--- a/crates/tinbay-core/src/accounts/mod.rs
+++ b/crates/tinbay-core/src/accounts/mod.rs
@@ -1,7 +1,6 @@
-//! Client accounts: whose key a request shows, and how much an account may ask for.
+//! Client accounts: authentication by API key, priorities and limits.
 //!
-//! Like the rest of the core this does no I/O and reads no clock: times come in as
-//! milliseconds of a monotonic clock, decisions go out as values.
+//! No I/O, and no clock: callers pass times in, as milliseconds of a monotonic clock.
 
 pub mod account;
 pub mod key;
--- a/crates/tinbay-core/src/accounts/priority.rs
+++ b/crates/tinbay-core/src/accounts/priority.rs
@@ -1,11 +1,11 @@
-//! The rank of a request at its server: that of its account goes before that of its route.
+//! The rank of a request at its server, by account priority first and route priority second.
 
 use std::collections::BTreeSet;
 
-/// Ranks that servers know, 0 first.
+/// Number of ranks that servers distinguish.
 const RANKS: usize = 10;
 
-/// Ranks of all pairs of an account's and a route's priority in one configuration.
+/// Maps pairs of account and route priority of one configuration to ranks.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct PriorityRanks {
     accounts: Vec<u8>,
@@ -13,7 +13,7 @@
 }
 
 impl PriorityRanks {
-    /// Ranks of the priorities that occur.
+    /// Builds the mapping for the priorities in use.
     pub fn new(
         accounts: impl Iterator<Item = u8>,
         routes: impl Iterator<Item = u8>,
@@ -25,8 +25,8 @@
         }
     }
 
-    /// The rank of a request. Without an account it is that of the route alone; pairs that are
-    /// more than the ranks a server knows share them in order.
+    /// The rank of a request. Without an account it is the priority of the route. If there are more
+    /// pairs than ranks, neighbouring pairs share a rank.
     pub fn rank(&self, account: Option<u8>, route: u8) -> u8 {
         let Some(account) = account else {
             return route.min(RANKS as u8 - 1);
--- a/crates/tinbay-core/src/accounts/table.rs
+++ b/crates/tinbay-core/src/accounts/table.rs
@@ -1,4 +1,4 @@
-//! The client accounts of one configuration, by their keys.
+//! Index of the client accounts of one configuration.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -6,26 +6,27 @@
 use super::account::Account;
 use super::key::KeyDigest;
 
-/// Why accounts can't be taken.
+/// The accounts of a configuration are invalid.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum AccountError {
     /// Two accounts hold the same key.
     #[error("accounts {first} and {second} hold the same key")]
     KeyTwice {
-        /// One of them.
+        /// Name of the account that comes first.
         first: String,
-        /// The other one.
+        /// Name of the account that repeats the key.
         second: String,
     },
     /// Two accounts have the same name.
     #[error("two accounts are named {name}")]
     NameTwice {
-        /// The name.
+        /// The repeated name.
         name: String,
     },
 }
 
-/// The client accounts of one configuration; requests need a key where there is one at all.
+/// The client accounts of one configuration, by key and by name. Requests need a key if there is
+/// at least one account.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct AccountTable {
     by_key: HashMap<KeyDigest, Rc<Account>>,
@@ -33,10 +34,10 @@
 }
 
 impl AccountTable {
-    /// Sorts accounts by their keys.
+    /// Builds the index.
     ///
     /// # Errors
-    /// When a key or a name stands twice.
+    /// When two accounts share a key or a name.
     pub fn new(accounts: Vec<Account>) -> Result<Self, AccountError> {
         let mut table = Self::default();
         for account in accounts {
@@ -64,17 +65,17 @@
         }
     }
 
-    /// Whether there is no account: requests need no key then.
+    /// Whether there are no accounts, so that requests need no key.
     pub fn is_empty(&self) -> bool {
         self.by_name.is_empty()
     }
 
-    /// The account that holds a key.
+    /// The account that a key belongs to.
     pub fn by_key(&self, key: KeyDigest) -> Option<Rc<Account>> {
         self.by_key.get(&key).cloned()
     }
 
-    /// All accounts.
+    /// All accounts, in no particular order.
     pub fn all(&self) -> impl Iterator<Item = &Rc<Account>> {
         self.by_name.values()
     }
