--- a/crates/tinbay-core/src/memory/cuts.rs
+++ b/crates/tinbay-core/src/memory/cuts.rs
@@ -1,38 +1,37 @@
-//! Whose answer is cut first when a box holds too much.
+//! Selects the answers to abort when a box holds too much memory.
 
 use std::collections::HashMap;
 
 use super::ledger::AccountPrint;
 use crate::units::{MS_PER_SECOND, Millis};
 
-/// An answer that is held for a caller who does not keep up.
+/// An answer that is buffered for a slow caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct UnreadAnswer {
-    /// Client account of its caller; those without one count as one.
+    /// Client account of the caller; callers without one count as a single account.
     pub account: Option<AccountPrint>,
-    /// Bytes held for it.
+    /// Buffered bytes.
     pub held_bytes: u64,
-    /// Bytes a second that its caller takes.
+    /// Average read rate of the caller.
     pub bytes_per_s: u64,
-    /// For how long its caller has taken nothing.
+    /// Time since the caller last read anything.
     pub unread_ms: Millis,
 }
 
 impl UnreadAnswer {
-    /// Time until its caller would have what is held, at its pace so far, with the time for which it has
-    /// taken nothing.
+    /// Time in which the caller would read the buffered bytes at its average rate, plus the time
+    /// since its last read.
     fn drain_ms(&self) -> u64 {
         let bytes_ms = self.held_bytes.saturating_mul(MS_PER_SECOND);
         bytes_ms / self.bytes_per_s.max(1) + self.unread_ms
     }
 }
 
-/// Which answer is cut first: of the account for which most is held, the one that takes longest to be
-/// read.
+/// The answer to abort first: the one that takes longest to drain, of the account with the most
+/// buffered bytes.
 ///
-/// Load: unread answers reach the bound together, most of them of one account. Cutting the largest alone
-/// would hit a caller who reads a long answer quickly; cutting the oldest alone would hit one account for
-/// what another one does.
+/// Choosing the largest answer instead would hit a caller that reads a long answer quickly;
+/// choosing the oldest would let one account suffer for the slow callers of another.
 pub fn first_to_cut(answers: &[UnreadAnswer]) -> Option<usize> {
     let account = heaviest_account(answers)?;
     let of_account = |answer: &UnreadAnswer| answer.account == account;
@@ -55,7 +54,7 @@
     heaviest.map(|(account, _)| account)
 }
 
-/// The answers that are cut to be rid of so many bytes, first ones first.
+/// The answers to abort, in order, to free at least `excess_bytes`.
 pub fn to_cut(mut answers: Vec<UnreadAnswer>, excess_bytes: u64) -> Vec<usize> {
     let mut indices: Vec<usize> = (0..answers.len()).collect();
     let mut freed_bytes = 0;
--- a/crates/tinbay-core/src/memory/ledger.rs
+++ b/crates/tinbay-core/src/memory/ledger.rs
@@ -1,37 +1,38 @@
-//! Bytes held for requests and answers: in all, by client account, by caller connection.
+//! Accounts for the bytes of requests and answers, in total, by client account and by caller
+//! connection.
 
 use std::collections::HashMap;
 
 use super::terms::MemoryTerms;
 
-/// The short form of a client account's name.
+/// Hash of a client account's name.
 pub type AccountPrint = u32;
 
-/// The number of a caller's connection.
+/// Identifies a caller's connection.
 pub type ConnectionNumber = u64;
 
-/// For whom bytes are held.
+/// The account and connection that bytes are accounted to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Holder {
-    /// The client account; none where requests need no key.
+    /// Client account; absent where requests need no key.
     pub account: Option<AccountPrint>,
-    /// The caller's connection.
+    /// Connection of the caller.
     pub connection: ConnectionNumber,
 }
 
-/// Why a request is turned away for memory.
+/// A request is refused for lack of memory.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum MemoryShort {
-    /// The box holds as much as it may.
-    #[error("the box holds as much as it may")]
+    /// The box has reached its memory bound.
+    #[error("the memory bound of the box is reached")]
     Box,
-    /// The request's client account holds as much as it may.
-    #[error("the account holds as much as it may")]
+    /// The request's client account has reached its share of the memory.
+    #[error("the memory bound of the account is reached")]
     Account,
 }
 
 impl MemoryShort {
-    /// Name for logs and measures.
+    /// Name in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             MemoryShort::Box => "box",
@@ -40,7 +41,7 @@
     }
 }
 
-/// Bytes held for requests and answers.
+/// Counters of the bytes held for requests and answers.
 #[derive(Debug, Default)]
 pub struct Ledger {
     total_bytes: u64,
@@ -49,7 +50,7 @@
 }
 
 impl Ledger {
-    /// Counts bytes that are held from now on.
+    /// Adds bytes to the holder's counters.
     pub fn add(&mut self, holder: Holder, bytes: u64) {
         self.total_bytes += bytes;
         if let Some(account) = holder.account {
@@ -58,7 +59,7 @@
         *self.by_connection.entry(holder.connection).or_default() += bytes;
     }
 
-    /// Counts bytes that are held no longer.
+    /// Subtracts bytes from the holder's counters.
     pub fn take_off(&mut self, holder: Holder, bytes: u64) {
         self.total_bytes = self.total_bytes.saturating_sub(bytes);
         if let Some(account) = holder.account {
@@ -67,7 +68,7 @@
         take_off(&mut self.by_connection, holder.connection, bytes);
     }
 
-    /// Bytes held in all.
+    /// Total bytes held.
     pub fn total_bytes(&self) -> u64 {
         self.total_bytes
     }
@@ -83,15 +84,14 @@
         bytes.copied().unwrap_or_default()
     }
 
-    /// Whether a request with so many bytes may be taken.
+    /// Checks whether a request with `bytes` of memory may be accepted.
     ///
-    /// Load: bodies and unread answers grow towards the box's memory, from all callers or from those
-    /// of one account. A request beyond the bound has not run, and another box may have room for it; a box
-    /// that falls loses all that it holds. One account stops at its part, so that the others are still
-    /// served while its callers fill that.
+    /// A refused request has not run, and another box may accept it; a box that runs out of memory
+    /// would lose everything it holds. The bound per account keeps memory free for the others while
+    /// the callers of one account fill its share.
     ///
     /// # Errors
-    /// What there is too little room in.
+    /// The bound that the request would exceed.
     pub fn admit(
         &self,
         terms: &MemoryTerms,
@@ -108,7 +108,7 @@
         Ok(())
     }
 
-    /// Bytes by which slow callers have to be cut; 0 where there is room.
+    /// Bytes to free by aborting answers of slow callers; 0 below the threshold.
     pub fn excess_bytes(&self, terms: &MemoryTerms) -> u64 {
         self.total_bytes.saturating_sub(terms.cut_from_bytes)
     }
--- a/crates/tinbay-core/src/memory/mod.rs
+++ b/crates/tinbay-core/src/memory/mod.rs
@@ -1,9 +1,9 @@
-//! What a box may hold for requests and answers, and who gives way when that is much.
+//! Bounds on the memory that a box uses for requests and answers.
 //!
-//! Callers who read slowly and servers that read slowly leave bytes with the box. Each part here
-//! answers one load: [`ledger`] a sum that grows towards the box's memory, [`reader`] one caller
-//! who reads nothing or hardly anything, [`cuts`] many of them at once, [`waiting`] a server that
-//! takes requests and reads none of them.
+//! Slow callers and slow servers leave data buffered in the box. [`ledger`] bounds the total,
+//! [`reader`] aborts the answer of a single caller that reads too slowly, [`cuts`] selects answers
+//! to abort when many callers are slow, and [`waiting`] bounds the requests sent to a server that
+//! does not read them.
 
 pub mod cuts;
 pub mod ledger;
--- a/crates/tinbay-core/src/memory/reader.rs
+++ b/crates/tinbay-core/src/memory/reader.rs
@@ -1,33 +1,34 @@
-//! One caller and how it reads its answer.
+//! Tracks how a caller reads its answer.
 
 use crate::serving::configuration::Route;
 use crate::units::{MS_PER_SECOND, Millis};
 
-/// Time without a byte taken after which a caller is taken not to keep up, and its answer is read
-/// ahead of it: far above what one that reads takes between two pieces.
+/// Time without a read after which a caller counts as slow and its answer is buffered ahead of it:
+/// far above the time that a caller needs between two chunks.
 pub const BEHIND_AFTER_MS: Millis = 100;
 
-/// Time past its own in which a caller takes some of a whole answer that is ready, or is cut. One that
-/// reads at all shows that within a second, as the kernel tells of room in some ten kilobytes.
+/// Time without a read after which a complete answer is aborted once the request's deadline has
+/// passed. A caller that reads at all shows progress within a second, as the kernel reports send
+/// buffer space in steps of some ten kilobytes.
 pub const LATE_PATIENCE_MS: Millis = 1_000;
 
-/// Longest time past its own for which a whole answer that is ready is held for a caller who still
-/// reads: what is read ahead goes out in that time at 30 kB a second.
+/// Maximum time past the deadline for which a complete answer is kept for a caller that still reads:
+/// enough for the data buffered ahead at 30 kB/s.
 pub const LONGEST_LATE_MS: Millis = 10_000;
 
-/// Why an answer is cut.
+/// Why an answer is aborted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CutCause {
-    /// Its caller took nothing for as long as the route allows.
+    /// The caller read nothing for the time that the route allows.
     Unread,
-    /// Its caller reads too slowly to have it by its time.
+    /// The caller reads too slowly to finish by the deadline.
     TimeUp,
-    /// The box holds too much, and this one holds most and is read slowest.
+    /// The box is short of memory, and this answer was selected by [`cuts`](super::cuts).
     Memory,
 }
 
 impl CutCause {
-    /// Name for logs and measures.
+    /// Name in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             CutCause::Unread => "unread",
@@ -37,34 +38,33 @@
     }
 }
 
-/// How long a caller may take nothing of its answer.
+/// How long a caller may leave its answer unread.
 ///
-/// Load: callers who opened an answer and stopped reading. On a stream they are given what callers give
-/// a silent stream. A plain answer is of use as a whole, so its caller may begin to read at any time
-/// within the route's time-out.
+/// For a stream, it is the time for which callers themselves wait on a silent stream. A plain answer
+/// is used as a whole, so that its caller may start to read at any time within the route's timeout.
 pub fn unread_limit_ms(route: &Route) -> Millis {
     route.stream_patience_ms().unwrap_or(route.timeout_ms)
 }
 
-/// What binds one answer.
+/// Time limits of one answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ReaderTerms {
-    /// How long its caller may take nothing.
+    /// Maximum time without a read.
     pub unread_limit_ms: Millis,
-    /// When the request's time is up.
+    /// Deadline of the request.
     pub time_up_ms: Millis,
 }
 
-/// How far an answer has come.
+/// Progress of the caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Taken {
-    /// Bytes that its caller has taken.
+    /// Total bytes that the caller has read.
     pub bytes: u64,
-    /// Whether the caller's side waits for more.
+    /// Whether the caller has read everything and waits for more.
     pub waits: bool,
 }
 
-/// What was seen of a caller, look by look.
+/// Read progress of a caller over time, sampled by [`ReaderSight::look`].
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ReaderSight {
     taken_bytes: u64,
@@ -73,7 +73,7 @@
 }
 
 impl ReaderSight {
-    /// A caller whose answer begins now.
+    /// Starts tracking a caller whose answer begins now.
     pub fn begin(now_ms: Millis) -> Self {
         Self {
             taken_bytes: 0,
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Notes how far the answer has come.
+    /// Records a sample of the caller's progress.
     pub fn look(&mut self, taken: Taken, now_ms: Millis) {
         if taken.waits || taken.bytes != self.taken_bytes {
             self.progress_ms = now_ms;
@@ -90,37 +90,35 @@
         self.taken_bytes = taken.bytes;
     }
 
-    /// For how long the caller has taken nothing though there was something to take.
+    /// Time for which the caller has read nothing although data was available.
     pub fn unread_ms(&self, now_ms: Millis) -> Millis {
         now_ms.saturating_sub(self.progress_ms)
     }
 
-    /// Bytes a second that the caller has taken so far.
+    /// Average read rate since the begin of the answer.
     pub fn bytes_per_s(&self, now_ms: Millis) -> u64 {
         let time_ms = now_ms.saturating_sub(self.began_ms).max(1);
         self.taken_bytes.saturating_mul(MS_PER_SECOND) / time_ms
     }
 
-    /// Whether the caller does not keep up, so that its answer is read ahead of it.
-    ///
-    /// Load: a caller pauses while its server goes on. The server's place is freed sooner, and the
-    /// request's time is looked at though nothing asks for more.
+    /// Whether the caller is slow, so that its answer is buffered ahead of it. That frees the
+    /// server's slot sooner, and the deadline is checked even though the caller does not ask for
+    /// more data.
     pub fn is_behind(&self, now_ms: Millis) -> bool {
         self.unread_ms(now_ms) >= BEHIND_AFTER_MS
     }
 
-    /// Whether an answer is so late that it is cut however its caller reads.
-    ///
-    /// Load: callers who always take a little, so that they never stand still for long.
+    /// Whether an answer is so late that it is aborted even if its caller keeps reading a little at
+    /// a time.
     pub fn is_overdue(&self, terms: &ReaderTerms, now_ms: Millis) -> bool {
         now_ms >= terms.time_up_ms + LONGEST_LATE_MS
     }
 
-    /// Whether an answer that is read ahead of its caller is cut, and why.
+    /// Whether to abort an answer that is buffered ahead of its caller, and why.
     ///
-    /// Load: callers who read nothing, and callers who read a little each second and would hold a
-    /// server's place for as long as they like. A whole answer that is ready takes no server's place: it
-    /// is there until its caller's time, and past that as long as the caller takes some.
+    /// An incomplete answer occupies a slot of the server, so that it is aborted if its caller reads
+    /// nothing, or too slowly to finish by the deadline. A complete one occupies none and is kept
+    /// until the deadline, and past it while the caller keeps reading.
     pub fn judge(&self, terms: &ReaderTerms, is_whole: bool, now_ms: Millis) -> Option<CutCause> {
         let unread_ms = self.unread_ms(now_ms);
         if !is_whole && unread_ms >= terms.unread_limit_ms {
--- a/crates/tinbay-core/src/memory/waiting.rs
+++ b/crates/tinbay-core/src/memory/waiting.rs
@@ -1,26 +1,25 @@
-//! Bytes of requests that a server was sent and has not begun to answer.
+//! Bounds the bytes of requests that were sent to a server and not answered yet.
 
-/// Bytes of requests that all boxes together have waiting at one server, where each has more than its
-/// least: the bodies of 500 requests of 128 KiB, far more than a server queues.
-const MOST_WAITING_BYTES: u64 = 64 * 1_048_576;
+/// Bytes that all boxes together may have waiting at one server, unless [`MIN_BOX_BYTES`] is larger
+/// for each of them: 500 request bodies of 128 KiB, far more than a server queues.
+const MAX_WAITING_BYTES: u64 = 64 * 1_048_576;
 
-/// The same of one box, however many there are: some bodies of usual length.
-const LEAST_OF_A_BOX_BYTES: u64 = 1_048_576;
+/// Lower bound per box, whatever their number: several request bodies of ordinary length.
+const MIN_BOX_BYTES: u64 = 1_048_576;
 
-/// Bytes of requests that one of so many boxes may have waiting at one server.
+/// Bytes of requests that one of `boxes` boxes may have waiting at one server.
 ///
-/// The sum over boxes is at most 64 MiB up to 64 boxes, and 1 MiB a box beyond, with one request more
-/// from each.
+/// The sum over all boxes is at most 64 MiB for up to 64 boxes and 1 MiB per box beyond that, plus
+/// one request per box.
 pub fn bound_bytes(boxes: usize) -> u64 {
-    let part_bytes = MOST_WAITING_BYTES / boxes.max(1) as u64;
-    part_bytes.max(LEAST_OF_A_BOX_BYTES)
+    let share_bytes = MAX_WAITING_BYTES / boxes.max(1) as u64;
+    share_bytes.max(MIN_BOX_BYTES)
 }
 
-/// Whether a server may be sent one more request.
+/// Whether another request may be sent to a server.
 ///
-/// Load: a server that takes connections and reads nothing, while its requests hold their bodies at
-/// the box and in the server's kernel. One request is always let through, however long: a body of its
-/// own can't wait for itself.
+/// A server that accepts connections and reads nothing would otherwise pile up request bodies in
+/// the box and in its kernel. If nothing is waiting, a request of any length passes.
 pub fn takes_more(waiting_bytes: u64, bound_bytes: u64) -> bool {
     waiting_bytes < bound_bytes
 }
