--- a/crates/tinbay-core/src/policy/mod.rs
+++ b/crates/tinbay-core/src/policy/mod.rs
@@ -1,11 +1,11 @@
-//! Operators' policies: short Rhai programs that say who goes first, what may wait and
-//! what must never be repeated.
+//! Operators' policies: short Rhai programs that set the rank, maximum wait and repeatability of
+//! requests.
 //!
-//! A program defines `classify(request)` and may define `settings()`. `request` has
+//! A program defines `classify(request)` and may define `settings()`. `request` has the fields
 //! `class`, `rank`, `urgent`, `max_wait_ms`, `repeatable`, `organisation`, `adapter`,
-//! `prompt_bytes` and `max_tokens`. `classify` returns a map with any of `rank`,
-//! `max_wait_ms` and `repeatable`; what it leaves out stays as the class says. A program
-//! can make work less repeatable than its class, never more.
+//! `prompt_bytes` and `max_tokens`. `classify` returns a map with any of `rank`, `max_wait_ms` and
+//! `repeatable`; fields left out keep the value of the class. A program can revoke the
+//! repeatability of a class, but not grant it.
 
 mod program;
 
@@ -15,40 +15,40 @@
 
 use crate::units::Millis;
 
-/// What a policy sees of a request.
+/// Input of a policy.
 #[derive(Debug, Clone, Copy)]
 pub struct PolicyRequest<'a> {
     /// Name of the priority class.
     pub class: &'a str,
-    /// Whose request it is.
+    /// Organisation of the caller.
     pub organisation: &'a str,
-    /// The adapter named.
+    /// Name of the requested adapter.
     pub adapter: &'a str,
-    /// Length of the prompt.
+    /// Length of the prompt in bytes.
     pub prompt_bytes: usize,
-    /// Tokens asked for at most.
+    /// Maximum number of completion tokens.
     pub max_tokens: u32,
-    /// What the class says.
+    /// Treatment by the class alone.
     pub base: Treatment,
 }
 
-/// How a request is to be treated.
+/// How a request is treated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Treatment {
-    /// 0 goes first.
+    /// Priority; 0 goes first.
     pub rank: u8,
-    /// Counter or desk traffic.
+    /// Whether a person waits for the answer, as opposed to batch work.
     pub urgent: bool,
-    /// How long it may wait before it starts.
+    /// Maximum wait before the request starts.
     pub max_wait_ms: Millis,
-    /// Whether it may run more than once.
+    /// Whether the request may run more than once.
     pub repeatable: bool,
 }
 
-/// Settings of the scheduler that a policy chooses.
+/// Scheduler settings returned by a policy.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct PolicySettings {
-    /// 1 weighs load stalls only, 0 batch efficiency only.
+    /// From 0 to 1: 1 considers load stalls only, 0 batch efficiency only.
     pub stall_weight: f64,
 }
 
@@ -58,38 +58,38 @@
     }
 }
 
-/// What is wrong with a program.
+/// A policy program is invalid or failed.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum PolicyError {
-    /// It does not compile.
+    /// The program does not compile.
     #[error("line {line}, column {column}: {reason}")]
     Syntax {
         /// Line, from 1; 0 when not known.
         line: usize,
         /// Column, from 1; 0 when not known.
         column: usize,
-        /// The compiler's words.
+        /// Message of the compiler.
         reason: String,
     },
-    /// It fails when it runs.
+    /// The program failed at run time.
     #[error("line {line}, column {column}: {reason}")]
     Run {
         /// Line, from 1; 0 when not known.
         line: usize,
         /// Column, from 1; 0 when not known.
         column: usize,
-        /// The interpreter's words.
+        /// Message of the interpreter.
         reason: String,
     },
-    /// It defines no `classify` with one parameter.
+    /// The program defines no `classify` with one parameter.
     #[error("the program defines no classify(request)")]
     NoClassify,
-    /// It returned something outside the allowed range.
+    /// The program returned a value outside the allowed range.
     #[error("{field} must be {allowed}")]
     Value {
-        /// The field returned.
+        /// Name of the returned field.
         field: &'static str,
-        /// What it may be.
+        /// Description of the allowed values.
         allowed: &'static str,
     },
 }
--- a/crates/tinbay-core/src/policy/program.rs
+++ b/crates/tinbay-core/src/policy/program.rs
@@ -5,22 +5,22 @@
 use super::{PolicyError, PolicyRequest, PolicySettings, Treatment};
 use crate::units::Millis;
 
-/// Operations one call may use; a few hundred suffice for a page of rules.
+/// Maximum number of operations per call; a page of rules takes a few hundred.
 const MAX_OPERATIONS: u64 = 20_000;
 
-/// Depth of calls within a program.
+/// Maximum call depth.
 const MAX_CALL_LEVELS: usize = 16;
 
-/// Longest text or collection a program may build.
+/// Maximum size of strings, arrays and maps.
 const MAX_SIZE: usize = 4_096;
 
-/// Name of the function every program defines.
+/// Name of the required function.
 const CLASSIFY: &str = "classify";
 
 /// Name of the optional function for scheduler settings.
 const SETTINGS: &str = "settings";
 
-/// A policy ready to run.
+/// A compiled policy.
 pub struct Policy {
     engine: Engine,
     program: AST,
@@ -36,7 +36,7 @@
 }
 
 impl Policy {
-    /// Compiles a program and tries it on samples of each kind of request.
+    /// Compiles a program and runs it on sample requests.
     ///
     /// # Errors
     /// [`PolicyError`] with line and column where known.
@@ -64,7 +64,7 @@
     /// Runs `classify` on a request.
     ///
     /// # Errors
-    /// [`PolicyError::Run`] or [`PolicyError::Value`]; the caller then uses the class alone.
+    /// [`PolicyError::Run`] or [`PolicyError::Value`]; the caller then applies the class alone.
     pub fn classify(&self, request: &PolicyRequest<'_>) -> Result<Treatment, PolicyError> {
         let argument = Dynamic::from_map(request_map(request));
         let answer: Map = self
@@ -74,7 +74,7 @@
         merge(request.base, &answer)
     }
 
-    /// The scheduler settings the program chose.
+    /// The scheduler settings returned by the program, or the defaults.
     pub fn settings(&self) -> PolicySettings {
         self.settings
     }
