--- a/crates/tinbay-core/src/config/check.rs
+++ b/crates/tinbay-core/src/config/check.rs
@@ -1,4 +1,4 @@
-//! The checks a change must pass before it is written.
+//! Validation of configuration changes before they are written.
 
 use std::net::SocketAddr;
 
@@ -6,55 +6,56 @@
 use super::store::ConfigStore;
 use crate::policy::{Policy, PolicyError};
 
-/// Why a change is refused.
+/// A change is invalid.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 pub enum ConfigError {
-    /// A name is empty or has characters that keys and URLs cannot carry.
+    /// A name is empty, too long, or has characters that are not allowed in keys and URLs.
     #[error("{0}: names use letters, digits, '.', '_' and '-', at most 128 of them")]
     Name(ConfigKey),
-    /// Another object that this one names does not exist.
+    /// The object refers to one that does not exist.
     #[error("{key} names {missing}, which does not exist")]
     Missing {
-        /// The object that was to be written.
+        /// The object to be written.
         key: ConfigKey,
-        /// The object it names.
+        /// The object that it refers to.
         missing: ConfigKey,
     },
-    /// Another object still names this one.
+    /// Another object still refers to the one to be deleted.
     #[error("{key} is still named by {by}")]
     InUse {
-        /// The object that was to be deleted.
+        /// The object to be deleted.
         key: ConfigKey,
-        /// An object that names it.
+        /// An object that refers to it.
         by: ConfigKey,
     },
     /// A field is outside its range.
     #[error("{key}: {field} must be {allowed}")]
     Range {
-        /// The object.
+        /// The object to be written.
         key: ConfigKey,
-        /// The field.
+        /// Name of the invalid field.
         field: &'static str,
-        /// What it may be.
+        /// Description of the allowed values.
         allowed: &'static str,
     },
-    /// A version's weights cannot change: callers were promised exactly that version.
+    /// The weights of an existing version can't change, as callers rely on a version being immutable.
     #[error("{0} exists with other weights; make a new version instead")]
     VersionChanged(ConfigKey),
     /// A policy program does not compile, or fails on the samples.
     #[error("{key}: {error}")]
     Policy {
-        /// The policy.
+        /// The policy to be written.
         key: ConfigKey,
-        /// What is wrong with it.
+        /// The failure, with its position in the program.
         error: PolicyError,
     },
 }
 
-/// Longest name of an object.
-const MAX_NAME: usize = 128;
+/// Maximum length of an object's name in bytes.
+const MAX_NAME_BYTES: usize = 128;
 
-/// Checks an object against the objects it names. `also` are others of the same change.
+/// Validates an object and its references. References to `also`, the other objects of the same
+/// change, are valid too.
 ///
 /// # Errors
 /// The first [`ConfigError`] found.
@@ -113,10 +114,10 @@
     }
 }
 
-/// Checks that nothing names the object that is to be deleted.
+/// Checks that no object refers to the one to be deleted.
 ///
 /// # Errors
-/// [`ConfigError::InUse`] naming one object that does.
+/// [`ConfigError::InUse`] with one object that does.
 pub fn check_delete(key: &ConfigKey, store: &ConfigStore) -> Result<(), ConfigError> {
     let used_by = match key.kind {
         Kind::Adapter => store.find(
@@ -151,7 +152,7 @@
 
 fn is_name(name: &str) -> bool {
     let allowed = |c: char| c.is_ascii_alphanumeric() || matches!(c, '.' | '_' | '-');
-    !name.is_empty() && name.len() <= MAX_NAME && name.chars().all(allowed)
+    !name.is_empty() && name.len() <= MAX_NAME_BYTES && name.chars().all(allowed)
 }
 
 fn check_unchanged(
--- a/crates/tinbay-core/src/config/mod.rs
+++ b/crates/tinbay-core/src/config/mod.rs
@@ -1,5 +1,5 @@
-//! The operators' configuration: its objects, the store a box serves from, and the checks
-//! a change must pass.
+//! The operators' configuration: its objects, the in-memory store of a box, and the validation of
+//! changes.
 
 mod check;
 mod objects;
--- a/crates/tinbay-core/src/config/objects.rs
+++ b/crates/tinbay-core/src/config/objects.rs
@@ -1,4 +1,4 @@
-//! The kinds of objects operators create.
+//! The configuration objects that operators create.
 
 use std::fmt;
 use std::str::FromStr;
@@ -12,11 +12,11 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Adapter {
-    /// Its name; callers write `name@version`.
+    /// Unique name; callers write `name@version`.
     pub name: String,
-    /// Whose callers use it; queues are shared fairly between organisations.
+    /// Owner; queues are shared fairly between organisations.
     pub organisation: String,
-    /// The base model it belongs to.
+    /// The base model that it was trained for.
     pub base_model: String,
 }
 
@@ -24,11 +24,11 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Version {
-    /// The adapter it belongs to.
+    /// Name of the adapter.
     pub adapter: String,
-    /// Its name within the adapter.
+    /// Name of the version, unique within the adapter.
     pub name: String,
-    /// Where the weight store keeps it.
+    /// Location in the weight store.
     pub weights: String,
 }
 
@@ -36,19 +36,20 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Class {
-    /// Its name; callers send it as `class`.
+    /// Unique name; callers send it as `class`.
     pub name: String,
-    /// 0 goes first.
+    /// Priority; 0 goes first.
     pub rank: u8,
-    /// Counter and desk traffic: an adapter that serves it is never unloaded.
+    /// Whether a person waits for the answers, as opposed to batch work. An adapter that serves an
+    /// urgent request is never unloaded.
     #[serde(default)]
     pub urgent: bool,
-    /// How long a request may wait before it starts.
+    /// Maximum wait before a request starts.
     pub max_wait_ms: Millis,
     /// Whether a request may run more than once.
     #[serde(default = "yes")]
     pub repeatable: bool,
-    /// The policy that classifies it; without one, `default` where it exists.
+    /// The policy for requests of this class; absent for the policy `default`, if that exists.
     #[serde(default)]
     pub policy: Option<String>,
 }
@@ -57,61 +58,61 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PolicySpec {
-    /// Its name.
+    /// Unique name, to which classes refer.
     pub name: String,
-    /// Rhai source.
+    /// Source code in Rhai.
     pub program: String,
 }
 
-/// A model engine the system may use.
+/// A model engine.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EngineSpec {
-    /// Its name.
+    /// Unique name.
     pub name: EngineId,
     /// `ip:port` of its HTTP interface.
     pub address: String,
-    /// Its availability zone.
+    /// Availability zone; boxes of the same zone are preferred as its owner.
     pub zone: ZoneId,
-    /// Its region.
+    /// Region; only boxes of the same region may own it.
     pub region: String,
-    /// The base model it runs.
+    /// The base model that it runs.
     pub base_model: String,
-    /// Adapters it can hold at once.
+    /// Adapters that it can hold at once.
     pub slots: u32,
-    /// Requests it batches at once.
+    /// Requests that it runs in one batch.
     pub batch_limit: u32,
-    /// Whether it refuses orders with a lower fence.
+    /// Whether it refuses orders with a fence lower than one it has seen.
     pub checks_orders: bool,
 }
 
-/// A plain service the system routes to.
+/// A service without adapters, to which boxes forward calls.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ServiceSpec {
-    /// Its name; callers use `/v1/services/NAME/...`.
+    /// Unique name; callers use `/v1/services/NAME/...`.
     pub name: String,
     /// `ip:port` of each server.
     pub addresses: Vec<String>,
     /// Whether a call may run more than once.
     pub repeatable: bool,
-    /// How long a call may take.
+    /// Maximum duration of a call.
     pub timeout_ms: Millis,
 }
 
-/// What the weight store of a region allows.
+/// Load allowance of a region's weight store.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct WeightStore {
-    /// The region it serves.
+    /// The region that the store serves.
     pub region: String,
-    /// Loads that may begin in a second.
+    /// Loads that may start per second.
     pub loads_per_s: f64,
-    /// Loads at once at full speed.
+    /// Maximum number of concurrent loads at which each runs at full speed.
     pub at_once: u32,
 }
 
-/// Any object of the configuration.
+/// A configuration object of any kind.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ConfigObject {
@@ -131,7 +132,7 @@
     WeightStore(WeightStore),
 }
 
-/// The kind of an object, as it stands in keys and on the command line.
+/// The kind of an object, as written in keys and on the command line.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Kind {
@@ -151,17 +152,17 @@
     WeightStore,
 }
 
-/// Identifies an object; written `kind/name`.
+/// Identifies an object; its text form is `kind/name`.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct ConfigKey {
-    /// The kind.
+    /// Kind of the object, the part before the slash.
     pub kind: Kind,
-    /// The name; a version's is `adapter@version`.
+    /// Name of the object; `adapter@version` for a version.
     pub name: String,
 }
 
-/// Why a text is not a [`ConfigKey`].
+/// The text is not a valid [`ConfigKey`].
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum ConfigKeyError {
     /// There is no `/`, or the name is empty.
@@ -173,7 +174,7 @@
 }
 
 impl Kind {
-    /// Every kind, in the order in which objects depend on each other.
+    /// All kinds, ordered so that each comes after those that it refers to.
     pub const ALL: [Kind; 7] = [
         Kind::Policy,
         Kind::Class,
@@ -184,7 +185,7 @@
         Kind::Version,
     ];
 
-    /// The kind as text.
+    /// The kind in its text form.
     pub fn as_str(self) -> &'static str {
         match self {
             Kind::Adapter => "adapter",
@@ -210,7 +211,7 @@
 }
 
 impl ConfigKey {
-    /// Joins a kind and a name.
+    /// Creates a key from its parts.
     pub fn new(kind: Kind, name: impl Into<String>) -> Self {
         Self {
             kind,
@@ -273,7 +274,7 @@
     }
 }
 
-/// Serde default: work may be repeated unless its class says otherwise.
+/// Default of [`Class::repeatable`].
 fn yes() -> bool {
     true
 }
--- a/crates/tinbay-core/src/config/store.rs
+++ b/crates/tinbay-core/src/config/store.rs
@@ -1,4 +1,4 @@
-//! The configuration a box serves from: shards, each under its own lock.
+//! In-memory store of the configuration, divided into shards with one lock each.
 
 use std::collections::{BTreeSet, HashMap, HashSet};
 use std::sync::atomic::{AtomicI64, AtomicU64, Ordering};
@@ -11,10 +11,10 @@
 use crate::ids::ModelRef;
 use crate::units::Revision;
 
-/// Shards; enough that request threads seldom meet on one lock.
+/// Number of shards; enough that request threads seldom contend for one lock.
 const SHARDS: usize = 32;
 
-/// The lowest key there is, to start a range of the index.
+/// The smallest key, used as the start of ranges of the index.
 const FIRST_KEY: ConfigKey = ConfigKey {
     kind: Kind::Adapter,
     name: String::new(),
@@ -23,24 +23,25 @@
 /// An object and the revision that wrote it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ConfigEntry {
-    /// The revision of the last write to this key.
+    /// Revision of the last write to the object's key.
     pub revision: Revision,
-    /// The object.
+    /// Content of the object after that write.
     pub object: ConfigObject,
 }
 
-/// A deleted object leaves its revision behind, so that an older write cannot revive it.
+/// State of a key. The revision of a deletion is kept, so that an older write can't restore the
+/// object.
 #[derive(Debug, Clone)]
-enum Held {
+enum KeyState {
     Present(ConfigEntry),
     Deleted(Revision),
 }
 
-impl Held {
+impl KeyState {
     fn revision(&self) -> Revision {
         match self {
-            Held::Present(entry) => entry.revision,
-            Held::Deleted(revision) => *revision,
+            KeyState::Present(entry) => entry.revision,
+            KeyState::Deleted(revision) => *revision,
         }
     }
 }
@@ -48,32 +49,32 @@
 /// A write or, without an object, a deletion.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ConfigChange {
-    /// The object's key.
+    /// Key of the changed object.
     pub key: ConfigKey,
-    /// The revision of the change.
+    /// Revision at which the change was made.
     pub revision: Revision,
-    /// The object, if it exists after the change.
+    /// New content; absent for a deletion.
     pub object: Option<ConfigObject>,
 }
 
-/// What a box needs to catch up.
+/// Changes that bring another box's store up to date.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ConfigUpdate {
-    /// Whether `changes` names every object; then what it leaves out does not exist.
+    /// Whether `changes` holds all objects, so that any other object does not exist.
     pub whole: bool,
     /// The revision in force after the update.
     pub revision: Revision,
-    /// The changes.
+    /// Changes in any order; each object occurs at most once.
     pub changes: Vec<ConfigChange>,
 }
 
-/// All objects known to a box. It never goes back to a lower revision of any key.
+/// The configuration objects known to a box. No key ever returns to a lower revision.
 #[derive(Debug)]
 pub struct ConfigStore {
-    shards: Vec<RwLock<HashMap<ConfigKey, Held>>>,
+    shards: Vec<RwLock<HashMap<ConfigKey, KeyState>>>,
     by_revision: Mutex<BTreeSet<(Revision, ConfigKey)>>,
     in_force: AtomicI64,
-    /// Changes after this revision are all known one by one, deletions included.
+    /// All changes after this revision are known individually, including deletions.
     complete_since: AtomicI64,
     fleet_generation: AtomicU64,
 }
@@ -91,8 +92,8 @@
 }
 
 impl ConfigStore {
-    /// Applies a write or, with no object, a deletion. A revision not above the known one
-    /// changes nothing.
+    /// Applies a write or, without an object, a deletion. Returns false, without a change, if the
+    /// revision is not higher than the known one.
     pub fn apply(&self, key: &ConfigKey, revision: Revision, object: Option<ConfigObject>) -> bool {
         let mut shard = self
             .shard(key)
@@ -100,15 +101,15 @@
             .unwrap_or_else(PoisonError::into_inner);
         if shard
             .get(key)
-            .is_some_and(|held| held.revision() >= revision)
+            .is_some_and(|state| state.revision() >= revision)
         {
             return false;
         }
-        let held = match object {
-            Some(object) => Held::Present(ConfigEntry { revision, object }),
-            None => Held::Deleted(revision),
+        let state = match object {
+            Some(object) => KeyState::Present(ConfigEntry { revision, object }),
+            None => KeyState::Deleted(revision),
         };
-        let replaced = shard.insert(key.clone(), held);
+        let replaced = shard.insert(key.clone(), state);
         drop(shard);
         let mut index = self.index();
         if let Some(old) = replaced {
@@ -122,7 +123,7 @@
         true
     }
 
-    /// Applies an update from the key-value service or a keeper.
+    /// Applies an update from the key-value service or from another box.
     pub fn apply_update(&self, update: &ConfigUpdate) {
         if update.whole {
             self.delete_missing(update);
@@ -137,11 +138,11 @@
         self.advance(update.revision);
     }
 
-    /// What a box at `revision` needs to catch up with this one.
+    /// The update that brings a box at `revision` up to date with this one.
     pub fn update_since(&self, revision: Revision) -> ConfigUpdate {
         let in_force = self.in_force();
         if revision < self.complete_since.load(Ordering::Acquire) {
-            return self.whole(in_force);
+            return self.full_update(in_force);
         }
         let keys: Vec<ConfigKey> = self
             .index()
@@ -155,30 +156,30 @@
         }
     }
 
-    /// Declares everything up to `revision` applied.
+    /// Declares that all changes up to `revision` have been applied.
     pub fn advance(&self, revision: Revision) {
         self.in_force.fetch_max(revision, Ordering::AcqRel);
     }
 
-    /// The revision up to which everything is applied.
+    /// The revision up to which all changes have been applied.
     pub fn in_force(&self) -> Revision {
         self.in_force.load(Ordering::Acquire)
     }
 
-    /// Changes when an engine or service was written; caches of rankings compare it.
+    /// Incremented with each change of an engine or service; caches of rankings are keyed by it.
     pub fn fleet_generation(&self) -> u64 {
         self.fleet_generation.load(Ordering::Acquire)
     }
 
-    /// An object by its key.
+    /// Looks up an object by its key.
     pub fn get(&self, key: &ConfigKey) -> Option<ConfigEntry> {
         let shard = self
             .shard(key)
             .read()
             .unwrap_or_else(PoisonError::into_inner);
         match shard.get(key)? {
-            Held::Present(entry) => Some(entry.clone()),
-            Held::Deleted(_) => None,
+            KeyState::Present(entry) => Some(entry.clone()),
+            KeyState::Deleted(_) => None,
         }
     }
 
@@ -188,24 +189,24 @@
             .shard(key)
             .read()
             .unwrap_or_else(PoisonError::into_inner);
-        matches!(shard.get(key), Some(Held::Present(_)))
+        matches!(shard.get(key), Some(KeyState::Present(_)))
     }
 
-    /// The key of some object of a kind that meets a condition.
-    pub fn find(&self, kind: Kind, meets: impl Fn(&ConfigObject) -> bool) -> Option<ConfigKey> {
+    /// The key of the first object of a kind that satisfies a predicate.
+    pub fn find(&self, kind: Kind, predicate: impl Fn(&ConfigObject) -> bool) -> Option<ConfigKey> {
         self.list(kind)
             .into_iter()
-            .find(|entry| meets(&entry.object))
+            .find(|entry| predicate(&entry.object))
             .map(|entry| entry.object.key())
     }
 
-    /// Every object of a kind, by name.
+    /// All objects of a kind, sorted by name.
     pub fn list(&self, kind: Kind) -> Vec<ConfigEntry> {
         let mut entries = Vec::new();
         for shard in &self.shards {
             let shard = shard.read().unwrap_or_else(PoisonError::into_inner);
-            for (key, held) in shard.iter() {
-                if let (true, Held::Present(entry)) = (key.kind == kind, held) {
+            for (key, state) in shard.iter() {
+                if let (true, KeyState::Present(entry)) = (key.kind == kind, state) {
                     entries.push(entry.clone());
                 }
             }
@@ -214,7 +215,7 @@
         entries
     }
 
-    /// Every object, by key.
+    /// All objects, by kind and name.
     pub fn list_all(&self) -> Vec<ConfigEntry> {
         Kind::ALL
             .into_iter()
@@ -222,7 +223,7 @@
             .collect()
     }
 
-    /// Deletes what a whole update does not name and was not written after it.
+    /// Deletes the objects that a full update does not hold, except those written after it.
     fn delete_missing(&self, update: &ConfigUpdate) {
         let named: HashSet<&ConfigKey> = update.changes.iter().map(|c| &c.key).collect();
         for entry in self.list_all() {
@@ -233,7 +234,7 @@
         }
     }
 
-    fn whole(&self, revision: Revision) -> ConfigUpdate {
+    fn full_update(&self, revision: Revision) -> ConfigUpdate {
         let changes = self
             .list_all()
             .into_iter()
@@ -255,14 +256,14 @@
             .shard(key)
             .read()
             .unwrap_or_else(PoisonError::into_inner);
-        let held = shard.get(key)?;
-        let object = match held {
-            Held::Present(entry) => Some(entry.object.clone()),
-            Held::Deleted(_) => None,
+        let state = shard.get(key)?;
+        let object = match state {
+            KeyState::Present(entry) => Some(entry.object.clone()),
+            KeyState::Deleted(_) => None,
         };
         Some(ConfigChange {
             key: key.clone(),
-            revision: held.revision(),
+            revision: state.revision(),
             object,
         })
     }
@@ -273,7 +274,7 @@
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// An adapter by name.
+    /// Looks up an adapter by name.
     pub fn adapter(&self, name: &str) -> Option<Adapter> {
         match self.get(&ConfigKey::new(Kind::Adapter, name))?.object {
             ConfigObject::Adapter(adapter) => Some(adapter),
@@ -286,7 +287,7 @@
         self.contains(&ConfigKey::version(model))
     }
 
-    /// A priority class by name.
+    /// Looks up a priority class by name.
     pub fn class(&self, name: &str) -> Option<Class> {
         match self.get(&ConfigKey::new(Kind::Class, name))?.object {
             ConfigObject::Class(class) => Some(class),
@@ -294,7 +295,7 @@
         }
     }
 
-    /// A plain service by name.
+    /// Looks up a service by name.
     pub fn service(&self, name: &str) -> Option<ServiceSpec> {
         match self.get(&ConfigKey::new(Kind::Service, name))?.object {
             ConfigObject::Service(service) => Some(service),
@@ -302,7 +303,7 @@
         }
     }
 
-    /// An engine by name.
+    /// Looks up an engine by name.
     pub fn engine(&self, name: &str) -> Option<EngineSpec> {
         match self.get(&ConfigKey::new(Kind::Engine, name))?.object {
             ConfigObject::Engine(engine) => Some(engine),
@@ -310,7 +311,7 @@
         }
     }
 
-    /// Every engine, by name.
+    /// All engines, sorted by name.
     pub fn engines(&self) -> Vec<EngineSpec> {
         self.list(Kind::Engine)
             .into_iter()
@@ -321,7 +322,7 @@
             .collect()
     }
 
-    fn shard(&self, key: &ConfigKey) -> &RwLock<HashMap<ConfigKey, Held>> {
+    fn shard(&self, key: &ConfigKey) -> &RwLock<HashMap<ConfigKey, KeyState>> {
         let hash = xxh3_64(key.name.as_bytes()) as usize;
         &self.shards[hash % SHARDS]
     }
