--- a/crates/tinbay-core/src/assemble.rs
+++ b/crates/tinbay-core/src/assemble.rs
@@ -1,62 +1,62 @@
-//! Puts a streamed answer together and lets nothing else into it.
+//! Assembles a streamed answer from its chunks and rejects chunks that do not belong to it.
 
 use serde::{Deserialize, Serialize};
 
 use crate::ids::ModelRef;
 
-/// One piece of an answer as an engine sent it.
+/// One chunk of an answer, as sent by an engine.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Chunk {
-    /// The request's name at the engine.
+    /// The engine's id of the request.
     pub request: String,
-    /// Which attempt of the request this belongs to.
+    /// Number of the attempt that the chunk belongs to.
     pub attempt: u32,
-    /// The adapter and version that ran.
+    /// The adapter and version that produced it.
     pub model: ModelRef,
-    /// Place in the answer, from 0.
+    /// Position in the answer, from 0.
     pub position: u64,
-    /// The text of this piece.
+    /// The text of this chunk.
     pub text: String,
-    /// Whether this is the last piece.
+    /// Whether this is the last chunk of the answer.
     pub last: bool,
 }
 
-/// What becomes of a chunk.
+/// How a chunk was handled.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Taken {
-    /// Next in order: pass it to the caller.
+    /// Next in order; to be passed on to the caller.
     Passed,
-    /// Next in order and last: the answer is whole.
+    /// Next in order and last: the answer is complete.
     Completed,
-    /// Repeated, or of an abandoned attempt: dropped.
+    /// A duplicate, or from an abandoned attempt; to be dropped.
     Dropped,
 }
 
-/// Why an answer cannot go on.
+/// The answer can't be continued.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum AssembleError {
-    /// The chunk is of another request.
+    /// The chunk belongs to another request.
     #[error("chunk belongs to request {0}")]
     OtherRequest(String),
     /// The engine ran another adapter or version.
     #[error("engine answered with {found} instead of {wanted}")]
     OtherModel {
-        /// What the caller named.
+        /// The adapter and version that the caller requested.
         wanted: ModelRef,
-        /// What the engine says it ran.
+        /// The adapter and version that the engine reports.
         found: ModelRef,
     },
-    /// A piece is missing before this one.
-    #[error("chunk {found} arrived where {wanted} was due")]
+    /// A chunk is missing before this one.
+    #[error("gap in the answer: got chunk {found}, expected {wanted}")]
     Gap {
-        /// The position that was due.
+        /// The expected position.
         wanted: u64,
-        /// The position that arrived.
+        /// The position of the chunk.
         found: u64,
     },
 }
 
-/// Checks each chunk of one answer against request, attempt, model and position.
+/// Checks the request, attempt, model and position of each chunk of one answer.
 #[derive(Debug, Clone)]
 pub struct Assembler {
     request: String,
@@ -67,7 +67,7 @@
 }
 
 impl Assembler {
-    /// Starts at `position`, 0 unless a caller resumes.
+    /// Creates an assembler that expects `position` first; 0 unless the caller resumes an answer.
     pub fn new(request: impl Into<String>, model: ModelRef, position: u64) -> Self {
         Self {
             request: request.into(),
@@ -78,15 +78,15 @@
         }
     }
 
-    /// Abandons the attempt under way; its late chunks will be dropped.
+    /// Starts a new attempt. Late chunks of earlier attempts are dropped from now on.
     pub fn start_attempt(&mut self, attempt: u32) {
         self.attempt = attempt;
     }
 
-    /// Judges the next chunk.
+    /// Checks the next chunk.
     ///
     /// # Errors
-    /// [`AssembleError`] when the chunk shows a wrong request, model or a gap.
+    /// [`AssembleError`] for a wrong request, a wrong model or a gap.
     pub fn take(&mut self, chunk: &Chunk) -> Result<Taken, AssembleError> {
         if chunk.request != self.request {
             return Err(AssembleError::OtherRequest(chunk.request.clone()));
@@ -118,12 +118,12 @@
         })
     }
 
-    /// The position that is due next; a resume asks for this one.
+    /// The position that is expected next, from which an answer can be resumed.
     pub fn next_position(&self) -> u64 {
         self.next_position
     }
 
-    /// Whether the last chunk has been passed on.
+    /// Whether the last chunk has been accepted.
     pub fn is_complete(&self) -> bool {
         self.complete
     }
--- a/crates/tinbay-core/src/fence.rs
+++ b/crates/tinbay-core/src/fence.rs
@@ -1,4 +1,4 @@
-//! Fences: the number on every order that lets an engine refuse a former owner.
+//! Fencing tokens, sent with every order so that an engine can refuse orders of a former owner.
 //!
 //! Source: Burrows, "The Chubby lock service for loosely-coupled distributed systems",
 //! OSDI 2006 (sequencers).
@@ -10,34 +10,38 @@
 
 use crate::ids::Incarnation;
 
-/// The right under which an order is given. Higher epochs win, then higher ranks.
+/// A fencing token. The higher epoch wins, then the higher rank.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize,
 )]
 pub struct Fence {
-    /// Raised by compare-and-swap in the key-value service at each takeover.
+    /// Incremented by compare-and-swap in the key-value service.
     pub epoch: u64,
-    /// Rises with each takeover within the epoch; the box that raised the epoch begins with 0.
+    /// Rises with each takeover within the epoch; the box that incremented the epoch starts at 0.
     pub rank: u32,
 }
 
-/// Places that the succession of one epoch may have.
+/// Maximum number of boxes in the succession of one epoch.
 pub const MAX_SUCCESSION: u32 = 64;
 
 impl Fence {
-    /// The lowest fence above one already seen that a place in the succession of an epoch may use; none if
-    /// a later epoch was seen.
+    /// The lowest fence above `seen` for the box at `position` in the succession of `epoch`; `None`
+    /// if a later epoch was seen.
     ///
-    /// Each place has every [`MAX_SUCCESSION`]th rank to itself. So the boxes of a succession can follow
-    /// each other in any order, again and again, and no two of them ever hold the same fence.
-    pub fn above(seen: Fence, epoch: u64, place: u32) -> Option<Fence> {
-        if seen.epoch > epoch || place >= MAX_SUCCESSION {
+    /// Each position owns every [`MAX_SUCCESSION`]th rank. The boxes of a succession can therefore
+    /// take over from each other in any order and any number of times, and no two of them ever
+    /// hold the same fence.
+    pub fn above(seen: Fence, epoch: u64, position: u32) -> Option<Fence> {
+        if seen.epoch > epoch || position >= MAX_SUCCESSION {
             return None;
         }
         if seen.epoch < epoch {
-            return Some(Fence { epoch, rank: place });
+            return Some(Fence {
+                epoch,
+                rank: position,
+            });
         }
-        let rank = seen.rank - seen.rank % MAX_SUCCESSION + place;
+        let rank = seen.rank - seen.rank % MAX_SUCCESSION + position;
         let rank = match rank > seen.rank {
             true => rank,
             false => rank.checked_add(MAX_SUCCESSION)?,
@@ -46,42 +50,43 @@
     }
 }
 
-/// A fence together with the engine's run that the order is meant for.
+/// The authority of an order to an engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Order {
-    /// The right under which the order is given.
+    /// Fencing token of the owner that gives the order.
     pub fence: Fence,
-    /// The engine's run; an engine that restarted empty refuses orders for the old one.
+    /// Incarnation of the engine that the order is for. After a restart, an engine refuses orders
+    /// for its earlier incarnation.
     pub incarnation: Incarnation,
 }
 
-/// Why an engine refuses an order.
+/// An engine refuses an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error, Serialize, Deserialize)]
 pub enum FenceRefusal {
     /// A higher fence has been seen.
     #[error("order carries a fence lower than one already seen")]
     Stale,
-    /// The order is for an earlier run of the engine.
+    /// The order is for another incarnation of the engine.
     #[error("order is for another run of the engine")]
     Incarnation,
 }
 
-/// Why a text is not an [`Order`].
+/// The text is not a valid [`Order`].
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("an order is written epoch.rank.incarnation, three whole numbers")]
 pub struct OrderParseError;
 
-/// What an engine that checks orders keeps: the highest fence seen.
+/// The check of an engine that verifies orders: remembers the highest fence seen.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct FenceGuard {
     highest: Fence,
 }
 
 impl FenceGuard {
-    /// Checks an order and keeps its fence when it is the highest.
+    /// Checks an order and records its fence.
     ///
     /// # Errors
-    /// [`FenceRefusal`] when the order is stale or for another run.
+    /// [`FenceRefusal`] if the order is stale or for another incarnation.
     pub fn check(&mut self, order: &Order, incarnation: Incarnation) -> Result<(), FenceRefusal> {
         if order.fence < self.highest {
             return Err(FenceRefusal::Stale);
--- a/crates/tinbay-core/src/hedge.rs
+++ b/crates/tinbay-core/src/hedge.rs
@@ -1,38 +1,40 @@
-//! When a request that may be repeated is sent to a second server though the first may still answer.
+//! Hedged requests: when to send a repeatable request to a second server while the first has not
+//! answered.
 //!
-//! Load it answers: servers that are slow or silent for moments, under requests whose answer must
-//! come within a few times the usual one.
+//! Hedging helps against servers that are briefly slow or silent when the latency objective is only
+//! a few times the usual latency.
 
 use crate::pace::answer_times::AnswerTimes;
 use crate::units::Millis;
 
-/// Part of the answers that is awaited: one request in twenty is sent again, and most of what is
-/// late is among these.
-const AWAITED_PART: f64 = 0.95;
+/// Quantile of the answer times after which a request is hedged: one in twenty is, and most of the
+/// late ones are among these.
+const HEDGE_QUANTILE: f64 = 0.95;
 
-/// Shortest wait: a second send earlier than that costs more than it gains.
-const LEAST_WAIT_MS: f64 = 5.0;
+/// Minimum wait before hedging; an earlier second send costs more than it gains.
+const MIN_WAIT_MS: f64 = 5.0;
 
-/// What decides whether and when a request is sent to a second server.
+/// State of a request that decides about hedging.
 #[derive(Debug, Clone, Copy)]
 pub struct HedgeCase {
-    /// Whether it may run more than once.
+    /// Whether the request may run more than once.
     pub is_repeatable: bool,
-    /// Whether any server of the service does the same work, holding nothing special for it.
+    /// Whether any server of the service can answer it without holding particular state, such as
+    /// an adapter.
     pub is_plain: bool,
-    /// Servers that it may be sent to beyond this one.
+    /// Number of further servers that it may be sent to.
     pub sends_left: u32,
-    /// Time left for an answer.
+    /// Time left until the answer is late.
     pub left_ms: Millis,
 }
 
-/// Wait after which a request goes to a second server as well; none where it never does.
+/// Time after which the request is sent to a second server; `None` if it is not hedged.
 pub fn hedge_after_ms(case: &HedgeCase, times: &AnswerTimes) -> Option<Millis> {
     if !case.is_repeatable || !case.is_plain || case.sends_left == 0 {
         return None;
     }
-    let wait_ms = times.quantile_ms(AWAITED_PART)?.max(LEAST_WAIT_MS);
-    let usual_ms = times.quantile_ms(0.5)?;
-    let is_in_time = wait_ms + usual_ms < case.left_ms as f64;
+    let wait_ms = times.quantile_ms(HEDGE_QUANTILE)?.max(MIN_WAIT_MS);
+    let median_ms = times.quantile_ms(0.5)?;
+    let is_in_time = wait_ms + median_ms < case.left_ms as f64;
     is_in_time.then_some(wait_ms.ceil() as Millis)
 }
--- a/crates/tinbay-core/src/ids.rs
+++ b/crates/tinbay-core/src/ids.rs
@@ -1,4 +1,4 @@
-//! Names of boxes, zones, engines, adapters and requests, each its own type.
+//! Identifiers of boxes, zones, engines, adapters and requests, as distinct types.
 
 use std::fmt;
 use std::str::FromStr;
@@ -13,12 +13,12 @@
         pub struct $name(String);
 
         impl $name {
-            /// Wraps a name as it stands.
+            /// Creates the identifier, without validation.
             pub fn new(name: impl Into<String>) -> Self {
                 Self(name.into())
             }
 
-            /// The name as text.
+            /// The identifier as a string slice.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -39,7 +39,7 @@
 }
 
 name_type!(
-    /// An entry box, as its settings name it.
+    /// The id of a box, from its settings.
     BoxId
 );
 name_type!(
@@ -47,18 +47,18 @@
     ZoneId
 );
 name_type!(
-    /// A model engine, as the operators' configuration names it.
+    /// The name of a model engine in the operators' configuration.
     EngineId
 );
 
-/// One run of a box's process; a restart gives a higher one.
+/// Identifies one run of a process; it is higher after each restart.
 pub type Incarnation = u64;
 
-/// A request inside one box; unique for the life of its process.
+/// Identifies a request within one box; unique during the lifetime of its process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RequestId(pub u64);
 
-/// An adapter and the version of it that a caller named, written `adapter@version`.
+/// An adapter and one of its versions, written `adapter@version`.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct ModelRef {
@@ -66,7 +66,7 @@
     version: String,
 }
 
-/// Why a text is not a [`ModelRef`].
+/// The text is not a valid [`ModelRef`].
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum ModelRefError {
     /// There is no `@`, or more than one.
@@ -78,7 +78,7 @@
 }
 
 impl ModelRef {
-    /// Joins an adapter and a version.
+    /// Creates a reference from its parts, without validation.
     pub fn new(adapter: impl Into<String>, version: impl Into<String>) -> Self {
         Self {
             adapter: adapter.into(),
@@ -86,12 +86,12 @@
         }
     }
 
-    /// The adapter's name.
+    /// Name of the adapter.
     pub fn adapter(&self) -> &str {
         &self.adapter
     }
 
-    /// The version's name.
+    /// Name of the version within the adapter.
     pub fn version(&self) -> &str {
         &self.version
     }
--- a/crates/tinbay-core/src/keys.rs
+++ b/crates/tinbay-core/src/keys.rs
@@ -1,8 +1,8 @@
-//! Request keys and the table that keeps a request from running twice.
+//! Idempotency keys of requests, and the table that prevents a request from running twice.
 //!
-//! A key names its home: one box in one run of its process. Only that run can say
-//! "never seen", because it has held the table since before the key was minted. When the
-//! home is gone the answer is "unknown", never a second run. Kin: RIFL, Lee et al.,
+//! A key names its home: one box in one incarnation of its process. Only that incarnation can tell
+//! that a key was never used, as its table existed before the key was issued. When the home is
+//! gone, the result is "unknown" rather than a second run. Related: RIFL, Lee et al.,
 //! "Implementing linearizability at large scale and low latency", SOSP 2015.
 
 use std::collections::{BTreeSet, HashMap};
@@ -14,26 +14,27 @@
 use crate::ids::{BoxId, Incarnation};
 use crate::units::Millis;
 
-/// How long a key may be used after it was minted; the table forgets later.
+/// Lifetime of a key after it was issued. The table keeps entries longer than that.
 pub const KEY_LIFE_MS: Millis = 10 * 60 * 1_000;
 
-/// How far two boxes' wall clocks may differ before a key is refused as not yet valid.
+/// Tolerated difference between the wall clocks of two boxes; a key issued later than that in the
+/// future is not accepted.
 pub const CLOCK_SKEW_MS: Millis = 30_000;
 
-/// Identifies one request of one caller for as long as it may be asked again.
+/// Identifies one request of one caller across its retries.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct RequestKey {
     /// The box that keeps the table entry.
     pub home: BoxId,
-    /// The run of that box.
+    /// Incarnation of that box.
     pub incarnation: Incarnation,
-    /// Wall-clock time of minting.
+    /// Wall-clock time at which the key was issued.
     pub minted_ms: Millis,
-    /// Tells apart keys of the same millisecond.
+    /// Distinguishes keys issued in the same millisecond.
     pub nonce: u64,
 }
 
-/// Why a text is not a [`RequestKey`].
+/// The text is not a valid [`RequestKey`].
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("a request key is home:incarnation:minted_ms:nonce as given by locate")]
 pub struct KeyParseError;
@@ -70,16 +71,16 @@
     }
 }
 
-/// What the home says to a claim.
+/// The home's answer to a claim.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Claim {
-    /// First use: the asker may run the request.
+    /// First use: the claimant may run the request.
     Granted,
-    /// The request is running, or was answered; it may not run again.
+    /// The request is running or was answered, and must not run again.
     Used,
-    /// An earlier attempt ended without anything having run; the asker may run it.
+    /// An earlier attempt ended without having run: the claimant may run the request.
     Regranted,
-    /// The key is for another run or box, too old or from the future: nothing can be said.
+    /// The key is of another box or incarnation, expired, or from the future: no statement possible.
     Unknown,
 }
 
@@ -89,7 +90,7 @@
     NotRun,
 }
 
-/// The keys of which this run of this box is the home.
+/// The keys whose home is this incarnation of this box.
 #[derive(Debug)]
 pub struct KeyTable {
     home: BoxId,
@@ -99,7 +100,7 @@
 }
 
 impl KeyTable {
-    /// An empty table for one run of one box.
+    /// Creates an empty table for one incarnation of one box.
     pub fn new(home: BoxId, incarnation: Incarnation) -> Self {
         Self {
             home,
@@ -109,7 +110,7 @@
         }
     }
 
-    /// Claims the right to run the request of `key`.
+    /// Claims permission to run the request identified by `key`.
     pub fn claim(&mut self, key: &RequestKey, wall_ms: Millis) -> Claim {
         self.forget_expired(wall_ms);
         if !self.can_judge(key, wall_ms) {
@@ -129,19 +130,19 @@
         }
     }
 
-    /// Notes that a claimed request certainly did not run, so the caller may ask again.
+    /// Records that a claimed request certainly did not run, so that it may be claimed again.
     pub fn release_not_run(&mut self, key: &RequestKey) {
         if let Some(entry) = self.entries.get_mut(key) {
             *entry = Entry::NotRun;
         }
     }
 
-    /// Keys held.
+    /// Number of keys in the table.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether no key is held.
+    /// Whether the table is empty.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
@@ -153,7 +154,8 @@
             && wall_ms < key.minted_ms + KEY_LIFE_MS
     }
 
-    /// Forgets only keys that [`Self::can_judge`] refuses, even were the clock to step back a little.
+    /// Removes keys that [`Self::can_judge`] rejects, with a margin of [`KEY_LIFE_MS`] in case the
+    /// wall clock steps back.
     fn forget_expired(&mut self, wall_ms: Millis) {
         let horizon_ms = wall_ms.saturating_sub(2 * KEY_LIFE_MS);
         while let Some(&(minted_ms, nonce)) = self.by_age.first() {
--- a/crates/tinbay-core/src/lib.rs
+++ b/crates/tinbay-core/src/lib.rs
@@ -1,8 +1,8 @@
-//! The decisions of tinbay, free of I/O.
+//! The decision logic of tinbay, without I/O.
 //!
-//! Typed events with a time go in, typed commands come out. Nothing here opens a
-//! socket, reads a clock, starts a thread or draws hidden randomness, so the same code
-//! runs inside a box, under a scripted test and in an experiment on virtual time.
+//! Input is typed events with a timestamp, output is typed commands. Nothing here opens a socket,
+//! reads a clock, starts a thread or uses implicit randomness, so that the same code runs in a
+//! box, in tests and in simulations on virtual time.
 
 pub mod accounts;
 pub mod assemble;
--- a/crates/tinbay-core/src/loads.rs
+++ b/crates/tinbay-core/src/loads.rs
@@ -1,7 +1,7 @@
-//! Shares the weight store's allowance among the engines of a region.
+//! Distributes the weight store's load allowance among the engines of a region.
 //!
-//! One arbiter a region holds the allowance, so a counter request's load goes before
-//! batch loads of every engine, not just of its own.
+//! Each region has one arbiter, so that a load for an urgent request takes precedence over batch
+//! loads of all engines and not just of its own.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -10,37 +10,37 @@
 use crate::ids::{EngineId, ModelRef};
 use crate::units::{MS_PER_SECOND, Millis};
 
-/// Loads that may begin at once after a pause. The store paces loads by itself, first come
-/// first served: what is granted ahead of the rate waits there, where no rank counts. A fifth
-/// of a load more than one, so that nothing of the rate is lost between two looks.
+/// Capacity of the token bucket, in loads. The store queues loads above its rate first come, first
+/// served, regardless of rank, so that grants must not run ahead of the rate. It is slightly more
+/// than one load, so that no tokens are lost between two calls of [`LoadArbiter::grant`].
 const BURST: f64 = 1.2;
 
-/// A permit not given back by then is taken as lost with its holder.
+/// Lifetime of a permit. One that was not returned by then is considered lost with its holder.
 const PERMIT_LIFE_MS: Millis = 30_000;
 
-/// What the weight store allows.
+/// Load allowance of the weight store.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct Allowance {
-    /// Loads that may begin in a second.
+    /// Loads that may start per second.
     pub loads_per_s: f64,
-    /// Loads at once before each of them slows down.
+    /// Maximum number of concurrent loads at which each runs at full speed.
     pub at_once: u32,
 }
 
-/// A wish to load a model onto an engine.
+/// A request to load a model into an engine.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct LoadWish {
-    /// Rank of the most pressing request that waits; 0 first.
+    /// Best rank among the requests that wait for the model; 0 goes first.
     pub rank: u8,
-    /// Since when it waits.
+    /// When that request arrived.
     pub since_ms: Millis,
-    /// Where to load.
+    /// Engine to load into.
     pub engine: EngineId,
-    /// What to load.
+    /// Model to load.
     pub model: ModelRef,
 }
 
-/// Grants loads in order of rank, then age, within the allowance.
+/// Grants loads within the allowance, ordered by rank, then by age.
 #[derive(Debug)]
 pub struct LoadArbiter {
     allowance: Allowance,
@@ -52,7 +52,7 @@
 }
 
 impl LoadArbiter {
-    /// An arbiter with a full allowance.
+    /// Creates an arbiter with a full token bucket.
     pub fn new(allowance: Allowance) -> Self {
         Self {
             allowance,
@@ -69,23 +69,23 @@
         self.allowance = allowance;
     }
 
-    /// Queues a wish; a repeated wish keeps the better rank.
-    pub fn ask(&mut self, wish: LoadWish) {
-        let target = (wish.engine.clone(), wish.model.clone());
+    /// Queues a request. Of several requests for the same target, the one with the better rank counts.
+    pub fn ask(&mut self, request: LoadWish) {
+        let target = (request.engine.clone(), request.model.clone());
         if self.running.contains_key(&target) {
             return;
         }
         if let Some(old) = self.by_target.get(&target) {
-            if *old <= wish {
+            if *old <= request {
                 return;
             }
             self.waiting.remove(old);
         }
-        self.by_target.insert(target, wish.clone());
-        self.waiting.insert(wish);
+        self.by_target.insert(target, request.clone());
+        self.waiting.insert(request);
     }
 
-    /// Takes a permit back that was not used; the rate is given back with it.
+    /// Takes back an unused permit and its token.
     pub fn give_back(&mut self, engine: &EngineId, model: &ModelRef) {
         let target = (engine.clone(), model.clone());
         if self.running.remove(&target).is_some() {
@@ -93,35 +93,35 @@
         }
     }
 
-    /// Takes back a wish that is no longer needed, or ends a load.
+    /// Withdraws a queued request, or ends a granted load.
     pub fn done(&mut self, engine: &EngineId, model: &ModelRef) {
         let target = (engine.clone(), model.clone());
         self.running.remove(&target);
-        if let Some(wish) = self.by_target.remove(&target) {
-            self.waiting.remove(&wish);
+        if let Some(request) = self.by_target.remove(&target) {
+            self.waiting.remove(&request);
         }
     }
 
-    /// Grants what the allowance permits at `now_ms`.
+    /// Grants the loads that the allowance permits at `now_ms`.
     pub fn grant(&mut self, now_ms: Millis) -> Vec<LoadWish> {
         self.refill(now_ms);
         self.running
             .retain(|_, since_ms| now_ms.saturating_sub(*since_ms) < PERMIT_LIFE_MS);
         let mut granted = Vec::new();
         while self.tokens >= 1.0 && (self.running.len() as u32) < self.allowance.at_once {
-            let Some(wish) = self.waiting.pop_first() else {
+            let Some(request) = self.waiting.pop_first() else {
                 break;
             };
-            let target = (wish.engine.clone(), wish.model.clone());
+            let target = (request.engine.clone(), request.model.clone());
             self.by_target.remove(&target);
             self.running.insert(target, now_ms);
             self.tokens -= 1.0;
-            granted.push(wish);
+            granted.push(request);
         }
         granted
     }
 
-    /// When a grant may next be possible, if a wish waits for the rate alone.
+    /// Earliest time of the next grant, if a request waits and only the rate holds it back.
     pub fn next_grant_ms(&self) -> Option<Millis> {
         if self.waiting.is_empty() || self.running.len() as u32 >= self.allowance.at_once {
             return None;
@@ -131,20 +131,20 @@
         Some(self.refilled_ms + wait_ms.ceil() as Millis)
     }
 
-    /// Loads granted and not yet ended.
+    /// Number of loads granted and not yet ended.
     pub fn running(&self) -> usize {
         self.running.len()
     }
 
-    /// Wishes not yet granted.
+    /// Number of requests not yet granted.
     pub fn waiting(&self) -> usize {
         self.waiting.len()
     }
 
     fn refill(&mut self, now_ms: Millis) {
         let passed_ms = now_ms.saturating_sub(self.refilled_ms);
-        let earned = passed_ms as f64 / MS_PER_SECOND as f64 * self.allowance.loads_per_s;
-        self.tokens = (self.tokens + earned).min(BURST);
+        let added = passed_ms as f64 / MS_PER_SECOND as f64 * self.allowance.loads_per_s;
+        self.tokens = (self.tokens + added).min(BURST);
         self.refilled_ms = self.refilled_ms.max(now_ms);
     }
 }
--- a/crates/tinbay-core/src/naive.rs
+++ b/crates/tinbay-core/src/naive.rs
@@ -1,6 +1,7 @@
-//! The naive scheduler: first come first served, least recently used unload, load on demand.
+//! A naive scheduler: first come, first served, loads on demand, and eviction of the least recently
+//! used adapter.
 //!
-//! It is the baseline of the experiments and the other side of the differential tests.
+//! It is the baseline of the experiments and the reference of the differential tests.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -10,36 +11,36 @@
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum State {
-    Asked,
+    Requested,
     Loading,
     Loaded,
     Unloading,
 }
 
 #[derive(Debug)]
-struct Held {
+struct Slot {
     state: State,
     serving: u32,
     used_ms: Millis,
     loaded_ms: Millis,
 }
 
-/// Decides for one engine without priorities, deadlines or foresight.
+/// Schedules one engine without priorities, deadlines or look-ahead.
 #[derive(Debug)]
 pub struct NaiveScheduler {
     shape: EngineShape,
     queue: VecDeque<Ask>,
-    held: HashMap<ModelRef, Held>,
+    slots: HashMap<ModelRef, Slot>,
     running: HashMap<RequestId, ModelRef>,
 }
 
 impl NaiveScheduler {
-    /// A scheduler for an empty engine.
+    /// Creates a scheduler for an empty engine.
     pub fn new(shape: EngineShape) -> Self {
         Self {
             shape,
             queue: VecDeque::new(),
-            held: HashMap::new(),
+            slots: HashMap::new(),
             running: HashMap::new(),
         }
     }
@@ -49,16 +50,16 @@
         while index < self.queue.len() && self.running.len() < self.shape.batch_limit as usize {
             let model = self.queue[index].model.clone();
             let loaded = self
-                .held
+                .slots
                 .get_mut(&model)
-                .filter(|h| h.state == State::Loaded);
-            let Some(held) = loaded else {
+                .filter(|slot| slot.state == State::Loaded);
+            let Some(slot) = loaded else {
                 index += 1;
                 continue;
             };
-            held.serving += 1;
-            held.used_ms = now_ms;
-            let stall_ms = held.loaded_ms.saturating_sub(self.queue[index].arrived_ms);
+            slot.serving += 1;
+            slot.used_ms = now_ms;
+            let stall_ms = slot.loaded_ms.saturating_sub(self.queue[index].arrived_ms);
             if let Some(ask) = self.queue.remove(index) {
                 self.running.insert(ask.id, model);
                 out.push(Command::Dispatch {
@@ -73,14 +74,14 @@
         let missing = self
             .queue
             .iter()
-            .find(|ask| !self.held.contains_key(&ask.model));
+            .find(|ask| !self.slots.contains_key(&ask.model));
         let Some((model, rank, since_ms)) =
             missing.map(|ask| (ask.model.clone(), ask.rank, ask.arrived_ms))
         else {
             return;
         };
-        if self.held.len() < self.shape.slots as usize {
-            self.hold(model.clone(), State::Asked, now_ms);
+        if self.slots.len() < self.shape.slots as usize {
+            self.hold(model.clone(), State::Requested, now_ms);
             out.push(Command::AskLoad {
                 model,
                 rank,
@@ -89,14 +90,14 @@
             return;
         }
         let unloading = self
-            .held
+            .slots
             .values()
-            .any(|held| held.state == State::Unloading);
+            .any(|slot| slot.state == State::Unloading);
         let oldest = self
-            .held
+            .slots
             .iter()
-            .filter(|(_, held)| held.state == State::Loaded && held.serving == 0)
-            .min_by_key(|(model, held)| (held.used_ms, (*model).clone()))
+            .filter(|(_, slot)| slot.state == State::Loaded && slot.serving == 0)
+            .min_by_key(|(model, slot)| (slot.used_ms, (*model).clone()))
             .map(|(model, _)| model.clone());
         if let (false, Some(victim)) = (unloading, oldest) {
             self.set_state(&victim, State::Unloading);
@@ -105,30 +106,30 @@
     }
 
     fn hold(&mut self, model: ModelRef, state: State, now_ms: Millis) {
-        let held = Held {
+        let slot = Slot {
             state,
             serving: 0,
             used_ms: now_ms,
             loaded_ms: now_ms,
         };
-        self.held.insert(model, held);
+        self.slots.insert(model, slot);
     }
 
     fn set_state(&mut self, model: &ModelRef, state: State) {
-        if let Some(held) = self.held.get_mut(model) {
-            held.state = state;
+        if let Some(slot) = self.slots.get_mut(model) {
+            slot.state = state;
         }
     }
 
     fn finish(&mut self, id: RequestId) {
         let model = self.running.remove(&id);
-        if let Some(held) = model.and_then(|model| self.held.get_mut(&model)) {
-            held.serving = held.serving.saturating_sub(1);
+        if let Some(slot) = model.and_then(|model| self.slots.get_mut(&model)) {
+            slot.serving = slot.serving.saturating_sub(1);
         }
     }
 
     fn fail_load(&mut self, model: &ModelRef, out: &mut Vec<Command>) {
-        self.held.remove(model);
+        self.slots.remove(model);
         out.push(Command::EndLoad(model.clone()));
         let failed = |ask: &Ask| ask.model == *model;
         for ask in self.queue.iter().filter(|ask| failed(ask)) {
@@ -159,11 +160,11 @@
             }
             Event::LoadFailed(model) => self.fail_load(&model, &mut out),
             Event::Unloaded(model) | Event::Missing(model) => {
-                self.held.remove(&model);
+                self.slots.remove(&model);
             }
             Event::UnloadFailed(model) => self.set_state(&model, State::Loaded),
             Event::Learnt(contents) => {
-                self.held.clear();
+                self.slots.clear();
                 for model in contents.loaded {
                     self.hold(model, State::Loaded, now_ms);
                 }
--- a/crates/tinbay-core/src/rendezvous.rs
+++ b/crates/tinbay-core/src/rendezvous.rs
@@ -1,4 +1,4 @@
-//! Rendezvous hashing: every box ranks the same candidates the same way without talking.
+//! Rendezvous hashing: all boxes rank the same candidates alike without communication.
 //!
 //! Source: Thaler and Ravishankar, "Using name-based mappings to increase hit rates",
 //! IEEE/ACM Transactions on Networking, 1998.
@@ -10,12 +10,12 @@
     score_of(xxh3_64_with_seed(key.as_bytes(), 0), node)
 }
 
-/// The score of `node` for a key that is a number already; the highest score wins.
+/// The score of `node` for a numeric key; the highest score wins.
 pub fn score_of(key: u64, node: &str) -> u64 {
     xxh3_64_with_seed(node.as_bytes(), key)
 }
 
-/// The node with the highest score for `key`; the name breaks a tie.
+/// The node with the highest score for `key`; ties are broken by name.
 pub fn pick<'a, I>(key: &str, nodes: I) -> Option<&'a str>
 where
     I: IntoIterator<Item = &'a str>,
@@ -25,7 +25,7 @@
         .max_by_key(|node| (score(key, node), *node))
 }
 
-/// The `count` highest nodes for `key`, best first.
+/// The `count` nodes with the highest scores for `key`, best first.
 pub fn rank<'a, I>(key: &str, nodes: I, count: usize) -> Vec<&'a str>
 where
     I: IntoIterator<Item = &'a str>,
--- a/crates/tinbay-core/src/retry.rs
+++ b/crates/tinbay-core/src/retry.rs
@@ -1,30 +1,30 @@
-//! How one attempt ended, and whether another may follow.
+//! Outcome of an attempt, and whether another one may follow.
 
 use serde::{Deserialize, Serialize};
 
 use crate::units::Millis;
 
-/// The three ends of an attempt to run a request at a back end.
+/// The outcome of an attempt to run a request on a backend server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AttemptEnd {
-    /// The whole answer arrived.
+    /// The complete answer arrived.
     Answered,
-    /// Nothing was handed over, or the back end refused before it ran anything.
+    /// The request was not delivered, or the server refused it before running anything.
     NotRun,
-    /// The request was handed over and no whole answer came back.
+    /// The request was delivered and no complete answer came back.
     Unknown,
 }
 
-/// Share of a class's requests that may be retried, so retries cannot multiply an overload.
+/// Fraction of a class's requests that may be retried, so that retries can't amplify an overload.
 const BUDGET_RATIO: f64 = 0.2;
 
-/// Retries a class may always make, so that a quiet class is not left without any.
-const BUDGET_FLOOR: f64 = 5.0;
+/// Initial balance, so that a class with little traffic can retry as well.
+const INITIAL_BALANCE: f64 = 5.0;
 
-/// Highest balance; bounds the burst of retries after a quiet hour.
-const BUDGET_CEILING: f64 = 100.0;
+/// Upper bound of the balance, which limits the burst of retries after a long time without any.
+const MAX_BALANCE: f64 = 100.0;
 
-/// A retry allowance: each request earns a fraction of a retry, each retry spends one.
+/// A retry budget: each request adds a fraction of a retry, each retry takes one.
 ///
 /// Source: the retry budgets of Finagle and of "The Site Reliability Workbook", ch. 22.
 #[derive(Debug, Clone)]
@@ -35,23 +35,23 @@
 impl Default for RetryBudget {
     fn default() -> Self {
         Self {
-            balance: BUDGET_FLOOR,
+            balance: INITIAL_BALANCE,
         }
     }
 }
 
 impl RetryBudget {
-    /// Notes a first attempt.
+    /// Records a first attempt.
     pub fn earn(&mut self) {
-        self.balance = (self.balance + BUDGET_RATIO).min(BUDGET_CEILING);
+        self.balance = (self.balance + BUDGET_RATIO).min(MAX_BALANCE);
     }
 
-    /// Retries that may be made now.
+    /// Number of retries available.
     pub fn balance(&self) -> f64 {
         self.balance
     }
 
-    /// Takes one retry if the allowance holds one.
+    /// Takes one retry; false if none is available.
     pub fn spend(&mut self) -> bool {
         if self.balance < 1.0 {
             return false;
@@ -61,65 +61,65 @@
     }
 }
 
-/// What is known when an attempt has ended without an answer.
+/// State of a request after an attempt, which decides about a retry.
 #[derive(Debug, Clone, Copy)]
 pub struct RetryCase {
-    /// How the attempt ended.
+    /// Outcome of the attempt.
     pub end: AttemptEnd,
     /// Whether the request may run more than once.
     pub repeatable: bool,
-    /// Whether a part of the answer has already gone to the caller.
+    /// Whether part of the answer has already been sent to the caller.
     pub answer_begun: bool,
-    /// Now.
+    /// Current time.
     pub now_ms: Millis,
-    /// When the request must have started.
+    /// Latest time at which the request may start.
     pub deadline_ms: Millis,
 }
 
-/// How the attempts at one request ended so far.
+/// Combined outcome of the attempts at one request so far.
 ///
-/// "Not run" may be said of the request only if it holds for every one of them.
+/// The request as a whole did not run only if none of its attempts did.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct AttemptEnds {
     maybe_ran: bool,
 }
 
 impl AttemptEnds {
-    /// Notes the end of an attempt.
+    /// Adds the outcome of an attempt.
     pub fn note(&mut self, end: AttemptEnd) {
         self.maybe_ran |= end != AttemptEnd::NotRun;
     }
 
-    /// Whether it is certain that no attempt ran anything.
+    /// Whether certainly none of the attempts ran.
     pub fn are_all_not_run(&self) -> bool {
         !self.maybe_ran
     }
 }
 
-/// Why no further attempt at a request is made.
+/// A request is not retried.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum NoRetry {
-    /// A part of the answer has gone to the caller, or the answer is complete.
-    #[error("an answer has begun")]
+    /// Part of the answer was already sent to the caller, or the answer is complete.
+    #[error("part of the answer was already sent")]
     AnswerBegun,
-    /// It must have started by now.
-    #[error("its time to start has passed")]
+    /// The latest start time has passed.
+    #[error("latest start time has passed")]
     DeadlinePassed,
-    /// It may have run and must not run twice.
-    #[error("it may have run and is not repeatable")]
+    /// The request may have run and must not run twice.
+    #[error("request may have run and is not repeatable")]
     NotRepeatable,
-    /// It has had as many attempts as a request gets.
-    #[error("no attempts left")]
+    /// The maximum number of attempts is reached.
+    #[error("maximum number of attempts reached")]
     AttemptsUsed,
-    /// Its class has spent its retry budget.
-    #[error("retry budget spent")]
+    /// The retry budget of the request's class is exhausted.
+    #[error("retry budget exhausted")]
     BudgetSpent,
 }
 
-/// Whether another attempt is allowed, before attempts are counted and the budget is asked.
+/// Checks whether another attempt is allowed, apart from the number of attempts and the budget.
 ///
 /// # Errors
-/// [`NoRetry`], the reason why not.
+/// [`NoRetry`] with the reason why not.
 pub fn check_retry(case: &RetryCase) -> Result<(), NoRetry> {
     if case.answer_begun {
         return Err(NoRetry::AnswerBegun);
--- a/crates/tinbay-core/src/route.rs
+++ b/crates/tinbay-core/src/route.rs
@@ -1,4 +1,4 @@
-//! Chooses the engine for a request.
+//! Selects the engine for a request.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -7,22 +7,23 @@
 use crate::rendezvous;
 use crate::units::Millis;
 
-/// Engines kept in the ranking of a model: its home, its spread and some to fall back on.
+/// Number of engines in the ranking of a model: the preferred one, and others for overload and
+/// failures.
 pub const RANKED_ENGINES: usize = 8;
 
-/// A hint older than this says nothing any more.
+/// Lifetime of a wait hint.
 const HINT_LIFE_MS: Millis = 5_000;
 
-/// An urgent request's wait at the home that makes another engine worth a load of its own.
+/// Wait of urgent requests at the preferred engine above which loading the adapter into the next
+/// engine pays off.
 const URGENT_SPREAD_WAIT_MS: Millis = 1_500;
 
-/// The same for other requests: they can wait, and a copy takes a slot from another adapter.
+/// The same for batch requests: they can wait, and a further copy takes a slot from another adapter.
 const BATCH_SPREAD_WAIT_MS: Millis = 20_000;
 
-/// Rankings of models over the engines of their base model.
+/// Caches, for each model, the ranking of the engines with its base model.
 ///
-/// The ranking of a model is worked out once for each state of the fleet, so a request pays
-/// for a look-up only.
+/// A ranking is computed once per state of the fleet, so that a request only costs a lookup.
 #[derive(Debug, Default)]
 pub struct Router {
     generation: u64,
@@ -37,7 +38,7 @@
 }
 
 impl Router {
-    /// Forgets the rankings when the fleet has changed.
+    /// Clears the cached rankings if the fleet has changed.
     pub fn sync(&mut self, generation: u64) {
         if self.generation != generation {
             self.generation = generation;
@@ -45,7 +46,7 @@
         }
     }
 
-    /// The ranking of a model; `engines` is asked only when none is kept.
+    /// The ranking of a model; `engines` is called only if none is cached.
     pub fn ranking(
         &mut self,
         model: &ModelRef,
@@ -62,7 +63,7 @@
         ranking
     }
 
-    /// Notes the wait an owner reported with an answer to an urgent or another request.
+    /// Records the wait that an owner reported with an answer, separately for urgent requests.
     pub fn note_wait(&mut self, engine: &EngineId, urgent: bool, wait_ms: Millis, now_ms: Millis) {
         let hint = Hint {
             wait_ms,
@@ -71,8 +72,8 @@
         self.hints.insert((engine.clone(), urgent), hint);
     }
 
-    /// The order in which to try the engines of a ranking: the home first, unless its
-    /// wait makes the next one better by more than a load is worth.
+    /// The order in which to try the engines of a ranking: the preferred one first, unless its wait
+    /// exceeds that of the next by more than the cost of a load.
     pub fn order(&self, ranking: &[EngineId], urgent: bool, now_ms: Millis) -> Vec<EngineId> {
         let spread_ms = if urgent {
             URGENT_SPREAD_WAIT_MS
@@ -82,10 +83,10 @@
         let mut order: Vec<(Millis, usize, &EngineId)> = ranking
             .iter()
             .enumerate()
-            .map(|(place, engine)| {
+            .map(|(position, engine)| {
                 let wait_ms = self.wait_ms(engine, urgent, now_ms);
-                let worth_ms = (place as Millis) * spread_ms;
-                (wait_ms + worth_ms, place, engine)
+                let penalty_ms = (position as Millis) * spread_ms;
+                (wait_ms + penalty_ms, position, engine)
             })
             .collect();
         order.sort();
--- a/crates/tinbay-core/src/silence.rs
+++ b/crates/tinbay-core/src/silence.rs
@@ -1,4 +1,4 @@
-//! For how long runs of boxes have been silent.
+//! Tracks how long boxes have been silent.
 
 use std::collections::HashMap;
 
@@ -12,17 +12,17 @@
     at_ms: Millis,
 }
 
-/// When the latest run of each box was last heard.
+/// When the latest run of each box was last heard from.
 ///
-/// A run that has not been heard is silent from the first question about it on: a box that has started
-/// again does not answer for the silence of its former run.
+/// The silence of a run that was never heard from starts with the first query about it, so that a
+/// restarted box is not blamed for the silence of its earlier run.
 #[derive(Debug, Default)]
 pub struct Silences {
     heard: HashMap<BoxId, Heard>,
 }
 
 impl Silences {
-    /// Notes that a run of a box was heard.
+    /// Records a message from a run of a box.
     pub fn note_heard(&mut self, run: &BoxRun, now_ms: Millis) {
         let heard = Heard {
             incarnation: run.incarnation,
@@ -31,7 +31,8 @@
         self.heard.insert(run.id.clone(), heard);
     }
 
-    /// How long a run has been silent.
+    /// Time since a run was last heard from. For a run that is not known yet, records the current
+    /// time and returns 0.
     pub fn silent_ms(&mut self, run: &BoxRun, now_ms: Millis) -> Millis {
         let known = self.heard.get(&run.id);
         match known.filter(|heard| heard.incarnation == run.incarnation) {
@@ -43,12 +44,12 @@
         }
     }
 
-    /// Forgets a box.
+    /// Removes a box.
     pub fn forget(&mut self, id: &BoxId) {
         self.heard.remove(id);
     }
 
-    /// Forgets boxes that have not been heard since a time.
+    /// Removes boxes that were last heard from before `oldest_ms`.
     pub fn forget_before(&mut self, oldest_ms: Millis) {
         self.heard.retain(|_, heard| heard.at_ms >= oldest_ms);
     }
--- a/crates/tinbay-core/src/units.rs
+++ b/crates/tinbay-core/src/units.rs
@@ -1,9 +1,9 @@
-//! Aliases for quantities, so that a signature names its unit.
+//! Type aliases for quantities, so that signatures show the unit.
 
-/// A point in time or a span, in milliseconds. The driver chooses the origin.
+/// A point in time or a duration, in milliseconds. The caller chooses the epoch.
 pub type Millis = u64;
 
-/// A revision of the key-value service; it orders every configuration change.
+/// A revision of the key-value service; it orders all configuration changes.
 pub type Revision = i64;
 
 /// Milliseconds in a second.
--- a/crates/tinbay-core/src/vacancy.rs
+++ b/crates/tinbay-core/src/vacancy.rs
@@ -1,7 +1,7 @@
-//! Engines whose owner is lost, and when the next owner is expected.
+//! Engines without an owner, and when the next owner is expected.
 //!
-//! A request for such an engine has not been refused by anyone: it waits for the next owner if it can
-//! start in time there, and is told when to come back if it can't.
+//! A request for such an engine waits for the next owner if it can still start in time there, and
+//! is otherwise answered with a retry time.
 
 use std::collections::HashMap;
 
@@ -9,32 +9,32 @@
 use crate::units::Millis;
 use crate::view::BoxRun;
 
-/// Shortest wait that is expected of an engine without an owner.
-const SHORTEST_WAIT_MS: Millis = 100;
+/// Minimum of the expected wait for an engine without an owner.
+const MIN_WAIT_MS: Millis = 100;
 
-/// Without a further sign for this long a vacancy is taken to have ended unseen.
+/// A vacancy that was not observed again for this long is considered over.
 const VACANCY_LIFE_MS: Millis = 10_000;
 
-/// How a request found that an engine has no owner.
+/// How the loss of an owner was observed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OwnerLoss {
-    /// The owner can't be reached; the others have yet to hold it to be dead.
+    /// The owner can't be reached and has not been declared dead yet.
     Unreachable,
-    /// The box that should own the engine answers and does not own it yet, or no box should.
+    /// The designated owner answers and does not own the engine yet, or there is no designated owner.
     TakingOver,
 }
 
-/// How long an engine is usually without an owner.
+/// Expected duration of the phases of a vacancy.
 #[derive(Debug, Clone, Copy)]
 pub struct VacancyTerms {
-    /// From the loss of an owner until others hold it to be dead.
+    /// From the loss of an owner until it is declared dead.
     pub detect_ms: Millis,
     /// From then until the next owner has taken over.
     pub take_over_ms: Millis,
 }
 
 impl VacancyTerms {
-    fn usual_ms(&self, loss: OwnerLoss) -> Millis {
+    fn expected_ms(&self, loss: OwnerLoss) -> Millis {
         match loss {
             OwnerLoss::Unreachable => self.detect_ms + self.take_over_ms,
             OwnerLoss::TakingOver => self.take_over_ms,
@@ -44,7 +44,7 @@
 
 #[derive(Debug)]
 struct Vacancy {
-    /// The run that was asked as the owner; none where no box should own the engine.
+    /// The run that was expected to be the owner; absent if there is no designated owner.
     owner: Option<BoxRun>,
     loss: OwnerLoss,
     expected_ms: Millis,
@@ -57,16 +57,17 @@
     }
 }
 
-/// The engines that one box found without an owner.
+/// The engines that this box observed to be without an owner.
 #[derive(Debug, Default)]
 pub struct Vacancies {
     engines: HashMap<EngineId, Vacancy>,
 }
 
 impl Vacancies {
-    /// Notes that a run of a box, asked as the owner of an engine, was found not to own it.
+    /// Records that an engine has no owner, where `owner` is the run that was expected to own it.
     ///
-    /// A further loss, of another run or in another way, has a wait of its own.
+    /// The first observation determines the expected wait. A loss of another run, or one observed in
+    /// another way, is a new vacancy.
     pub fn note_lost(
         &mut self,
         engine: &EngineId,
@@ -87,24 +88,24 @@
         let vacancy = Vacancy {
             owner: owner.cloned(),
             loss,
-            expected_ms: now_ms + terms.usual_ms(loss),
+            expected_ms: now_ms + terms.expected_ms(loss),
             noted_ms: now_ms,
         };
         self.engines.insert(engine.clone(), vacancy);
     }
 
-    /// Notes that an owner has answered for an engine.
+    /// Records that the owner of an engine has answered.
     pub fn note_owned(&mut self, engine: &EngineId) {
         self.engines.remove(engine);
     }
 
-    /// How long until an engine is expected to have an owner; 0 if it is not known to lack one.
+    /// Expected time until an engine has an owner; 0 if it is not known to lack one.
     ///
-    /// A vacancy that is overdue is expected to last as long again as it is overdue.
+    /// An overdue vacancy is expected to last for as long as it is overdue already.
     pub fn wait_ms(&self, engine: &EngineId, now_ms: Millis) -> Millis {
         let Some(vacancy) = self.engines.get(engine) else {
             return 0;
         };
-        vacancy.expected_ms.abs_diff(now_ms).max(SHORTEST_WAIT_MS)
+        vacancy.expected_ms.abs_diff(now_ms).max(MIN_WAIT_MS)
     }
 }
--- a/crates/tinbay-core/src/view.rs
+++ b/crates/tinbay-core/src/view.rs
@@ -1,4 +1,4 @@
-//! What a box knows of the other boxes, and who has which duty by that view.
+//! A box's view of the other boxes, and the roles that follow from it.
 
 use std::collections::BTreeMap;
 
@@ -8,48 +8,50 @@
 use crate::rendezvous;
 use crate::units::Millis;
 
-/// Boxes of a zone that watch the key-value service for the others.
+/// Number of keepers in a zone: the boxes that watch the key-value service and receive heartbeats
+/// on behalf of the others.
 pub const KEEPERS_PER_ZONE: usize = 3;
 
-/// How many boxes stand in line behind the owner of an engine.
+/// Number of boxes in the succession of an engine, including its owner.
 pub const SUCCESSION_LENGTH: usize = 3;
 
 /// Time between heartbeats in a small zone.
 pub const HEARTBEAT_MS: Millis = 500;
 
-/// Boxes of a zone up to which each sends heartbeats at full pace. A heartbeat and its answer
-/// are about 108 bytes, so this many cost a keeper about 7 KB a second.
-const BOXES_AT_FULL_PACE: usize = 36;
+/// Number of boxes in a zone up to which heartbeats are sent every [`HEARTBEAT_MS`]. A heartbeat and
+/// its answer take about 108 bytes, so that a keeper handles about 7 KB/s.
+const BOXES_AT_FULL_RATE: usize = 36;
 
-/// Heartbeats missed before a box is held to be dead.
+/// Missed heartbeats after which a box is declared dead.
 const MISSED_HEARTBEATS: Millis = 3;
 
-/// Time between heartbeats in a zone of `boxes`, so that a keeper's load stays the same.
+/// Time between heartbeats in a zone of `boxes`; it grows with the zone to bound the load of a
+/// keeper.
 pub fn heartbeat_period_ms(boxes: usize) -> Millis {
-    HEARTBEAT_MS * boxes.div_ceil(BOXES_AT_FULL_PACE).max(1) as Millis
+    HEARTBEAT_MS * boxes.div_ceil(BOXES_AT_FULL_RATE).max(1) as Millis
 }
 
-/// Silence after which a box is held to be dead, at least `least_ms`.
+/// Silence after which a box is declared dead, at least `least_ms`.
 pub fn dead_after_ms(boxes: usize, least_ms: Millis) -> Millis {
     least_ms.max(MISSED_HEARTBEATS * heartbeat_period_ms(boxes))
 }
 
-/// Whether a box takes new work.
+/// Lifecycle state of a box.
 ///
-/// New states go to the end: boxes of other versions read them by their place.
+/// New states must be appended, as other versions of the software decode them by index.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum BoxState {
-    /// It takes work.
+    /// The box accepts work.
     Live,
-    /// It ends what it has and takes nothing new.
+    /// The box finishes its work and accepts no new work.
     Leaving,
-    /// It has not yet met the others or caught up with their configuration, and owns nothing.
+    /// The box has not yet joined the others or caught up with the configuration, and owns nothing.
     Starting,
 }
 
 impl BoxState {
-    /// Whether a run of a box enters this state after the other one.
+    /// Whether this state comes after `other` in the life of a run.
     pub fn is_after(self, other: BoxState) -> bool {
         self.stage() > other.stage()
     }
@@ -63,36 +65,37 @@
     }
 }
 
-/// One box as the others see it. It changes seldom, so that views stay cheap to pass on.
+/// Description of a box, as distributed to the others. It changes seldom, so that views are cheap
+/// to distribute.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BoxRecord {
-    /// Its name.
+    /// Unique id from the settings of the box.
     pub id: BoxId,
-    /// Its availability zone.
+    /// Availability zone.
     pub zone: ZoneId,
-    /// Its region; engines and keys are shared within one.
+    /// Region; engines and keys are shared within one.
     pub region: String,
-    /// Where callers and boxes reach it over HTTP, `ip:port`.
+    /// HTTP address for callers and other boxes, `ip:port`.
     pub address: String,
-    /// Where boxes reach it for control messages, `ip:port`.
+    /// Address for control messages of other boxes, `ip:port`.
     pub control_address: String,
-    /// Its run; higher after a restart.
+    /// Incarnation of the process; higher after a restart.
     pub incarnation: Incarnation,
-    /// Whether it takes new work.
+    /// Lifecycle state of this run.
     pub state: BoxState,
 }
 
 /// One run of a box's process.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct BoxRun {
-    /// The box.
+    /// Id of the box.
     pub id: BoxId,
-    /// Its run.
+    /// Distinguishes the run from earlier and later ones.
     pub incarnation: Incarnation,
 }
 
 impl BoxRecord {
-    /// The run of the box that the record is about.
+    /// The run of the box that the record describes.
     pub fn run(&self) -> BoxRun {
         BoxRun {
             id: self.id.clone(),
@@ -101,14 +104,15 @@
     }
 }
 
-/// The boxes a box believes to exist.
+/// The boxes that a box knows of.
 #[derive(Debug, Clone, Default)]
 pub struct View {
     boxes: BTreeMap<BoxId, BoxRecord>,
 }
 
 impl View {
-    /// Takes a record unless a newer one is known: a later run, or a later state of the same run.
+    /// Inserts a record unless the known one is at least as new, by run and then by state. Returns
+    /// whether it was inserted.
     pub fn merge(&mut self, record: BoxRecord) -> bool {
         if let Some(known) = self.boxes.get(&record.id) {
             let stage = (record.incarnation, record.state.stage());
@@ -120,7 +124,7 @@
         true
     }
 
-    /// Marks a box as leaving, on the platform's word.
+    /// Marks a box as leaving, as announced by the platform. Returns whether that changed its state.
     pub fn mark_leaving(&mut self, id: &BoxId) -> bool {
         let Some(record) = self.boxes.get_mut(id) else {
             return false;
@@ -130,19 +134,20 @@
         changed
     }
 
-    /// Marks a run of a box as live, on its own word that it owns an engine.
+    /// Marks a starting run of a box as live, after it has reported that it owns an engine. Returns
+    /// whether that changed its state.
     pub fn mark_live(&mut self, id: &BoxId, incarnation: Incarnation) -> bool {
         let Some(record) = self.boxes.get_mut(id) else {
             return false;
         };
-        let starts = record.incarnation == incarnation && record.state == BoxState::Starting;
-        if starts {
+        let is_starting = record.incarnation == incarnation && record.state == BoxState::Starting;
+        if is_starting {
             record.state = BoxState::Live;
         }
-        starts
+        is_starting
     }
 
-    /// Removes a box that is held to be dead.
+    /// Removes a box that was declared dead.
     pub fn remove(&mut self, id: &BoxId) -> bool {
         self.boxes.remove(id).is_some()
     }
@@ -152,40 +157,42 @@
         self.boxes.get(id)
     }
 
-    /// Whether a run of a box is the one that is known.
+    /// Whether the known run of the box is this one.
     pub fn has_run(&self, run: &BoxRun) -> bool {
         self.get(&run.id)
             .is_some_and(|record| record.incarnation == run.incarnation)
     }
 
-    /// Whether a box is still to be met by one that has joined the others or not.
+    /// Whether this box, which has joined the others if `has_joined`, still has to exchange views with
+    /// box `id`.
     ///
-    /// Before that a box may know others by their heartbeats alone: they are in its view, but have not
-    /// told it theirs. Boxes that start send none to each other, so neither would hear that the other one
-    /// has become live.
+    /// Before it has joined, a box may know others by their heartbeats only: they are in its view, but
+    /// it has not received theirs. Starting boxes send each other no heartbeats, so that neither
+    /// would learn that the other one has become live.
     pub fn is_unmet(&self, id: &BoxId, has_joined: bool) -> bool {
         let known = self.get(id);
         !has_joined || known.is_none_or(|record| record.state == BoxState::Starting)
     }
 
-    /// Every known box, by name.
+    /// All known boxes, sorted by id.
     pub fn boxes(&self) -> impl Iterator<Item = &BoxRecord> {
         self.boxes.values()
     }
 
-    /// Boxes of a region that take work.
+    /// The live boxes of a region.
     pub fn live<'a>(&'a self, region: &'a str) -> impl Iterator<Item = &'a BoxRecord> {
         self.boxes
             .values()
             .filter(move |b| b.state == BoxState::Live && b.region == region)
     }
 
-    /// How many boxes a zone has.
+    /// Number of boxes in a zone.
     pub fn count_in(&self, zone: &ZoneId) -> usize {
         self.boxes.values().filter(|b| b.zone == *zone).count()
     }
 
-    /// The boxes that should own `engine`, best first: those of its zone, else of its region.
+    /// The succession of `engine`: its designated owner, then those next in line. Boxes of its zone
+    /// come first, then those of its region.
     pub fn succession(&self, engine: &EngineId, zone: &ZoneId, region: &str) -> Vec<&BoxRecord> {
         let in_zone: Vec<&str> = self
             .live(region)
@@ -207,8 +214,8 @@
             .collect()
     }
 
-    /// The keepers of a zone. Views may differ for a while; one keeper more does no harm.
-    /// A zone whose boxes are all leaving keeps its keepers until they have gone.
+    /// The keepers of a zone. Views may differ for a while, which is harmless, as it only leads to an
+    /// additional keeper. If all boxes of a zone are leaving, they stay eligible.
     pub fn keepers(&self, zone: &ZoneId) -> Vec<&BoxRecord> {
         let members: Vec<&BoxRecord> = self.boxes.values().filter(|b| b.zone == *zone).collect();
         let any_live = members.iter().any(|b| b.state == BoxState::Live);
@@ -222,7 +229,7 @@
             .collect()
     }
 
-    /// The box of a region that shares out the weight store's allowance.
+    /// The box of a region that runs the [`LoadArbiter`](crate::loads::LoadArbiter).
     pub fn load_arbiter(&self, region: &str) -> Option<&BoxRecord> {
         let members = self.live(region).map(|b| b.id.as_str());
         let id = rendezvous::pick("weight-store", members)?;
