--- a/crates/tinbay-core/src/crashes/ledger.rs
+++ b/crates/tinbay-core/src/crashes/ledger.rs
@@ -6,8 +6,8 @@
 use crate::units::Millis;
 
 /// Crashes during a request after which it is refused. Every request of a crashed server, up to 64,
-/// is a suspect, and a harmless one may coincide with two crashes in a bad minute. Three in an hour,
-/// with no successful run in between, are unlikely for a harmless request.
+/// is a suspect, and a harmless one may coincide with two crashes in a bad minute. Three, with no
+/// pause of [`CRASH_LIFE_MS`] and no successful run in between, are unlikely for a harmless one.
 pub const CRASHES_TO_REFUSE: usize = 3;
 
 /// How long crashes count after the last one. A request that is retried every few minutes must not
