--- a/crates/tinbay-core/benches/decisions.rs
+++ b/crates/tinbay-core/benches/decisions.rs
@@ -1,5 +1,4 @@
-//! Cost of every decision on the request path, over sizes from a tenth to a hundred times
-//! today's, so that the growth can be read off.
+//! Cost of the decisions on the request path, over a range of sizes that shows how it grows.
 
 use std::hint::black_box;
 use std::time::Duration;
@@ -191,16 +190,16 @@
             loads_per_s: 0.001,
             at_once: 1,
         });
-        let wish = |number: usize| LoadWish {
+        let request = |number: usize| LoadWish {
             rank: (number % 3) as u8,
             since_ms: number as u64,
             engine: EngineId::new(format!("engine-{}", number % 100)),
             model: model(number),
         };
         for number in 0..waiting {
-            arbiter.ask(wish(number));
+            arbiter.ask(request(number));
         }
-        let wanted = wish(waiting + 1);
+        let wanted = request(waiting + 1);
         group.bench_function(BenchmarkId::from_parameter(waiting), |b| {
             b.iter(|| {
                 arbiter.ask(wanted.clone());
--- a/crates/tinbay-core/tests/accounts_key_test.rs
+++ b/crates/tinbay-core/tests/accounts_key_test.rs
@@ -1,4 +1,4 @@
-//! Under which key a request is served, in virtual time.
+//! Tests of client accounts and their keys, on virtual time.
 
 use std::rc::Rc;
 
@@ -61,7 +61,7 @@
     assert_eq!(KeyDigest::from_hex(&"é".repeat(16)), None);
 }
 
-/// Neither the key nor its digest is in what a debug line would print.
+/// Debug output holds neither the key nor its digest.
 #[test]
 fn debug_shows_no_key() {
     let text = format!("{:?}", table(vec![account("one", &["secret-key"])]));
@@ -109,22 +109,22 @@
     assert_eq!(decide(ShownKey::None, 0), KeyDecision::Serve(None));
 }
 
-/// When a box asked, and how long the answers took, in raw units.
+/// When a box queried the store and how long the answers took, in raw units.
 type Reads = Vec<(u16, u16)>;
 
-/// The store's keys over time, read by one box through reads that take long, relays that hold
-/// questions, watches that hear nothing for a while, and a box that is frozen in between.
+/// The revocation of a key, observed by one box through slow reads and watches that miss changes for
+/// a while.
 struct History {
-    /// When the one key is taken away.
+    /// When the key is revoked.
     withdrawn_ms: Millis,
-    /// Times at which the box asked, and how long the answer took.
+    /// When the box queried the store, and how long the answer took.
     reads: Vec<(Millis, Millis)>,
-    /// How long before `withdrawn_ms` plus this the store's watches heard nothing.
+    /// How long after the revocation the store's watches still miss it.
     blind_ms: Millis,
 }
 
 impl History {
-    /// What the box's copy says at a time: whether the key is in it, and how old it is.
+    /// The box's copy at a time: whether it holds the key, and its age.
     fn copy_at(&self, now_ms: Millis) -> Option<(bool, Millis)> {
         let done = self.reads.iter().filter(|(at, took)| at + took <= now_ms);
         let asked_ms = done.map(|(at, _)| *at).max()?;
@@ -133,11 +133,11 @@
     }
 }
 
-/// However reads come, late, blind or not at all, no request sent longer after a key was taken
-/// away than allowed is served under it.
+/// Whether reads are late, stale or absent, no request sent later than allowed after the revocation
+/// of its key is served.
 ///
-/// Guards that were taken out, each of which makes this fail: the age of the copy; the time for
-/// which watches may be blind.
+/// The test fails without the bound on the copy's age, and without the allowance for watches that
+/// miss changes.
 #[test]
 fn check_never_serves_a_key_gone_for_longer_than_allowed() {
     fn property(withdrawn: u16, blind: u8, reads: Reads, requests: Vec<u16>) -> bool {
@@ -168,7 +168,7 @@
         .quickcheck(property as Property);
 }
 
-/// A request sent longer after a key was added than allowed is not told that it is unknown.
+/// The key of a request sent later than allowed after its addition is not reported as unknown.
 #[test]
 fn check_never_calls_a_key_unknown_that_was_added_long_ago() {
     fn property(added: u16, reads: Reads, requests: Vec<u16>) -> bool {
@@ -216,7 +216,7 @@
     assert_eq!(ranks.rank(None, 1), 1);
 }
 
-/// More pairs than ranks share them, and none goes before a more urgent one.
+/// With more pairs than ranks, pairs share ranks and stay in order.
 #[test]
 fn rank_many_pairs_keep_their_order() {
     let ranks = PriorityRanks::new(0..6, 0..4);
--- a/crates/tinbay-core/tests/assemble_test.rs
+++ b/crates/tinbay-core/tests/assemble_test.rs
@@ -1,4 +1,4 @@
-//! Putting streamed answers together.
+//! Tests of the assembly of streamed answers.
 
 use quickcheck::QuickCheck;
 use tinbay_core::assemble::{AssembleError, Assembler, Chunk, Taken};
@@ -71,7 +71,7 @@
 
 #[test]
 fn take_any_arrival_passes_each_position_once_in_order() {
-    // Late, repeated and abandoned chunks in any order: what is passed is 0, 1, 2, ...
+    // For late, repeated and abandoned chunks in any order, the positions passed on are 0, 1, 2, ...
     fn holds(arrivals: Vec<(u8, u8)>) -> bool {
         let mut assembler = assembler();
         let mut passed = Vec::new();
--- a/crates/tinbay-core/tests/common/mod.rs
+++ b/crates/tinbay-core/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! A small engine on virtual time, driven by a scheduler.
-#![allow(dead_code)] // Not every test file uses all of it.
+//! A fake engine on virtual time, driven by a scheduler.
+#![allow(dead_code)] // Not every test file uses all items.
 
 use std::collections::BTreeMap;
 
@@ -7,7 +7,7 @@
 use tinbay_core::ids::{ModelRef, RequestId};
 use tinbay_core::units::Millis;
 
-/// Time of a load and of a request in the small engine.
+/// Duration of a load and of a request in the fake engine.
 pub const LOAD_MS: Millis = 100;
 pub const RUN_MS: Millis = 50;
 
@@ -29,19 +29,19 @@
     }
 }
 
-/// What became of a request.
+/// Outcome of a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Fate {
     Ran { model: ModelRef, at_ms: Millis },
     Refused { at_ms: Millis },
 }
 
-/// Drives one scheduler with a fake engine that obeys it and checks what it is told.
+/// Drives a scheduler with a fake engine that carries out its commands and checks them.
 pub struct Bench {
     pub scheduler: Box<dyn Scheduler>,
     pub fates: BTreeMap<RequestId, Fate>,
     pub loaded: Vec<ModelRef>,
-    /// Orders that no engine could follow: each is a fault of the scheduler.
+    /// Commands that no engine could carry out; each is a fault of the scheduler.
     pub faults: Vec<String>,
     pub unloads: Vec<ModelRef>,
     asks: BTreeMap<RequestId, Ask>,
@@ -50,7 +50,7 @@
     next: u64,
     shape: EngineShape,
     pub now_ms: Millis,
-    /// Loads that are to fail, by model.
+    /// Models whose loads fail.
     pub failing: Vec<ModelRef>,
 }
 
@@ -79,7 +79,7 @@
         self.give(Event::Submit(ask));
     }
 
-    /// Asks again for every refused request, as an entry box does at the next engine.
+    /// Submits every refused request again, as a box does at the next engine.
     pub fn submit_refused_again(&mut self) {
         let refused: Vec<RequestId> = self
             .fates
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Lets time pass, ticking every 20 ms.
+    /// Advances the time, with a tick every 20 ms.
     pub fn run_until(&mut self, until_ms: Millis) {
         while self.now_ms < until_ms {
             let tick_ms = self.now_ms + 20;
@@ -112,7 +112,7 @@
         }
     }
 
-    /// The engine restarts empty: what ran has ended, orders under way fail.
+    /// Restarts the engine empty: running requests end, and loads and unloads in progress fail.
     pub fn restart(&mut self) {
         self.loaded.clear();
         let running = std::mem::take(&mut self.running);
--- a/crates/tinbay-core/tests/config_test.rs
+++ b/crates/tinbay-core/tests/config_test.rs
@@ -1,4 +1,4 @@
-//! The configuration store and the checks of a change.
+//! Tests of the configuration store and of the validation of changes.
 
 use quickcheck::QuickCheck;
 use tinbay_core::config::{
@@ -80,7 +80,7 @@
 
 #[test]
 fn update_since_brings_another_store_level() {
-    // Whatever was written and deleted, and wherever the other store stopped before.
+    // For any writes and deletions, and any state of the other store.
     fn holds(changes: Vec<(u8, bool)>, split: usize) -> bool {
         let (ours, theirs) = (ConfigStore::default(), ConfigStore::default());
         let split = split % (changes.len() + 1);
--- a/crates/tinbay-core/tests/crashes_test.rs
+++ b/crates/tinbay-core/tests/crashes_test.rs
@@ -1,4 +1,4 @@
-//! Requests under which servers crash: what makes them the same, and when one is refused.
+//! Tests of the detection and quarantine of requests that crash servers.
 
 use quickcheck::{QuickCheck, TestResult};
 use tinbay_core::crashes::digest::RequestDigest;
@@ -114,8 +114,8 @@
     assert!(quarantine.holds(digest(2_999), 3_000));
 }
 
-/// Boxes that come and go pass the word on for as long as they like: it ends all the same, and
-/// within its life counted from the first one.
+/// Boxes that restart at random pass a quarantine on to each other: it still ends within its lifetime
+/// counted from the first box.
 #[test]
 fn quarantine_passed_on_never_outlives_itself() {
     fn ends(steps: Vec<(u8, u16)>) -> TestResult {
@@ -146,8 +146,8 @@
         .quickcheck(ends as fn(Vec<(u8, u16)>) -> TestResult);
 }
 
-/// Over any order of reports, repeated and doubled, a request is refused exactly when it ran under
-/// enough different crashes.
+/// For any sequence of reports, with duplicates, a request is refused exactly when it was running in
+/// enough distinct crashes.
 #[test]
 fn ledger_refuses_by_different_crashes_alone() {
     fn refuses(reports: Vec<(u8, u8)>) -> bool {
--- a/crates/tinbay-core/tests/denied_test.rs
+++ b/crates/tinbay-core/tests/denied_test.rs
@@ -1,4 +1,4 @@
-//! Who gets the units of a limit while callers that it turned away come back.
+//! Tests of how a limit treats retries of rejected requests.
 
 use std::collections::VecDeque;
 
@@ -39,14 +39,15 @@
     grant.room_in_ms.map_or(Ok(()), Err)
 }
 
-/// What became of the requests of a surge.
+/// Admitted requests of a surge.
 #[derive(Debug, Default)]
 struct Surge {
     new: usize,
     late: usize,
 }
 
-/// Three times the limit for 20 s; who is turned away comes back once, when told, but within 4 s.
+/// Sends three times the limit for 20 s. Rejected requests are retried once, at the given time but
+/// within 4 s.
 fn play_surge() -> Surge {
     const LONGEST_AWAY_MS: Millis = 4_000;
     let mut home = LimitHome::new(0);
@@ -78,8 +79,8 @@
     surge
 }
 
-/// Load: an account at three times its limit, whose callers come back late. What the limit gives goes to
-/// those who can be in time.
+/// An account sends three times its limit and its callers retry late: the units go to requests that
+/// can still be in time.
 #[test]
 fn deal_surge_serves_new_requests_before_late_ones() {
     let surge = play_surge();
@@ -89,7 +90,7 @@
 }
 
 /// Empties the home's bucket at `now_ms`.
-fn press(home: &mut LimitHome, now_ms: Millis) {
+fn drain(home: &mut LimitHome, now_ms: Millis) {
     let mut digest = 1 << 40;
     while ask(home, digest, now_ms).is_ok() {
         digest += 1;
@@ -99,7 +100,7 @@
 #[test]
 fn deal_return_that_is_in_time_gets_its_turn() {
     let mut home = LimitHome::new(0);
-    press(&mut home, 1_000);
+    drain(&mut home, 1_000);
     let away_ms = ask(&mut home, 7, 1_000).expect_err("no room");
     assert!(away_ms < OBJECTIVE_MS);
     assert_eq!(ask(&mut home, 7, 1_000 + away_ms.max(100)), Ok(()));
@@ -108,14 +109,14 @@
 #[test]
 fn deal_late_return_is_served_once_there_is_plenty() {
     let mut home = LimitHome::new(0);
-    press(&mut home, 1_000);
+    drain(&mut home, 1_000);
     ask(&mut home, 7, 1_000).expect_err("no room");
-    press(&mut home, 1_900);
+    drain(&mut home, 1_900);
     assert!(ask(&mut home, 7, 1_950).is_err());
     assert_eq!(ask(&mut home, 7, 3_500), Ok(()));
 }
 
-/// A request that is told apart by nothing is dealt with as before.
+/// Requests without a digest are never treated as late.
 #[test]
 fn deal_without_a_digest_is_as_before() {
     let request = UnitRequest {
--- a/crates/tinbay-core/tests/differential_test.rs
+++ b/crates/tinbay-core/tests/differential_test.rs
@@ -1,4 +1,5 @@
-//! The scheduler against the naive one: random interleavings, the same answers.
+//! Differential test: on random interleavings, the scheduler answers the same requests as the naive
+//! one.
 
 mod common;
 
@@ -9,16 +10,16 @@
 use tinbay_core::ids::RequestId;
 use tinbay_core::naive::NaiveScheduler;
 
-/// Random interleavings compared.
+/// Number of interleavings.
 const INTERLEAVINGS: u64 = 10_000;
 
-/// Requests of each.
+/// Requests per interleaving.
 const REQUESTS: u64 = 12;
 
-/// Longer than any request can have to wait, so that both run all of them.
+/// Longer than any request has to wait, so that both schedulers run all of them.
 const WAIT_MS: u64 = 60_000;
 
-/// Runs one interleaving; the same seed gives both schedulers the same requests and faults.
+/// Runs one interleaving. The same seed gives both schedulers the same requests and restarts.
 fn run(scheduler: Box<dyn Scheduler>, shape: EngineShape, seed: u64) -> Bench {
     let mut rng = StdRng::seed_from_u64(seed);
     let mut bench = Bench::new(scheduler, shape);
@@ -68,7 +69,7 @@
 
 #[test]
 fn fake_engine_notices_a_wrong_dispatch() {
-    // The check itself can fail: a scheduler that sends before loading is caught.
+    // Shows that the check can fail: it detects a scheduler that dispatches before loading.
     struct Hasty;
     impl Scheduler for Hasty {
         fn handle(
--- a/crates/tinbay-core/tests/fence_test.rs
+++ b/crates/tinbay-core/tests/fence_test.rs
@@ -1,4 +1,4 @@
-//! Fences and the guard of an engine.
+//! Tests of fencing tokens and of an engine's check of them.
 
 use quickcheck::QuickCheck;
 use tinbay_core::fence::{Fence, FenceGuard, FenceRefusal, MAX_SUCCESSION, Order};
@@ -79,8 +79,8 @@
 #[test]
 fn above_gives_places_in_any_order_a_higher_rank_each() {
     let mut seen = Fence { epoch: 1, rank: 0 };
-    for place in [2, 1, 0, 0, 63, 1] {
-        let next = Fence::above(seen, 1, place).expect("a place of the succession");
+    for position in [2, 1, 0, 0, 63, 1] {
+        let next = Fence::above(seen, 1, position).expect("position within the succession");
         assert!(next > seen, "{next:?} after {seen:?}");
         seen = next;
     }
@@ -88,13 +88,13 @@
 
 #[test]
 fn above_never_gives_two_places_one_fence() {
-    fn holds(rank: u32, place: u8, other: u8) -> bool {
+    fn holds(rank: u32, position: u8, other: u8) -> bool {
         let seen = Fence { epoch: 1, rank };
-        let place = u32::from(place) % MAX_SUCCESSION;
+        let position = u32::from(position) % MAX_SUCCESSION;
         let other = u32::from(other) % MAX_SUCCESSION;
-        let first = Fence::above(seen, 1, place);
+        let first = Fence::above(seen, 1, position);
         let second = Fence::above(seen, 1, other);
-        place == other || first.is_none() || first != second
+        position == other || first.is_none() || first != second
     }
     QuickCheck::new().quickcheck(holds as fn(u32, u8, u8) -> bool);
 }
--- a/crates/tinbay-core/tests/hedge_test.rs
+++ b/crates/tinbay-core/tests/hedge_test.rs
@@ -1,4 +1,4 @@
-//! When a request is sent to a second server, and what is left of the budget for failures.
+//! Tests of hedging and of the budget that it shares with sends after failures.
 
 use quickcheck::QuickCheck;
 use tinbay_core::hedge::{HedgeCase, hedge_after_ms};
@@ -21,7 +21,7 @@
     }
 }
 
-/// Answers of 20 ms, one in ten of 60 ms.
+/// Answer times of 20 ms, and 60 ms for one in ten.
 fn times() -> AnswerTimes {
     let mut times = AnswerTimes::default();
     for number in 0..100 {
@@ -31,7 +31,7 @@
     times
 }
 
-/// A server is silent for moments, and the objective is 100 ms.
+/// The wait follows the quantile of the service's own answer times.
 #[test]
 fn hedge_after_the_services_own_late_answers() {
     let after_ms = hedge_after_ms(&case(), &times()).expect("it may run twice");
@@ -95,8 +95,8 @@
     QuickCheck::new().quickcheck(holds as fn(bool, bool, u32, u16) -> bool);
 }
 
-/// All servers slow down at once, and every request would be sent twice: half of what may be sent a
-/// second time is left for servers that fail.
+/// When all servers slow down at once and every request would be hedged, half of the budget for
+/// second sends remains for failures.
 #[test]
 fn budget_of_hedges_leaves_half_for_failures() {
     let mut budget = SendBudget::default();
--- a/crates/tinbay-core/tests/keys_test.rs
+++ b/crates/tinbay-core/tests/keys_test.rs
@@ -1,4 +1,4 @@
-//! Request keys and their table.
+//! Tests of idempotency keys and their table.
 
 use quickcheck::{QuickCheck, TestResult};
 use tinbay_core::ids::BoxId;
@@ -70,8 +70,8 @@
 
 #[test]
 fn claim_any_sequence_grants_once() {
-    // However often, in whatever order and at whatever clock readings a key is claimed:
-    // without a release it is granted at most once.
+    // Without a release, a key is granted at most once, for any number, order and clock
+    // readings of the claims.
     fn holds(claims: Vec<(u8, u32)>) -> bool {
         let mut table = table();
         let mut granted = [0; 256];
--- a/crates/tinbay-core/tests/limits_test.rs
+++ b/crates/tinbay-core/tests/limits_test.rs
@@ -1,4 +1,4 @@
-//! The limit of a client account over many boxes, in virtual time.
+//! Tests of a client account's limit over many boxes, on virtual time.
 
 use quickcheck::QuickCheck;
 use tinbay_core::limits::home::{DealTerms, LimitHome, UnitRequest};
@@ -6,7 +6,7 @@
 use tinbay_core::limits::terms::{Limit, LimitTerms};
 use tinbay_core::units::Millis;
 
-/// Window over which the limit binds, and what it may be exceeded by.
+/// Window over which the limit applies, and the fraction by which it may be exceeded.
 const WINDOW_MS: Millis = 8_000;
 const OVERSHOOT: f64 = 0.1;
 
@@ -15,7 +15,7 @@
     burst: 60_000.0,
 };
 
-/// What one request counts: a short one, and seldom one of 9,240 tokens.
+/// Cost of a request: 661 tokens, and 9,240 for one in 30.
 fn cost_of(number: u64) -> f64 {
     if number.is_multiple_of(30) {
         9_240.0
@@ -24,7 +24,7 @@
     }
 }
 
-/// Units by which the tests' boxes may overdraw their shares together.
+/// Units by which all boxes together may overdraw their shares.
 const OVERDRAFT: f64 = 70_000.0;
 
 fn share_of(boxes: usize) -> ShareTerms {
@@ -47,7 +47,7 @@
     UnitRequest { needed, ahead }
 }
 
-/// What got in, by time.
+/// Admitted units by time.
 #[derive(Default)]
 struct Admitted(Vec<(Millis, f64)>);
 
@@ -60,28 +60,28 @@
         self.0.iter().map(|(_, units)| units).sum()
     }
 
-    /// Most units of any window.
-    fn most(&self) -> f64 {
-        let (mut most, mut sum, mut first) = (0.0_f64, 0.0, 0);
+    /// Maximum of the units in any window.
+    fn window_max(&self) -> f64 {
+        let (mut max, mut sum, mut first) = (0.0_f64, 0.0, 0);
         for (at_ms, units) in &self.0 {
             sum += units;
             while self.0[first].0 + WINDOW_MS <= *at_ms {
                 sum -= self.0[first].1;
                 first += 1;
             }
-            most = most.max(sum);
+            max = max.max(sum);
         }
-        most
+        max
     }
 }
 
-/// The bound on any window; `slack` is allowed besides.
+/// The bound on the units of any window, plus `slack`.
 fn allowed(limit: Limit, slack: f64) -> f64 {
     let window_s = WINDOW_MS as f64 / 1_000.0;
     (limit.per_s * window_s + limit.burst) * (1.0 + OVERSHOOT) + slack
 }
 
-/// Boxes that let requests of one account in, before one home or two that each reach a part.
+/// Boxes that admit requests of one account, with one home, or two that each reach a part of them.
 struct Fleet {
     boxes: Vec<LimitShare>,
     homes: Vec<LimitHome>,
@@ -95,7 +95,8 @@
         }
     }
 
-    /// A request at a box whose home is one of the two, or none; whether it got in.
+    /// Handles a request at a box that reaches one of the homes, or none. Returns whether it was
+    /// admitted.
     fn admit(&mut self, at: usize, home: Option<(usize, f64)>, units: f64, now_ms: Millis) -> bool {
         let count = self.boxes.len();
         let share = &mut self.boxes[at];
@@ -119,7 +120,8 @@
     }
 }
 
-/// Six times the limit at 74 boxes for 20 s: what gets in is the limit, and nearly all of it.
+/// Six times the limit at 74 boxes for 20 s: the admitted units stay within the limit and use nearly
+/// all of it.
 #[test]
 fn deal_one_account_asks_six_times_its_limit() {
     let mut fleet = Fleet::new(74);
@@ -137,9 +139,9 @@
         at_ms += gap_ms;
     }
     assert!(
-        admitted.most() <= allowed(LIMIT, 0.0),
+        admitted.window_max() <= allowed(LIMIT, 0.0),
         "{}",
-        admitted.most()
+        admitted.window_max()
     );
     assert!(
         admitted.total() >= 0.97 * 20.0 * LIMIT.per_s,
@@ -148,8 +150,8 @@
     );
 }
 
-/// An account at its usual use, 1/1.8 of its limit, with requests unevenly over the boxes: all get
-/// in once the bucket has filled.
+/// An account at 1/1.8 of its limit, with requests spread unevenly over the boxes: all are admitted
+/// once the bucket has filled.
 #[test]
 fn deal_usual_use_is_never_refused() {
     let mut fleet = Fleet::new(74);
@@ -167,8 +169,8 @@
     assert_eq!(refused, 0);
 }
 
-/// The home goes, boxes live on their shares for 4 s, then another one is the home: no window
-/// holds more than the limit and what shares may be overdrawn by.
+/// The home fails, boxes use their shares for 4 s, then another box is the home: no window exceeds
+/// the limit plus the overdraft.
 #[test]
 fn deal_home_goes_and_another_one_comes() {
     let mut fleet = Fleet::new(74);
@@ -188,17 +190,17 @@
     }
     let overdrawn = 74.0 * 960.0;
     assert!(
-        admitted.most() <= allowed(LIMIT, overdrawn),
+        admitted.window_max() <= allowed(LIMIT, overdrawn),
         "{}",
-        admitted.most()
+        admitted.window_max()
     );
 }
 
-/// However a fleet is cut in two, each side with a home of its own, and however boxes lose their
-/// home, no window holds more than the limit with what is allowed beyond.
+/// For any partition of the fleet in two, each side with its own home, and any loss of the home, no
+/// window exceeds the limit plus the overdraft.
 ///
-/// Guards that were taken out, each of which makes this fail: a home deals for the boxes it
-/// reaches alone; what the home gave ends the own share.
+/// The test fails without either of two rules: a home grants only for the boxes that it reaches,
+/// and a grant clears the box's own share.
 #[test]
 fn deal_never_more_than_the_limit_however_the_fleet_is_cut() {
     fn property(seed: u32, first_part: u8, cut_s: u8, lone: u8) -> bool {
@@ -225,15 +227,14 @@
                 admitted.note(units, now_ms);
             }
         }
-        let most = admitted.most();
-        most <= allowed(LIMIT, OVERDRAFT)
+        let max = admitted.window_max();
+        max <= allowed(LIMIT, OVERDRAFT)
     }
     let property = property as fn(u32, u8, u8, u8) -> bool;
     QuickCheck::new().tests(150).quickcheck(property);
 }
 
-/// Callers that are turned away are told to come back one after the other, each when there is
-/// room for it.
+/// Rejected callers get successive retry times, each when the bucket holds enough units.
 #[test]
 fn deal_tells_callers_to_come_back_in_turn() {
     let mut home = LimitHome::new(0);
@@ -251,7 +252,7 @@
     );
 }
 
-/// A request that counts more than the whole bucket gets in once that is full.
+/// A request that costs more than the bucket's capacity is admitted once the bucket is full.
 #[test]
 fn deal_request_larger_than_the_bucket() {
     let mut home = LimitHome::new(0);
@@ -290,7 +291,7 @@
     );
 }
 
-/// What was given ahead and not used is over after a while.
+/// Granted units expire.
 #[test]
 fn take_given_not_for_ever() {
     let mut share = LimitShare::new(0);
@@ -322,7 +323,7 @@
     assert!(share.take_given(661.0, 20));
 }
 
-/// An account whose home had no room lately does not live on the own share at once.
+/// A box does not use its own share right after the home has refused units.
 #[test]
 fn take_share_not_right_after_the_home_had_no_room() {
     let mut share = LimitShare::new(0);
--- a/crates/tinbay-core/tests/loads_test.rs
+++ b/crates/tinbay-core/tests/loads_test.rs
@@ -1,9 +1,9 @@
-//! Sharing of the weight store's allowance.
+//! Tests of the distribution of the weight store's allowance.
 
 use tinbay_core::ids::{EngineId, ModelRef};
 use tinbay_core::loads::{Allowance, LoadArbiter, LoadWish};
 
-fn wish(rank: u8, since_ms: u64, number: usize) -> LoadWish {
+fn request(rank: u8, since_ms: u64, number: usize) -> LoadWish {
     LoadWish {
         rank,
         since_ms,
@@ -22,12 +22,12 @@
 #[test]
 fn grant_goes_by_rank_then_age() {
     let mut arbiter = arbiter();
-    arbiter.ask(wish(50, 1, 1));
-    arbiter.ask(wish(50, 0, 2));
-    arbiter.ask(wish(0, 9, 3));
+    arbiter.ask(request(50, 1, 1));
+    arbiter.ask(request(50, 0, 2));
+    arbiter.ask(request(0, 9, 3));
     let granted: Vec<LoadWish> = (0..4).flat_map(|step| arbiter.grant(step * 100)).collect();
-    let order: Vec<u8> = granted.iter().map(|wish| wish.rank).collect();
-    let ages: Vec<u64> = granted.iter().map(|wish| wish.since_ms).collect();
+    let order: Vec<u8> = granted.iter().map(|request| request.rank).collect();
+    let ages: Vec<u64> = granted.iter().map(|request| request.since_ms).collect();
     assert_eq!(order, vec![0, 50, 50]);
     assert_eq!(ages, vec![9, 0, 1]);
 }
@@ -36,16 +36,20 @@
 fn grant_never_more_at_once_than_full_speed() {
     let mut arbiter = arbiter();
     for number in 0..10 {
-        arbiter.ask(wish(0, 0, number));
+        arbiter.ask(request(0, 0, number));
     }
     let granted = (0..10).map(|step| arbiter.grant(step * 100).len());
     assert_eq!(
         granted.sum::<usize>(),
         3,
-        "of ten that the rate would allow"
+        "of ten loads that the rate would allow"
     );
-    assert_eq!(arbiter.grant(10_000).len(), 0, "three still run");
-    let first = wish(0, 0, 0);
+    assert_eq!(
+        arbiter.grant(10_000).len(),
+        0,
+        "three loads are still running"
+    );
+    let first = request(0, 0, 0);
     arbiter.done(&first.engine, &first.model);
     assert_eq!(arbiter.grant(10_100).len(), 1);
 }
@@ -54,15 +58,15 @@
 fn grant_after_a_pause_is_not_ahead_of_the_rate() {
     let mut arbiter = arbiter();
     for number in 0..10 {
-        arbiter.ask(wish(0, 0, number));
+        arbiter.ask(request(0, 0, number));
     }
     assert_eq!(
         arbiter.grant(60_000).len(),
         1,
-        "the others wait here, where ranks count"
+        "the others wait in the arbiter, ordered by rank"
     );
-    arbiter.ask(wish(0, 60_001, 99));
-    arbiter.ask(wish(50, 60_001, 98));
+    arbiter.ask(request(0, 60_001, 99));
+    arbiter.ask(request(50, 60_001, 98));
     assert_eq!(arbiter.grant(60_050).len(), 0);
     assert_eq!(arbiter.grant(60_100).len(), 1);
 }
@@ -72,9 +76,9 @@
     let mut arbiter = arbiter();
     let mut granted = 0;
     for step in 0..1_000 {
-        arbiter.ask(wish(0, step, step as usize));
-        for wish in arbiter.grant(step * 10) {
-            arbiter.done(&wish.engine, &wish.model);
+        arbiter.ask(request(0, step, step as usize));
+        for request in arbiter.grant(step * 10) {
+            arbiter.done(&request.engine, &request.model);
             granted += 1;
         }
     }
@@ -90,12 +94,12 @@
         loads_per_s: 1.0,
         at_once: 1,
     });
-    arbiter.ask(wish(50, 0, 1));
-    arbiter.ask(wish(40, 0, 2));
-    arbiter.ask(wish(0, 5, 1));
+    arbiter.ask(request(50, 0, 1));
+    arbiter.ask(request(40, 0, 2));
+    arbiter.ask(request(0, 5, 1));
     let granted = arbiter.grant(5);
-    assert_eq!(granted.first().map(|wish| wish.rank), Some(0));
-    assert_eq!(arbiter.waiting(), 1, "one wish a target");
+    assert_eq!(granted.first().map(|request| request.rank), Some(0));
+    assert_eq!(arbiter.waiting(), 1, "one request per target");
 }
 
 #[test]
@@ -104,8 +108,8 @@
         loads_per_s: 10.0,
         at_once: 1,
     });
-    arbiter.ask(wish(0, 0, 1));
-    arbiter.ask(wish(0, 0, 2));
+    arbiter.ask(request(0, 0, 1));
+    arbiter.ask(request(0, 0, 2));
     assert_eq!(arbiter.grant(0).len(), 1);
     assert_eq!(arbiter.grant(29_000).len(), 0);
     assert_eq!(arbiter.grant(31_000).len(), 1);
--- a/crates/tinbay-core/tests/memory_test.rs
+++ b/crates/tinbay-core/tests/memory_test.rs
@@ -1,4 +1,4 @@
-//! Decisions on memory held for requests and answers, without a network.
+//! Tests of the memory bounds for requests and answers.
 
 use quickcheck::QuickCheck;
 use tinbay_core::memory::cuts::{UnreadAnswer, first_to_cut, to_cut};
@@ -14,7 +14,7 @@
 
 const MB: u64 = 1_000_000;
 
-/// A box as the platform gives it.
+/// Memory of a box on the platform.
 const MEMORY_MB: f64 = 260.0;
 
 const GREEDY: Option<u32> = Some(1);
@@ -84,7 +84,7 @@
     assert_eq!(ledger.admit(&terms(), holder(Some(3), 3), MB), Ok(()));
 }
 
-/// Whatever is added and taken off again, the sums agree and end at nothing.
+/// For any sequence of additions and removals, the sums agree and return to 0.
 #[test]
 fn ledger_sums_agree() {
     fn agree(steps: Vec<(u8, u8, u16)>) -> bool {
@@ -149,7 +149,8 @@
     assert_eq!(first_to_cut(&[]), None);
 }
 
-/// No more is cut than the excess asks for, and as much where there is enough.
+/// The selected answers free the excess, if all answers together suffice, and no answer is selected
+/// needlessly.
 #[test]
 fn to_cut_frees_what_is_asked() {
     fn frees(held: Vec<(u8, u16, u16)>, excess_bytes: u32) -> bool {
@@ -213,7 +214,7 @@
     assert_eq!(sight.judge(&READER, false, 2_000), Some(CutCause::Unread));
 }
 
-/// A caller takes 100 bytes each second: its request ends by its time, not later and not sooner.
+/// The answer of a caller that reads 100 bytes per second is aborted exactly at the deadline.
 #[test]
 fn judge_slow_trickle_reader() {
     let mut sight = ReaderSight::begin(0);
@@ -266,7 +267,7 @@
     assert_eq!(sight.judge(&READER, true, end_ms), Some(CutCause::TimeUp));
 }
 
-/// A caller who always takes some and never stands still: it ends as well.
+/// The answer of a caller that never stops reading is aborted as well.
 #[test]
 fn is_overdue_steady_reader() {
     let mut sight = ReaderSight::begin(0);
--- a/crates/tinbay-core/tests/owner_test.rs
+++ b/crates/tinbay-core/tests/owner_test.rs
@@ -1,4 +1,4 @@
-//! The scheduler of one engine.
+//! Tests of the scheduler of one engine.
 
 mod common;
 
@@ -45,15 +45,16 @@
     }
     bench.submit(ask(99, 0, true, 300, 1_000));
     bench.run_until(2_000);
-    let counter = ran_at(&bench, 99).expect("the counter request runs");
-    let later = (10..30).filter(|id| ran_at(&bench, *id).is_some_and(|at| at >= counter));
+    let urgent_ms = ran_at(&bench, 99).expect("the urgent request runs");
+    let later = (10..30).filter(|id| ran_at(&bench, *id).is_some_and(|at| at >= urgent_ms));
     assert!(
         later.count() >= 15,
-        "batch work waited behind the counter request"
+        "batch work waits behind the urgent request"
     );
 }
 
-// A run whose caller's box died was taken to have ended, and its adapter was ordered to be unloaded.
+// Guards against unloading an adapter in use: the caller's box dies, and the engine may still run
+// the request.
 #[test]
 fn detached_run_keeps_its_adapter_until_the_engine_reports() {
     let mut owner = EngineOwner::new(SHAPE, OwnerSettings::default());
@@ -89,7 +90,7 @@
         bench.submit(ask(number as u64, number, true, 0, 5_000));
     }
     bench.run_until(300);
-    // Both slots serve counter work without a pause; batch work for a third model presses.
+    // Both slots serve urgent work without a pause while batch work waits for a third model.
     bench.submit(ask(50, 2, false, 300, 60_000));
     for step in 0..100 {
         let now_ms = bench.now_ms;
@@ -110,24 +111,24 @@
         bench.submit(ask(number as u64, number, false, 0, 60_000));
     }
     bench.run_until(300);
-    // Batch work keeps both slots busy and a backlog waits; then a counter request for a
-    // third model takes one of the two slots.
+    // Batch work keeps both slots busy, with a backlog. Then an urgent request for a third model
+    // takes one of them.
     for id in 10..40 {
         bench.submit(ask(id, (id % 2) as usize, false, 300, 60_000));
     }
     bench.submit(ask(99, 2, true, 300, 5_000));
     bench.run_until(8_000);
-    assert!(ran_at(&bench, 99).is_some(), "the counter request runs");
+    assert!(ran_at(&bench, 99).is_some(), "the urgent request runs");
     let waiting: Vec<u64> = (10..40)
         .filter(|id| ran_at(&bench, *id).is_none())
         .collect();
-    assert_eq!(waiting, Vec::<u64>::new(), "all batch work runs in the end");
+    assert_eq!(waiting, Vec::<u64>::new(), "all batch work runs eventually");
     assert_eq!(bench.faults, Vec::<String>::new());
 }
 
 #[test]
 fn swap_batch_models_all_run() {
-    // Five models share two slots, as in a region with more adapters than slots.
+    // Five models compete for two slots.
     let mut bench = bench();
     let mut id = 0;
     while bench.now_ms < 10_000 {
@@ -144,7 +145,7 @@
         .fates
         .values()
         .filter(|fate| matches!(fate, Fate::Refused { .. }));
-    assert_eq!(refused.count(), 0, "there is room for all of it");
+    assert_eq!(refused.count(), 0, "there is capacity for all requests");
     assert_eq!(bench.faults, Vec::<String>::new());
 }
 
@@ -201,7 +202,7 @@
     bench.run_until(6_000);
     assert!(
         ran_at(&bench, 3).is_some(),
-        "after the backoff it is tried again"
+        "the load is retried after the backoff"
     );
 }
 
@@ -241,7 +242,10 @@
     );
     let commands = owner.handle(0, Event::Submit(ask(2, 2, true, 0, 5_000)));
     let unloads = commands.iter().any(|c| matches!(c, Command::Unload(_)));
-    assert!(!unloads, "what an earlier owner's requests run on stays");
+    assert!(
+        !unloads,
+        "models of an earlier owner's requests stay loaded"
+    );
     let seen = EngineContents {
         loaded: vec![model(0), model(1)],
         inherited: vec![model(1)],
@@ -255,7 +259,7 @@
                 ..
             }
         )),
-        "once they have ended, work goes on"
+        "dispatch continues once they have ended"
     );
 }
 
@@ -276,7 +280,7 @@
     assert_eq!(
         refused.count(),
         7,
-        "six of ten waited behind a batch of four, and the new one"
+        "six of ten requests waiting behind a batch of four, and the new one"
     );
     bench.restart();
     bench.submit(ask(40, 0, true, 300, 5_000));
@@ -307,7 +311,7 @@
     }
     assert!(
         unloads <= 2,
-        "one try for each of two slots, found {unloads}"
+        "one attempt for each of two slots, found {unloads}"
     );
 }
 
--- a/crates/tinbay-core/tests/policy_test.rs
+++ b/crates/tinbay-core/tests/policy_test.rs
@@ -1,4 +1,4 @@
-//! Policy programs.
+//! Tests of policy programs.
 
 use tinbay_core::policy::{Policy, PolicyError, PolicyRequest, Treatment};
 
@@ -72,7 +72,7 @@
 
 #[test]
 fn compile_failing_on_one_sample_is_refused() {
-    // Runs on most requests, but not on one without a prompt.
+    // The program fails only on a request with an empty prompt.
     let refused = Policy::compile("fn classify(r) { #{ rank: 100 / r.prompt_bytes } }");
     assert!(matches!(refused, Err(PolicyError::Run { .. })));
 }
--- a/crates/tinbay-core/tests/retry_test.rs
+++ b/crates/tinbay-core/tests/retry_test.rs
@@ -1,4 +1,4 @@
-//! Whether another attempt follows, and the budget of retries.
+//! Tests of the retry rules and the retry budget.
 
 use tinbay_core::retry::{AttemptEnd, NoRetry, RetryBudget, RetryCase, check_retry};
 
--- a/crates/tinbay-core/tests/sharing_test.rs
+++ b/crates/tinbay-core/tests/sharing_test.rs
@@ -1,4 +1,4 @@
-//! Scarce room of a server shared among client accounts, on virtual time.
+//! Tests of admission control and fair sharing at a server at capacity, on virtual time.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -16,36 +16,38 @@
 const OBJECTIVE_MS: Millis = 800;
 const HOLD_MS: Millis = 1_200;
 const UNITS: f64 = 1_600.0;
-/// Pauses in which boxes tell the end of requests, while there is plenty and while room is scarce.
-const TELL_MS: Millis = 250;
-const TELL_SCARCE_MS: Millis = 50;
+/// Intervals at which boxes report ended requests, while the server has spare capacity and while it
+/// is at capacity.
+const REPORT_MS: Millis = 250;
+const REPORT_SCARCE_MS: Millis = 50;
 const BOXES: u32 = 4;
-/// Time to come back of those for whom no room can be set aside.
-const LONGEST_AWAY_MS: Millis = 4_000;
+/// Retry time of rejected requests for which no slot can be scheduled.
+const MAX_RETRY_MS: Millis = 4_000;
 
-/// A server that works on some requests at once and lets the others wait by rank and arrival, with the room
-/// that its holder deals, or without.
+/// A server that runs some requests concurrently and queues the others by rank and arrival, with or
+/// without admission control.
 struct World {
     room: Option<ServerRoom>,
     weights: AccountWeights,
     now_ms: Millis,
-    /// Requests at the server: those that run, and those that wait there.
+    /// Requests at the server: running ones, and those in its own queue.
     running: Vec<Request>,
     queued: Vec<Request>,
+    /// Requests that wait for admission.
     waiting: HashMap<u32, Request>,
-    /// What boxes told of requests at the server.
-    told: usize,
+    /// Requests at the server, as reported by the boxes.
+    reported: usize,
     next_number: u32,
     results: Vec<Outcome>,
-    most_queued: usize,
-    draws: Draws,
+    max_queued: usize,
+    random: Random,
 }
 
 #[derive(Debug, Clone, Copy)]
 struct Request {
     account: Fingerprint,
     rank: u8,
-    came_ms: Millis,
+    arrived_ms: Millis,
     hold_ms: Millis,
     units: f64,
     digest: u64,
@@ -57,17 +59,18 @@
     account: Fingerprint,
     rank: u8,
     units: f64,
-    came_ms: Millis,
-    /// How long it waited for its place; none where it was turned away.
-    began_in_ms: Option<Millis>,
-    turn_in_ms: Option<Millis>,
+    arrived_ms: Millis,
+    /// How long it waited for a slot; absent if it was rejected.
+    waited_ms: Option<Millis>,
+    /// Retry time; absent if it was admitted.
+    retry_in_ms: Option<Millis>,
     digest: u64,
 }
 
 impl Outcome {
     fn is_in_time(&self) -> bool {
-        self.began_in_ms
-            .is_some_and(|began_ms| began_ms <= OBJECTIVE_MS)
+        self.waited_ms
+            .is_some_and(|waited_ms| waited_ms <= OBJECTIVE_MS)
     }
 }
 
@@ -84,11 +87,11 @@
             running: Vec::new(),
             queued: Vec::new(),
             waiting: HashMap::new(),
-            told: 0,
+            reported: 0,
             next_number: 0,
             results: Vec::new(),
-            most_queued: 0,
-            draws: Draws(seed),
+            max_queued: 0,
+            random: Random(seed),
         }
     }
 
@@ -96,20 +99,20 @@
         Request {
             account,
             rank: 0,
-            came_ms: self.now_ms,
-            hold_ms: self.draws.hold_ms(),
+            arrived_ms: self.now_ms,
+            hold_ms: self.random.hold_ms(),
             units: UNITS,
             digest: u64::from(self.next_number),
             ends_ms: 0,
         }
     }
 
-    fn come(&mut self, request: Request) {
+    fn arrive(&mut self, request: Request) {
         self.next_number += 1;
         let number = self.next_number;
         let is_scarce = self.room.as_ref().is_some_and(ServerRoom::is_scarce);
         if !is_scarce {
-            self.give(request, number % BOXES);
+            self.send(request, number % BOXES);
             return;
         }
         self.waiting.insert(number, request);
@@ -130,15 +133,15 @@
             rank: request.rank,
             units: request.units,
             reading_ms: 0.0,
-            in_time_ms: OBJECTIVE_MS.saturating_sub(self.now_ms - request.came_ms),
+            in_time_ms: OBJECTIVE_MS.saturating_sub(self.now_ms - request.arrived_ms),
             digest: request.digest,
         }
     }
 
-    /// A request goes to the server; its box tells that at once.
-    fn give(&mut self, request: Request, box_key: Fingerprint) {
+    /// Sends a request to the server; its box reports that at once.
+    fn send(&mut self, request: Request, box_key: Fingerprint) {
         self.queued.push(request);
-        self.told += 1;
+        self.reported += 1;
         self.begin_next();
         if let Some(room) = &mut self.room {
             room.note_begun(box_key, 1, self.now_ms);
@@ -148,31 +151,31 @@
 
     fn begin_next(&mut self) {
         while self.running.len() < SLOTS && !self.queued.is_empty() {
-            let key = |request: &Request| (request.rank, request.came_ms);
+            let key = |request: &Request| (request.rank, request.arrived_ms);
             let first = (0..self.queued.len()).min_by_key(|at| key(&self.queued[*at]));
             let mut request = self.queued.remove(first.expect("one"));
             request.ends_ms = self.now_ms + request.hold_ms;
-            self.note(&request, Some(self.now_ms - request.came_ms), None);
+            self.note(&request, Some(self.now_ms - request.arrived_ms), None);
             self.running.push(request);
         }
-        self.most_queued = self.most_queued.max(self.queued.len());
+        self.max_queued = self.max_queued.max(self.queued.len());
     }
 
-    fn note(&mut self, request: &Request, began_in_ms: Option<Millis>, turn: Option<Millis>) {
+    fn note(&mut self, request: &Request, waited_ms: Option<Millis>, retry: Option<Millis>) {
         self.results.push(Outcome {
             account: request.account,
             rank: request.rank,
             units: request.units,
-            came_ms: request.came_ms,
-            began_in_ms,
-            turn_in_ms: turn,
+            arrived_ms: request.arrived_ms,
+            waited_ms,
+            retry_in_ms: retry,
             digest: request.digest,
         });
     }
 
     fn fullness(&self) -> Fullness {
         Fullness {
-            running: self.told,
+            running: self.reported,
             slots: SLOTS,
             backlog_ms: 0.0,
             objective_ms: OBJECTIVE_MS,
@@ -193,21 +196,25 @@
     fn take(&mut self, decision: Decision) {
         let request = self.waiting.remove(&decision.id.number).expect("known");
         match decision.answer {
-            RoomAnswer::LetIn => self.give(request, decision.id.box_key),
+            RoomAnswer::LetIn => self.send(request, decision.id.box_key),
             RoomAnswer::TurnedAway { turn_in_ms } => self.note(&request, None, Some(turn_in_ms)),
         }
     }
 
-    /// One millisecond passes.
-    fn pass(&mut self) {
+    /// Advances the time by one millisecond.
+    fn step(&mut self) {
         self.now_ms += 1;
         let now_ms = self.now_ms;
         self.running.retain(|request| request.ends_ms > now_ms);
         self.begin_next();
         let is_scarce = self.room.as_ref().is_some_and(ServerRoom::is_scarce);
-        let tell_ms = if is_scarce { TELL_SCARCE_MS } else { TELL_MS };
-        if now_ms.is_multiple_of(tell_ms) {
-            self.told = self.running.len() + self.queued.len();
+        let report_ms = if is_scarce {
+            REPORT_SCARCE_MS
+        } else {
+            REPORT_MS
+        };
+        if now_ms.is_multiple_of(report_ms) {
+            self.reported = self.running.len() + self.queued.len();
         }
         if now_ms.is_multiple_of(100) {
             let waiting: Vec<(u32, Request)> = self
@@ -227,57 +234,59 @@
         }
     }
 
-    /// Requests that are due come, of each account one in so many milliseconds.
-    fn come_by(&mut self, gaps_ms: &[(Fingerprint, Millis)]) {
+    /// Draws the arrivals of one millisecond, given the mean interval of each account.
+    fn arrive_at_random(&mut self, gaps_ms: &[(Fingerprint, Millis)]) {
         for (account, gap_ms) in gaps_ms {
-            if self.draws.is_due(*gap_ms) {
+            if self.random.is_due(*gap_ms) {
                 let request = self.request(*account);
-                self.come(request);
+                self.arrive(request);
             }
         }
     }
 
-    /// Requests of accounts come, each account one every so many milliseconds.
+    /// Plays random arrivals, given the mean interval of each account.
     fn play(&mut self, gaps_ms: &[(Fingerprint, Millis)], for_ms: Millis) {
         for _ in 0..for_ms {
-            self.come_by(gaps_ms);
-            self.pass();
+            self.arrive_at_random(gaps_ms);
+            self.step();
         }
     }
 
-    /// Part of the requests of accounts that began in time, of those that came from a time on.
+    /// Fraction of the accounts' requests that started in time, among those that arrived at
+    /// `from_ms` or later.
     fn in_time(&self, accounts: &[Fingerprint], from_ms: Millis) -> f64 {
         let outcomes = self.results.iter();
         let of: Vec<&Outcome> = outcomes
-            .filter(|outcome| accounts.contains(&outcome.account) && outcome.came_ms >= from_ms)
+            .filter(|outcome| accounts.contains(&outcome.account) && outcome.arrived_ms >= from_ms)
             .collect();
-        part_in_time(&of)
+        fraction_in_time(&of)
     }
 }
 
-fn part_in_time(outcomes: &[&Outcome]) -> f64 {
+fn fraction_in_time(outcomes: &[&Outcome]) -> f64 {
     let in_time = outcomes.iter().filter(|outcome| outcome.is_in_time());
     in_time.count() as f64 / outcomes.len().max(1) as f64
 }
 
-/// Plays a load after some usual work with all seeds; the part of others' requests in time, on average.
+/// Plays a load after some usual work, for each seed. Returns the mean fraction of the other accounts'
+/// requests that started in time.
 fn others_in_time(is_shared: bool, surging: &[Fingerprint], load: impl Fn(&mut World)) -> f64 {
     let others: Vec<Fingerprint> = (1..=10).filter(|one| !surging.contains(one)).collect();
-    let parts = SEEDS.iter().map(|seed| {
+    let fractions = SEEDS.iter().map(|seed| {
         let mut world = World::with_seed(is_shared, *seed);
         world.play(&usual(), 4_000);
         let from_ms = world.now_ms;
         load(&mut world);
         world.in_time(&others, from_ms)
     });
-    parts.sum::<f64>() / SEEDS.len() as f64
+    fractions.sum::<f64>() / SEEDS.len() as f64
 }
 
-/// Arrivals at random, the same in each run.
+/// Pseudo-random numbers (xorshift), the same in each run.
 #[derive(Debug, Clone, Copy)]
-struct Draws(u64);
+struct Random(u64);
 
-impl Draws {
+impl Random {
     fn next(&mut self) -> u64 {
         self.0 ^= self.0 << 13;
         self.0 ^= self.0 >> 7;
@@ -285,12 +294,12 @@
         self.0
     }
 
-    /// Whether something happens in this millisecond that happens once in so many.
+    /// Whether an event with a mean interval of `gap_ms` happens in this millisecond.
     fn is_due(&mut self, gap_ms: Millis) -> bool {
         self.next().is_multiple_of(gap_ms)
     }
 
-    /// Time for which a request holds its place: answers differ in length.
+    /// Time for which a request occupies its slot.
     fn hold_ms(&mut self) -> Millis {
         HOLD_MS / 2 + self.next() % HOLD_MS
     }
@@ -305,10 +314,10 @@
     0xd6e8_feb8_6659_fd93,
 ];
 
-/// Time from one request of an account to the next, usually.
+/// Mean interval between requests of an account under usual load.
 const USUAL_GAP_MS: Millis = 1_500;
 
-/// Usual work: ten accounts that together use seven in ten of the places.
+/// Usual load: ten accounts that together use about 70 % of the slots.
 fn usual() -> Vec<(Fingerprint, Millis)> {
     (1..=10).map(|account| (account, USUAL_GAP_MS)).collect()
 }
@@ -323,46 +332,44 @@
     gaps_ms
 }
 
-/// Least part in time that an account keeps which asks for no more than its part of the room.
-const LEAST_IN_TIME: f64 = 0.95;
+/// Minimum fraction of requests in time for an account within its fair share.
+const MIN_IN_TIME: f64 = 0.95;
 
-/// One account asks many times its usual: the others go on as before.
+/// One account sends many times its usual load: the others are not affected.
 #[test]
 fn surge_of_one_account_leaves_others_unhurt() {
     let in_time = others_in_time(true, &[3], |world| world.play(&surge(&[3]), 6_000));
-    assert!(in_time >= LEAST_IN_TIME, "{in_time}");
+    assert!(in_time >= MIN_IN_TIME, "{in_time}");
 }
 
-/// The load that this answers: by arrival alone every account is late.
+/// The same load without admission control, where requests of all accounts are late.
 #[test]
 fn surge_of_one_account_hurts_all_by_arrival() {
     let in_time = others_in_time(false, &[3], |world| world.play(&surge(&[3]), 6_000));
     assert!(in_time < 0.5, "{in_time}");
 }
 
-/// Two accounts surge: they share what the others leave.
+/// Two accounts surge: they share the capacity that the others leave.
 #[test]
 fn surge_of_two_accounts_shared_between_them() {
     let in_time = others_in_time(true, &[3, 7], |world| world.play(&surge(&[3, 7]), 8_000));
-    assert!(in_time >= LEAST_IN_TIME, "{in_time}");
+    assert!(in_time >= MIN_IN_TIME, "{in_time}");
     let mut world = World::new(true);
     world.play(&usual(), 4_000);
     world.play(&surge(&[3, 7]), 8_000);
-    let let_in = |account| {
+    let admitted = |account| {
         let of_account = |outcome: &&Outcome| outcome.account == account;
         let began = world.results.iter().filter(of_account);
-        began
-            .filter(|outcome| outcome.began_in_ms.is_some())
-            .count()
+        began.filter(|outcome| outcome.waited_ms.is_some()).count()
     };
-    let (third, seventh) = (let_in(3) as f64, let_in(7) as f64);
+    let (third, seventh) = (admitted(3) as f64, admitted(7) as f64);
     assert!(
         (0.7..=1.43).contains(&(third / seventh)),
         "{third} {seventh}"
     );
 }
 
-/// What the others leave goes to the account that asks for more: places stay in use.
+/// Capacity that one account leaves unused goes to the other, so that the slots stay in use.
 #[test]
 fn unused_room_is_given_on() {
     let mut world = World::new(true);
@@ -370,50 +377,50 @@
     let began = world
         .results
         .iter()
-        .filter(|outcome| outcome.began_in_ms.is_some());
+        .filter(|outcome| outcome.waited_ms.is_some());
     let held_ms = began.count() as f64 * HOLD_MS as f64;
-    let room_ms = 12_000.0 * SLOTS as f64;
-    assert!(held_ms >= 0.9 * room_ms, "{held_ms} of {room_ms}");
+    let capacity_ms = 12_000.0 * SLOTS as f64;
+    assert!(held_ms >= 0.9 * capacity_ms, "{held_ms} of {capacity_ms}");
 }
 
-/// While room is plenty nobody is asked and nobody waits.
+/// With spare capacity, requests need no admission and do not wait.
 #[test]
 fn plenty_changes_nothing() {
     let mut world = World::new(true);
     let half: Vec<_> = usual().into_iter().take(6).collect();
     world.play(&half, 10_000);
     assert!(!world.room.as_ref().is_some_and(ServerRoom::is_scarce));
-    assert!(world.results.iter().all(|of| of.began_in_ms == Some(0)));
+    assert!(world.results.iter().all(|of| of.waited_ms == Some(0)));
     world.play(&usual(), 10_000);
     assert!(world.results.iter().all(Outcome::is_in_time));
 }
 
-/// What a server queues itself is only what begins next.
+/// The server's own queue stays short.
 #[test]
 fn queue_at_the_server_is_bounded() {
     let mut world = World::new(true);
     world.play(&usual(), 4_000);
     world.play(&surge(&[3]), 6_000);
-    assert!(world.most_queued <= SLOTS / 2, "{}", world.most_queued);
+    assert!(world.max_queued <= SLOTS / 2, "{}", world.max_queued);
 }
 
-/// Nobody who is let in begins late, and who is turned away is told when to come back.
+/// Admitted requests start in time, and rejected ones get a retry time.
 #[test]
 fn let_in_begin_in_time_and_others_get_a_turn() {
     let mut world = World::new(true);
     world.play(&usual(), 4_000);
     let from_ms = world.now_ms;
     world.play(&surge(&[3]), 6_000);
-    let since = world.results.iter().filter(|of| of.came_ms >= from_ms);
-    let (begun, turned_away): (Vec<&Outcome>, Vec<&Outcome>) =
-        since.partition(|of| of.began_in_ms.is_some());
+    let since = world.results.iter().filter(|of| of.arrived_ms >= from_ms);
+    let (begun, rejected): (Vec<&Outcome>, Vec<&Outcome>) =
+        since.partition(|of| of.waited_ms.is_some());
     let in_time = begun.iter().filter(|of| of.is_in_time()).count();
-    assert!(in_time as f64 >= LEAST_IN_TIME * begun.len() as f64);
-    assert!(!turned_away.is_empty());
-    assert!(turned_away.iter().all(|of| of.turn_in_ms > Some(0)));
+    assert!(in_time as f64 >= MIN_IN_TIME * begun.len() as f64);
+    assert!(!rejected.is_empty());
+    assert!(rejected.iter().all(|of| of.retry_in_ms > Some(0)));
 }
 
-/// Within an account the urgent go first.
+/// Within an account, requests of better rank go first.
 #[test]
 fn urgent_go_before_others_of_their_account() {
     let mut world = World::new(true);
@@ -421,15 +428,15 @@
     for round in 0..300 {
         for rank in [2, 0] {
             let request = world.request(1);
-            world.come(Request { rank, ..request });
+            world.arrive(Request { rank, ..request });
         }
         for _ in 0..if round < 20 { 10 } else { 150 } {
-            world.pass();
+            world.step();
         }
     }
     let from_ms = began_ms + 4_000;
     let in_time = |rank| {
-        let since = world.results.iter().filter(|of| of.came_ms >= from_ms);
+        let since = world.results.iter().filter(|of| of.arrived_ms >= from_ms);
         let all: Vec<_> = since.filter(|of| of.rank == rank).collect();
         all.iter().filter(|of| of.is_in_time()).count() as f64 / all.len() as f64
     };
@@ -437,7 +444,7 @@
     assert!(in_time(0) >= in_time(2));
 }
 
-/// Requests five times as long as others of their account get in as often as these.
+/// Requests five times as long as others of their account are admitted about as often.
 #[test]
 fn long_are_not_starved() {
     let mut world = World::new(true);
@@ -450,10 +457,10 @@
         };
         for units in pair {
             let request = world.request(1);
-            world.come(Request { units, ..request });
+            world.arrive(Request { units, ..request });
         }
         for _ in 0..60 {
-            world.pass();
+            world.step();
         }
     }
     let in_time = |units: f64| {
@@ -468,23 +475,23 @@
     assert!(long >= 0.7 * short, "{long} {short}");
 }
 
-/// Room counts what requests take: an account with long ones gets fewer of them in.
+/// Accounts share tokens, so that an account with long requests gets fewer of them admitted.
 #[test]
 fn accounts_share_tokens_and_not_requests() {
     let mut world = World::new(true);
     for _ in 0..300 {
         for (account, units) in [(1, UNITS), (2, 3.0 * UNITS)] {
             let request = world.request(account);
-            world.come(Request { units, ..request });
+            world.arrive(Request { units, ..request });
         }
         for _ in 0..40 {
-            world.pass();
+            world.step();
         }
     }
     let units = |account| -> f64 {
         let of_account = world.results.iter().filter(|of| of.account == account);
         of_account
-            .filter(|of| of.began_in_ms.is_some())
+            .filter(|of| of.waited_ms.is_some())
             .map(|of| of.units)
             .sum()
     };
@@ -492,25 +499,25 @@
     assert!((0.6..=1.6).contains(&ratio), "{ratio}");
 }
 
-/// Callers that come back at their turn are let in before new ones of their account.
+/// Retries at the given time are admitted before new requests of their account.
 #[test]
 fn who_comes_back_at_its_turn_goes_before_new_ones() {
     let mut world = World::new(true);
     let mut due: Vec<(Millis, u64)> = Vec::new();
     let mut seen = 0;
-    let mut came_back = Vec::new();
+    let mut retried = Vec::new();
     for _ in 0..10_000 {
         if world.now_ms.is_multiple_of(50) {
             let request = world.request(1);
             let digest = 1_000_000 + request.digest;
-            world.come(Request { digest, ..request });
+            world.arrive(Request { digest, ..request });
         }
         for outcome in world.results.iter().skip(seen) {
-            if let Some(turn_in_ms) = outcome.turn_in_ms
-                && turn_in_ms < LONGEST_AWAY_MS
+            if let Some(retry_in_ms) = outcome.retry_in_ms
+                && retry_in_ms < MAX_RETRY_MS
                 && outcome.digest >= 1_000_000
             {
-                due.push((world.now_ms + turn_in_ms, outcome.digest));
+                due.push((world.now_ms + retry_in_ms, outcome.digest));
             }
         }
         seen = world.results.len();
@@ -519,19 +526,19 @@
         due = later;
         for (_, digest) in ready {
             let request = world.request(1);
-            came_back.push((now_ms, digest));
-            world.come(Request { digest, ..request });
+            retried.push((now_ms, digest));
+            world.arrive(Request { digest, ..request });
         }
-        world.pass();
+        world.step();
     }
-    assert!(came_back.len() > 20);
-    let is_served = |(came_ms, digest): &&(Millis, u64)| {
+    assert!(retried.len() > 20);
+    let is_served = |(arrived_ms, digest): &&(Millis, u64)| {
         let mut of = world.results.iter();
-        of.any(|of| of.digest == *digest && of.came_ms == *came_ms && of.is_in_time())
+        of.any(|of| of.digest == *digest && of.arrived_ms == *arrived_ms && of.is_in_time())
     };
-    let decided = came_back
+    let decided = retried
         .iter()
-        .filter(|(came_ms, _)| came_ms + 1_000 < world.now_ms);
+        .filter(|(arrived_ms, _)| arrived_ms + 1_000 < world.now_ms);
     let decided: Vec<_> = decided.collect();
     let served = decided.iter().filter(|of| is_served(of)).count();
     assert!(
@@ -541,28 +548,29 @@
     );
 }
 
-/// Callers that come back at once, as long as they are turned away, gain nothing over others.
+/// Callers that retry at once after each rejection gain nothing over others.
 #[test]
 fn callers_that_come_back_at_once_do_not_hurt_others() {
     let load = |world: &mut World| {
         let mut seen = world.results.len();
         for _ in 0..6_000 {
-            world.come_by(&surge(&[3]));
+            world.arrive_at_random(&surge(&[3]));
             let again: Vec<Outcome> = world.results[seen..].to_vec();
             seen = world.results.len();
-            for outcome in again.iter().filter(|of| of.turn_in_ms.is_some()).take(2) {
+            for outcome in again.iter().filter(|of| of.retry_in_ms.is_some()).take(2) {
                 let request = world.request(outcome.account);
                 let digest = outcome.digest;
-                world.come(Request { digest, ..request });
+                world.arrive(Request { digest, ..request });
             }
-            world.pass();
+            world.step();
         }
     };
     let in_time = others_in_time(true, &[3], load);
-    assert!(in_time >= LEAST_IN_TIME, "{in_time}");
+    assert!(in_time >= MIN_IN_TIME, "{in_time}");
 }
 
-/// A holder dies: the next one knows nothing but what boxes told, and gives no more than it may.
+/// The holder of the server fails. The new one only knows what the boxes report and still does not
+/// overfill the server.
 #[test]
 fn holder_new_gives_no_more_than_places() {
     let load = |world: &mut World| {
@@ -571,29 +579,29 @@
         world.waiting.clear();
         world.decide();
         world.play(&surge(&[3]), 6_000);
-        assert!(world.most_queued <= SLOTS / 2, "{}", world.most_queued);
+        assert!(world.max_queued <= SLOTS / 2, "{}", world.max_queued);
     };
     let in_time = others_in_time(true, &[3], load);
-    assert!(in_time >= LEAST_IN_TIME, "{in_time}");
+    assert!(in_time >= MIN_IN_TIME, "{in_time}");
 }
 
-/// Two holders that each hear of half of the requests give the server at most twice its places.
+/// Two holders that each hear of half of the requests send the server at most twice its capacity.
 #[test]
 fn two_holders_give_at_most_twice() {
     let mut rooms = [ServerRoom::default(), ServerRoom::default()];
     let weights = AccountWeights::default();
-    let mut given = 0;
+    let mut admitted = 0;
     for room in &mut rooms {
         for number in 0..200 {
             room.ask(ask(1, number, 0), 1_000);
         }
         let decisions = room.decide(full(0), &weights, 1_000);
-        given += decisions.iter().filter(is_let_in).count();
+        admitted += decisions.iter().filter(is_admitted).count();
     }
-    assert!(given <= 2 * (SLOTS + SLOTS / 4), "{given}");
+    assert!(admitted <= 2 * (SLOTS + SLOTS / 4), "{admitted}");
 }
 
-fn is_let_in(decision: &&Decision) -> bool {
+fn is_admitted(decision: &&Decision) -> bool {
     decision.answer == RoomAnswer::LetIn
 }
 
@@ -618,7 +626,8 @@
     }
 }
 
-/// A box that froze with room given for it: what was let in and never told counts no longer after a while.
+/// A box freezes after its requests were admitted: unless their start is reported, they stop counting
+/// after a while.
 #[test]
 fn room_of_a_frozen_box_is_given_on() {
     let mut room = ServerRoom::default();
@@ -627,15 +636,15 @@
         room.ask(ask(1, number, 0), 1_000);
     }
     let first = room.decide(full(0), &weights, 1_000);
-    assert_eq!(first.iter().filter(is_let_in).count(), 15);
+    assert_eq!(first.iter().filter(is_admitted).count(), 15);
     room.ask(ask(2, 100, 0), 1_010);
     assert!(room.decide(full(0), &weights, 1_010).is_empty());
     room.ask(ask(2, 100, 0), 1_300);
     let later = room.decide(full(0), &weights, 1_300);
-    assert_eq!(later.iter().filter(is_let_in).count(), 1);
+    assert_eq!(later.iter().filter(is_admitted).count(), 1);
 }
 
-/// A question that is repeated is one request; who asks no more is forgotten.
+/// A repeated request for admission counts once; one that is no longer repeated is dropped.
 #[test]
 fn question_repeated_is_one_and_silent_is_forgotten() {
     let mut room = ServerRoom::default();
@@ -647,7 +656,7 @@
     assert_eq!(room.waiting_count(), 0);
 }
 
-/// The word that let a request in was lost: it is said again, and the request counts once.
+/// After a lost decision, the repeated request gets the same decision and counts once.
 #[test]
 fn question_again_after_a_lost_word_is_let_in_once() {
     let mut room = ServerRoom::default();
@@ -662,7 +671,7 @@
     assert_eq!(room.waiting_count(), 1);
 }
 
-/// Two accounts ask for more than there is: each gets by its weight.
+/// Two accounts that both exceed the capacity share it by weight.
 #[test]
 fn room_is_shared_by_weight() {
     let (small, large) = (
@@ -672,11 +681,11 @@
     let mut world = World::new(true);
     world.weights = AccountWeights::new(&[(1, &small), (2, &large)]);
     world.play(&[(1, 60), (2, 60)], 20_000);
-    let let_in = |account| {
+    let admitted = |account| {
         let of_account = world.results.iter().filter(|of| of.account == account);
-        of_account.filter(|of| of.began_in_ms.is_some()).count() as f64
+        of_account.filter(|of| of.waited_ms.is_some()).count() as f64
     };
-    let ratio = let_in(2) / let_in(1);
+    let ratio = admitted(2) / admitted(1);
     assert!((2.0..=4.0).contains(&ratio), "{ratio}");
 }
 
@@ -698,7 +707,7 @@
     assert!(!scarcity.is_scarce());
 }
 
-/// Much to read makes a server scarce though it has places.
+/// A large prefill backlog makes a server scarce although it has free slots.
 #[test]
 fn scarcity_begins_with_much_to_read() {
     let mut scarcity = Scarcity::default();
@@ -739,8 +748,8 @@
     assert!((weights.of(2) - weights.of(1)).abs() < 1e-9);
 }
 
-/// Much to read at a server with free places: the prompts of an account that has had more than its part wait,
-/// and those of others go before them.
+/// At a server with free slots and a large prefill backlog, requests of an account above its fair
+/// share wait, and those of others go first.
 #[test]
 fn much_to_read_holds_back_who_had_more_than_its_part() {
     let mut room = ServerRoom::default();
@@ -754,7 +763,7 @@
     }
     room.ask(reading(2, 50), 1_000);
     let first = room.decide(full(0), &weights, 1_000);
-    assert_eq!(first.iter().filter(is_let_in).count(), 9);
+    assert_eq!(first.iter().filter(is_admitted).count(), 9);
     room.note_begun(1, 9, 1_010);
     let much = |backlog_ms| Fullness {
         backlog_ms,
@@ -765,16 +774,16 @@
     let next = room.decide(much(540.0), &weights, 1_010);
     let numbers: Vec<u32> = next
         .iter()
-        .filter(is_let_in)
+        .filter(is_admitted)
         .map(|of| of.id.number)
         .collect();
     assert_eq!(numbers, vec![101]);
     assert_eq!(room.waiting_count(), 1);
     let later = room.decide(much(300.0), &weights, 1_250);
-    assert_eq!(later.iter().filter(is_let_in).count(), 1);
+    assert_eq!(later.iter().filter(is_admitted).count(), 1);
 }
 
-/// A reading pace that is wrong by far: nobody is turned away while places are free.
+/// While slots are free, nothing is rejected, even if the estimated prefill backlog is far too high.
 #[test]
 fn much_to_read_turns_nobody_away_while_places_are_free() {
     let mut room = ServerRoom::default();
@@ -787,19 +796,19 @@
         room.ask(ask(number % 3, number, 0), 1_000);
     }
     let decisions = room.decide(wrong, &weights, 1_000);
-    assert!(decisions.iter().all(|of| is_let_in(&of)), "{decisions:?}");
+    assert!(decisions.iter().all(|of| is_admitted(&of)), "{decisions:?}");
     room.ask(ask(1, 100, 0), 1_300);
     let later_ms = 1_300 + OBJECTIVE_MS;
     let next = room.decide(wrong, &weights, 1_300);
     room.ask(ask(1, 100, 0), later_ms - 100);
     let later = room.decide(wrong, &weights, later_ms);
     let all: Vec<&Decision> = next.iter().chain(&later).collect();
-    assert!(all.iter().all(is_let_in), "{all:?}");
+    assert!(all.iter().all(is_admitted), "{all:?}");
     assert!(!all.is_empty());
 }
 
-/// Whatever is asked, each question gets one answer at most, the server is given no more than its places
-/// and what begins next, and while places are free nobody is turned away.
+/// For any requests, each gets at most one decision, the server is not overfilled, and nothing is
+/// rejected while slots are free.
 #[test]
 fn decide_keeps_its_bounds_whatever_is_asked() {
     fn property(asks: Vec<(u8, u8, u16, u16)>, running: u8) -> bool {
@@ -816,11 +825,11 @@
             room.ask(ask, 1_000);
         }
         let decisions = room.decide(full(running), &AccountWeights::default(), 1_000);
-        let let_in = decisions.iter().filter(is_let_in).count();
-        let turned_away = decisions.len() - let_in;
+        let admitted = decisions.iter().filter(is_admitted).count();
+        let rejected = decisions.len() - admitted;
         let is_whole = decisions.len() + room.waiting_count() == asks.len();
-        let is_bounded = let_in <= (SLOTS + SLOTS / 4).saturating_sub(running);
-        let was_needed = turned_away == 0 || running + let_in >= SLOTS;
+        let is_bounded = admitted <= (SLOTS + SLOTS / 4).saturating_sub(running);
+        let was_needed = rejected == 0 || running + admitted >= SLOTS;
         is_whole && is_bounded && was_needed
     }
     QuickCheck::new()
--- a/crates/tinbay-core/tests/silence_test.rs
+++ b/crates/tinbay-core/tests/silence_test.rs
@@ -1,4 +1,4 @@
-//! For how long a run of a box has been silent.
+//! Tests of the tracking of silent boxes.
 
 use tinbay_core::ids::{BoxId, Incarnation};
 use tinbay_core::silence::Silences;
@@ -20,7 +20,7 @@
     assert_eq!(silences.silent_ms(&run(1), 2_100), 100);
 }
 
-// A box that had just started again was held to be dead for the silence of its former run.
+// Guards against declaring a restarted box dead because of the silence of its earlier run.
 #[test]
 fn silent_ms_of_a_new_run_counts_from_when_it_was_met() {
     let mut silences = Silences::default();
--- a/crates/tinbay-core/tests/vacancy_test.rs
+++ b/crates/tinbay-core/tests/vacancy_test.rs
@@ -1,4 +1,4 @@
-//! How long an engine without an owner is expected to stay without one.
+//! Tests of the expected wait for an engine without an owner.
 
 use tinbay_core::ids::{BoxId, EngineId};
 use tinbay_core::units::Millis;
@@ -34,7 +34,7 @@
     assert_eq!(vacancies.wait_ms(&engine(), 10), 0);
 }
 
-// Each request found the loss anew and expected the whole time of a takeover from then on.
+// Guards against restarting the expected wait with each request that observes the same loss.
 #[test]
 fn wait_counts_from_the_first_loss() {
     let mut vacancies = Vacancies::default();
@@ -69,7 +69,8 @@
     assert_eq!(vacancies.wait_ms(&engine(), 60_000), 3_500);
 }
 
-// Losing a second owner within seconds was taken for the first loss overdue, and requests were refused.
+// Guards against refusing requests after the loss of a second owner within seconds, which must not
+// count as the first vacancy being overdue.
 #[test]
 fn wait_after_the_loss_of_the_next_owner_counts_from_that_loss() {
     let mut vacancies = Vacancies::default();
--- a/crates/tinbay-core/tests/view_test.rs
+++ b/crates/tinbay-core/tests/view_test.rs
@@ -1,4 +1,4 @@
-//! The view of other boxes and the duties that follow from it.
+//! Tests of the view of other boxes and of the roles that follow from it.
 
 use quickcheck::QuickCheck;
 use tinbay_core::ids::{BoxId, EngineId, ZoneId};
@@ -34,24 +34,27 @@
     view.mark_leaving(&BoxId::new("box-0"));
     assert!(
         !view.merge(record(0, "a", BoxState::Live)),
-        "leaving is not taken back"
+        "a leaving run does not become live again"
     );
     let mut restarted = record(0, "a", BoxState::Live);
     restarted.incarnation = 2;
-    assert!(view.merge(restarted), "a later run is");
+    assert!(view.merge(restarted), "a later run does");
 }
 
-// A restarted box was held to own its engines before it could take them over.
+// Guards against expecting a restarted box to own its engines before it can take them over.
 #[test]
 fn succession_leaves_out_a_box_that_starts() {
     let mut view = view(3);
     let mut started = record(1, "b", BoxState::Starting);
     started.incarnation = 2;
-    assert!(view.merge(started.clone()), "a later run is known at once");
+    assert!(
+        view.merge(started.clone()),
+        "a later run replaces the known one"
+    );
     let engine = EngineId::new("engine-1");
     let owner = |view: &View| {
-        let heirs = view.succession(&engine, &ZoneId::new("b"), "main");
-        heirs.first().map(|heir| heir.id.clone())
+        let succession = view.succession(&engine, &ZoneId::new("b"), "main");
+        succession.first().map(|record| record.id.clone())
     };
     assert_ne!(owner(&view), Some(started.id.clone()));
     started.state = BoxState::Live;
@@ -66,7 +69,8 @@
     assert_ne!(owner(&view), Some(started.id));
 }
 
-// The former owner of an engine took it back, as its view still had the next one as starting.
+// Guards against a former owner taking an engine back because its view still lists the new owner as
+// starting.
 #[test]
 fn mark_live_takes_the_run_that_owns_an_engine() {
     let mut view = View::default();
@@ -78,11 +82,12 @@
     view.mark_leaving(&starting.id);
     assert!(
         !view.mark_live(&starting.id, 1),
-        "leaving is not taken back"
+        "a leaving run does not become live again"
     );
 }
 
-// A restarted box that others greeted first asked nobody and joined only as if it were alone.
+// Guards against a restarted box that joins as if it were alone: it knows the others by their
+// heartbeats and so does not ask them for their views.
 #[test]
 fn is_unmet_box_known_by_its_heartbeat_until_joined() {
     let view = view(2);
@@ -92,7 +97,8 @@
     assert!(view.is_unmet(&BoxId::new("box-9"), true));
 }
 
-// Two boxes of a zone that started at once held each other to be starting, and then to be dead.
+// Guards against two boxes of a zone that start at the same time, consider each other as starting,
+// and finally declare each other dead.
 #[test]
 fn is_unmet_box_known_as_starting() {
     let mut view = view(1);
@@ -106,25 +112,33 @@
 #[test]
 fn succession_prefers_the_engine_zone() {
     let view = view(9);
-    let heirs = view.succession(&EngineId::new("engine-1"), &ZoneId::new("b"), "main");
-    assert_eq!(heirs.len(), SUCCESSION_LENGTH);
-    assert!(heirs.iter().all(|heir| heir.zone == ZoneId::new("b")));
+    let succession = view.succession(&EngineId::new("engine-1"), &ZoneId::new("b"), "main");
+    assert_eq!(succession.len(), SUCCESSION_LENGTH);
+    assert!(
+        succession
+            .iter()
+            .all(|record| record.zone == ZoneId::new("b"))
+    );
 }
 
 #[test]
 fn succession_falls_back_to_the_region() {
     let view = view(3);
-    let heirs = view.succession(&EngineId::new("engine-1"), &ZoneId::new("b"), "main");
-    assert_eq!(heirs[0].zone, ZoneId::new("b"));
-    assert_eq!(heirs.len(), 3);
+    let succession = view.succession(&EngineId::new("engine-1"), &ZoneId::new("b"), "main");
+    assert_eq!(succession[0].zone, ZoneId::new("b"));
+    assert_eq!(succession.len(), 3);
 }
 
 #[test]
 fn succession_leaves_out_leaving_boxes() {
     let mut view = view(3);
     view.mark_leaving(&BoxId::new("box-1"));
-    let heirs = view.succession(&EngineId::new("engine-1"), &ZoneId::new("b"), "main");
-    assert!(heirs.iter().all(|heir| heir.id != BoxId::new("box-1")));
+    let succession = view.succession(&EngineId::new("engine-1"), &ZoneId::new("b"), "main");
+    assert!(
+        succession
+            .iter()
+            .all(|record| record.id != BoxId::new("box-1"))
+    );
 }
 
 #[test]
@@ -152,7 +166,7 @@
 
 #[test]
 fn rank_moves_few_on_a_change() {
-    // Without one of 20 nodes, only the keys it held move.
+    // If one of 20 nodes is removed, only its keys move.
     let nodes: Vec<String> = (0..20).map(|number| format!("node-{number}")).collect();
     let mut moved = 0;
     for key in 0..1_000 {
