--- a/crates/tinbay-gateway/src/front/adapters.rs
+++ b/crates/tinbay-gateway/src/front/adapters.rs
@@ -1,4 +1,4 @@
-//! Waits until a server holds the adapter of a request.
+//! Finds a server for a request, waiting for its adapter to be loaded where necessary.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -16,19 +16,20 @@
 use crate::node::Node;
 use crate::servers::Server;
 
-/// Longest pause between looks; the status from the server's holder ends it.
+/// Longest interval between two choices of a server while waiting for a load. A status report from
+/// the box that manages the server ends the wait early.
 const LOOK_PAUSE: Duration = Duration::from_millis(100);
 
-/// Longest wait for a server's status where the request could be sent without it.
+/// Longest wait for a server's status when the request could be sent without it.
 const ANSWER_WAIT: Duration = Duration::from_millis(20);
 
-/// When a caller comes back that should use another box.
+/// `Retry-After` of a leaving box: short, as another box can take the request at once.
 const RETRY_ELSEWHERE_MS: Millis = 20;
 
-/// The server that should run a request, once it holds what the request needs.
+/// Returns the server that should run a request, once it holds the adapter or model.
 ///
 /// # Errors
-/// When no server will in time.
+/// When no server takes work, the adapter can't be loaded in time or this box is leaving.
 pub async fn find_server(
     node: &Rc<Node>,
     question: &Question,
@@ -41,14 +42,14 @@
                 if let Some(copy) = copy {
                     node.request_load(&copy, want(node, question, true));
                 }
-                if question.model_key.is_none() || !is_to_ask(node, &server, &asked) {
+                if question.model_key.is_none() || !needs_status(node, &server, &asked) {
                     return Ok(server);
                 }
                 refresh_status(node, &server, &mut asked).await;
             }
             Choice::Load(server) => {
                 let last_send_ms = last_send_ms(node, question);
-                check_prospect(node, &mut asked, &server, last_send_ms)?;
+                check_load_in_time(node, &mut asked, &server, last_send_ms)?;
                 if asked.loads.is_empty() {
                     log_wait(node, question, &server);
                 }
@@ -63,13 +64,14 @@
     }
 }
 
-/// Whether a server's holder is to be asked how it stands before a request goes there.
-pub(super) fn is_to_ask(node: &Node, server: &Server, asked: &Asked) -> bool {
+/// Whether to ask the server's holder, the box that manages the server, for a current status before
+/// the request is sent. Asked at most once per request and server.
+pub(super) fn needs_status(node: &Node, server: &Server, asked: &Asked) -> bool {
     let is_refreshed = asked.status_requests.contains_key(&server.key);
     !is_refreshed && node.should_ask(server)
 }
 
-/// Asks the server's holder for its status, and waits a moment for the answer.
+/// Requests the status of a server from its holder and waits up to `ANSWER_WAIT` for it.
 pub(super) async fn refresh_status(node: &Node, server: &Server, asked: &mut Asked) {
     let status_came = server.status_came.notified();
     node.request_status(server);
@@ -77,9 +79,11 @@
     let _ = tokio::time::timeout(ANSWER_WAIT, status_came).await;
 }
 
-/// Until when a request can be sent so that its first piece still finds the caller. Its own
-/// reading alone counts: what else a server has to read is an estimate, and by a wrong one all
-/// requests were refused for 13 s on a small fleet while the engines had places.
+/// Latest time to send a request so that its first chunk still reaches the caller.
+///
+/// Only the prefill of its own prompt is deducted. The prefill queue of a server is an estimate;
+/// when it was deducted too, a wrong estimate refused all requests of a small fleet for 13 s while
+/// the engines had free places.
 fn last_send_ms(node: &Node, question: &Question) -> Millis {
     let own_ms = node.reading_ms(&question.service, question.prompt.tokens) as Millis;
     let most_ms = question.route.objective_ms;
@@ -88,9 +92,8 @@
         .saturating_sub(own_ms.min(most_ms))
 }
 
-/// Refuses a request at once that is known not to be served: its adapter comes too late, or the
-/// box is leaving.
-fn check_prospect(
+/// Refuses a request early if its adapter will be loaded too late or the box is leaving.
+fn check_load_in_time(
     node: &Node,
     asked: &mut Asked,
     server: &Server,
@@ -119,8 +122,8 @@
     })
 }
 
-/// Has the server's holder load the adapter, unless it was asked lately, and waits until its status
-/// comes or the adapter can serve somewhere.
+/// Requests the load from the server's holder unless that was done recently, then waits until a
+/// status of the server arrives, the adapter becomes ready on any server, or `pause` has passed.
 pub(super) async fn wait_for_load(
     node: &Node,
     question: &Question,
@@ -142,6 +145,7 @@
     }
 }
 
+/// The load request for the adapter of a caller's request; `is_copy` asks for an additional copy.
 pub(super) fn want(node: &Node, question: &Question, is_copy: bool) -> Want {
     Want {
         adapter: question.model.clone().unwrap_or_default(),
--- a/crates/tinbay-gateway/src/front/answer_sight.rs
+++ b/crates/tinbay-gateway/src/front/answer_timing.rs
@@ -1,4 +1,4 @@
-//! The part of a request's line that tells where the time of its answer went.
+//! Timing of an answer, as written to the request log.
 
 use serde::Serialize;
 use tinbay_core::serving::lateness::{AnswerObjective, AnswerTimes, Lateness};
@@ -8,52 +8,52 @@
 use super::question::Question;
 use crate::answer_metrics::MeasuredAnswer;
 
-/// How an answer ended, as far as its times matter.
+/// How an answer ended, as far as its timing is concerned.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AnswerEnd {
-    /// A success that came whole.
+    /// Successful and complete.
     Served,
-    /// Begun and cut.
+    /// Cut off after it began.
     Cut,
-    /// A failure, or an answer of our own.
+    /// A server's error response, or a response that this box generated.
     Other,
 }
 
-/// Where the time of an answer went; times count from the request's arrival.
+/// Breakdown of the time of an answer. Times are relative to the request's arrival.
 #[derive(Debug, Clone, Copy, Serialize)]
-pub struct AnswerSight {
+pub struct AnswerTiming {
     kind: &'static str,
-    /// Time within which the answer is in time.
+    /// Latency objective for the first chunk, or for the whole answer if it isn't a stream.
     #[serde(skip_serializing_if = "Option::is_none")]
     objective_ms: Option<Millis>,
-    /// Longest pause of a stream that is in time.
+    /// Objective for the longest pause of a stream.
     #[serde(skip_serializing_if = "Option::is_none")]
     objective_gap_ms: Option<Millis>,
-    /// Whether the answer was late, and by which part; none where it did not come whole.
+    /// Which objective the answer missed, if any; absent if the answer was incomplete.
     #[serde(skip_serializing_if = "Option::is_none")]
     lateness: Option<&'static str>,
-    /// Time to the first piece of the answer.
+    /// Time to the first chunk of the answer.
     #[serde(skip_serializing_if = "Option::is_none")]
     first_piece_ms: Option<Millis>,
-    /// Time from the last send until the first piece: a connection, the server, the way back.
+    /// Time from the last send to the first chunk: connecting, the server, the network.
     #[serde(skip_serializing_if = "Option::is_none")]
     at_server_ms: Option<Millis>,
-    /// Time from the first piece to the last one.
+    /// Time from the first chunk to the last.
     #[serde(skip_serializing_if = "Option::is_none")]
     pauses_ms: Option<Millis>,
-    /// Longest pause between two pieces, as they came from the server.
+    /// Longest pause between two chunks, as received from the server.
     #[serde(skip_serializing_if = "Option::is_none")]
     longest_pause_ms: Option<Millis>,
-    /// Part of that pause in which the caller's side asked for nothing.
+    /// Part of that pause during which the caller's side did not poll for data.
     #[serde(skip_serializing_if = "Option::is_none")]
     longest_pause_untaken_ms: Option<Millis>,
-    /// Pieces that had come before that pause.
+    /// Number of chunks received before that pause.
     #[serde(skip_serializing_if = "Option::is_none")]
     longest_pause_at: Option<u32>,
-    /// Time in which the caller's side asked for nothing.
+    /// Total time during which the caller's side did not poll for data.
     #[serde(skip_serializing_if = "Option::is_none")]
     untaken_ms: Option<Millis>,
-    /// Time without a piece before the answer was cut.
+    /// Time since the last chunk when the answer was cut off.
     #[serde(skip_serializing_if = "Option::is_none")]
     silence_ms: Option<Millis>,
     #[serde(skip_serializing_if = "Option::is_none")]
@@ -62,8 +62,8 @@
     judged: Option<Lateness>,
 }
 
-impl AnswerSight {
-    /// What the pieces of an answer that ended at `ended_ms` show.
+impl AnswerTiming {
+    /// Evaluates the chunk times of an answer that ended at `ended_ms`.
     pub fn new(question: &Question, end: AnswerEnd, ended_ms: Millis) -> Self {
         let sight = question.sight.get();
         let stream = Some(sight).filter(|sight| sight.pieces() > 1);
@@ -89,7 +89,7 @@
         }
     }
 
-    /// What is measured of the answer; nothing where it did not come whole.
+    /// The values for the answer metrics; `None` for an incomplete answer.
     pub fn measured<'a>(&self, question: &'a Question) -> Option<MeasuredAnswer<'a>> {
         Some(MeasuredAnswer {
             kind: self.kind,
--- a/crates/tinbay-gateway/src/front/attempt.rs
+++ b/crates/tinbay-gateway/src/front/attempt.rs
@@ -1,4 +1,4 @@
-//! One try to have a server run a request.
+//! One attempt to run a request on a server.
 
 use std::cell::Cell;
 use std::pin::pin;
@@ -22,46 +22,46 @@
 use crate::servers::notices::{self, AnswerHead, AskedFor};
 use crate::servers::{RunningRequest, Server};
 
-/// How a try ended.
+/// How an attempt ended.
 pub enum AttemptResult {
     /// The server began its answer.
     Begun(Box<BegunAnswer>),
-    /// The server did not run it and says so.
+    /// The server confirms that it did not run the request.
     Declined {
-        /// Its status.
+        /// Status of the response, which tells a missing adapter from a full server.
         status: StatusCode,
     },
-    /// Another server has its address.
+    /// Another server now listens at the address of the intended one.
     Displaced,
-    /// It was not sent, as the server was found to leave, to rest, to be at its limit or to have enough
-    /// waiting while a connection was awaited.
+    /// Not sent: while waiting for a connection, the server was found to be leaving, paused, at its
+    /// rate limit or to have enough requests waiting.
     Withdrawn {
-        /// The body, as it was.
+        /// The unsent body, for another attempt.
         body: RequestBody,
     },
-    /// It was never sent.
+    /// Not sent for want of a connection.
     NotSent {
-        /// Why.
+        /// Why no connection was available.
         error: ConnectError,
     },
-    /// It was sent, and the server may have run it.
+    /// Sent, and the server may have run it.
     Unknown {
-        /// Why that is not known.
+        /// Why the outcome is unknown.
         cause: UnknownCause,
     },
 }
 
-/// Why it is not known whether a request has run.
+/// Why it is unknown whether a request has run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum UnknownCause {
-    /// The connection was closed before an answer.
+    /// The connection was closed before a response.
     Closed,
-    /// No answer came in time.
+    /// No response arrived in time.
     Silent,
-    /// The answer belongs to another request.
+    /// The response carries no request id or that of another request.
     OtherAnswer,
-    /// The answer would tell that it did not run, without the server's word.
-    BarePromise,
+    /// The status suggests that the request did not run, but the server does not confirm it.
+    UnconfirmedNotRun,
 }
 
 impl UnknownCause {
@@ -71,7 +71,7 @@
             UnknownCause::Closed => "closed",
             UnknownCause::Silent => "silent",
             UnknownCause::OtherAnswer => "other_answer",
-            UnknownCause::BarePromise => "bare_promise",
+            UnknownCause::UnconfirmedNotRun => "bare_promise",
         }
     }
 }
@@ -82,37 +82,37 @@
     }
 }
 
-/// An answer whose head has come.
+/// A response whose head has arrived.
 pub struct BegunAnswer {
-    /// Head and body.
+    /// The head, with the body still being received.
     pub response: Response<Incoming>,
-    /// Connection it comes on.
+    /// Connection it arrives on.
     pub connection: Connection,
-    /// Counts the request at its server.
+    /// Counts the request as running on its server until dropped.
     pub running: RunningRequest,
 }
 
-/// What a try needs besides the request.
+/// Parameters of an attempt.
 pub struct AttemptTerms<'a> {
-    /// The server.
+    /// The server to send to.
     pub server: &'a Rc<Server>,
-    /// Connections this box may open to it.
+    /// Most connections that this box may open to the server.
     pub most_open: usize,
-    /// Which kept connections it may go out on.
+    /// Which pooled connections may be reused.
     pub trust: Trust,
-    /// What is set besides the caller's headers.
+    /// Headers set in addition to the caller's.
     pub headers: ServerHeaders<'a>,
-    /// Leave to send it within the server's limit.
+    /// Permit under the server's rate limit.
     pub permit: Permit,
-    /// Tokens that the server has to read for it.
+    /// Prompt tokens that the server has to prefill.
     pub reading_tokens: u32,
-    /// Longest wait for the head.
+    /// Time-out for the response head.
     pub head_within: Duration,
-    /// When a head is overdue: a kept connection that has not brought one may have gone silent.
+    /// Time after which the head is overdue: a reused connection without one may be dead.
     pub silent_after: Duration,
 }
 
-/// Sends a request to a server and waits for the head of the answer.
+/// Sends a request to a server and waits for the response head.
 pub async fn attempt(
     node: &Node,
     question: &Question,
@@ -130,11 +130,11 @@
             AttemptResult::unknown(UnknownCause::Silent)
         }
         Ok(Err(result)) => result,
-        Ok(Ok(exchanged)) => judge(node, question, &terms, exchanged, running),
+        Ok(Ok(exchanged)) => classify(node, question, &terms, exchanged, running),
     }
 }
 
-/// A kept connection that has taken a request and not yet answered.
+/// A reused connection on which a request was sent and not yet answered.
 type WaitingReuse = Cell<Option<Reuse>>;
 
 fn note_silent(waiting: &WaitingReuse) {
@@ -143,11 +143,10 @@
     }
 }
 
-/// The head of an answer, with where it came from.
+/// A response, not yet classified, and the connection it arrives on.
 struct Exchanged {
     response: Response<Incoming>,
     connection: Connection,
-    /// When the request was sent.
     sent_ms: Millis,
 }
 
@@ -164,7 +163,7 @@
     loop {
         let connected = terms.server.pool.get(terms.most_open, terms.trust).await;
         let mut connection = connected.map_err(|error| AttemptResult::NotSent { error })?;
-        // The choice is older than this send by all that was waited for since.
+        // The server was chosen before the wait for a connection, so its state is checked again.
         let now_ms = node.now_ms();
         if !terms.server.may_be_sent(now_ms) || !terms.permit.holds(terms.server, now_ms) {
             let body = request.into_body();
@@ -194,7 +193,7 @@
     }
 }
 
-/// Sends a request on a connection, and notes how a kept one takes it.
+/// Sends a request on a connection and records the outcome if the connection was reused.
 async fn send(
     connection: &mut Connection,
     request: Request<RequestBody>,
@@ -233,7 +232,7 @@
     request
 }
 
-fn judge(
+fn classify(
     node: &Node,
     question: &Question,
     terms: &AttemptTerms<'_>,
@@ -252,8 +251,8 @@
     }
     let answered_id = text(response.headers(), &names.request_id);
     let is_own = answered_id == Some(question.id.as_str());
-    // A late answer to another request stands here at times, a refusal as well: it promises nothing
-    // of this one, which may be running.
+    // A late response to another request, possibly a refusal, can arrive on this connection. It
+    // says nothing about this request, which may be running.
     if !is_own && answered_id.is_some() {
         return AttemptResult::unknown(UnknownCause::OtherAnswer);
     }
@@ -275,8 +274,8 @@
     if !is_own {
         return AttemptResult::unknown(UnknownCause::OtherAnswer);
     }
-    if is_promise(status) {
-        return AttemptResult::unknown(UnknownCause::BarePromise);
+    if suggests_not_run(status) {
+        return AttemptResult::unknown(UnknownCause::UnconfirmedNotRun);
     }
     AttemptResult::Begun(Box::new(BegunAnswer {
         response,
@@ -285,7 +284,7 @@
     }))
 }
 
-/// Whether another server answers in place of the one that was meant.
+/// Whether another server responded in place of the intended one.
 fn is_displaced(
     response: &Response<Incoming>,
     names: &HeaderNames,
@@ -296,9 +295,9 @@
     response.status() == StatusCode::MISDIRECTED_REQUEST && is_other
 }
 
-/// Statuses that would tell the caller that nothing ran; without the server's word they
-/// are not passed on.
-fn is_promise(status: StatusCode) -> bool {
+/// Whether a status tells the caller that nothing ran. Such a response is not passed on unless the
+/// server confirms it.
+fn suggests_not_run(status: StatusCode) -> bool {
     matches!(
         status,
         StatusCode::TOO_MANY_REQUESTS
--- a/crates/tinbay-gateway/src/front/choice.rs
+++ b/crates/tinbay-gateway/src/front/choice.rs
@@ -1,4 +1,4 @@
-//! Chooses the server for a try.
+//! Chooses the server for an attempt.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -10,90 +10,91 @@
 use tinbay_core::serving::servers::ServerKey;
 use tinbay_core::units::Millis;
 
-use super::apart;
 use super::question::Question;
+use super::reader_choice;
 use crate::node::Node;
 use crate::servers::Server;
 use crate::servers::view::ViewEntry;
 
-/// Load that a server of another zone must have less to be chosen: bytes between zones
-/// cost, and the way is longer.
+/// Load added to servers of another zone, as traffic between zones costs money and has a higher
+/// latency.
 const OTHER_ZONE_LOAD: f64 = 0.15;
 
-/// Servers of an adapter's order that are looked at.
-const MOST_CANDIDATES: usize = 48;
+/// Length at which an adapter's rendezvous order is cut.
+const MAX_CANDIDATES: usize = 48;
 
-/// Servers of an adapter's order that are looked at before it is loaded once more: it may have
-/// gone to the second or third while the places of the first were all in use. To ask one costs a
-/// millisecond, a load some hundred.
-const MOST_LOOKED_AT: usize = 3;
+/// Servers of an adapter's order that are checked before the adapter is loaded once more. It may
+/// have been loaded on the second or third while the first had no free place. Asking a holder takes
+/// about 1 ms, a load some hundred.
+const MIN_LOOKED_AT: usize = 3;
 
-/// Servers that are looked at beyond those over which an adapter is spread, where some do not
-/// count. While all servers are crowded a request asked 14 holders one after the other, and their
-/// answers were half of all bytes between zones, counted by kind on a day of high load.
-const MOST_PASSED_OVER: usize = 4;
+/// Servers that are checked in addition to the adapter's copies when some do not count as such.
+/// Without this limit, while all servers were crowded, a request asked 14 holders in turn, and
+/// their answers were half of all bytes between zones.
+const MAX_PASSED_OVER: usize = 4;
 
-/// Load above which a server does not count among those over which an adapter is spread: other
-/// adapters may have crowded it, and the next server of the order is looked at as well.
+/// Load at which a server no longer counts as one of the adapter's copies: other adapters may have
+/// crowded it, so the next server of the order is considered as well.
 const CROWDED_LOAD: f64 = 0.8;
 
-/// Expected time of a load, as a part of the objective, at which a server does not count among
-/// those over which an adapter is spread: another one would load it in time.
-const CLOGGED_WAIT: f64 = 1.0;
+/// Expected load time, relative to the objective, at which a server without the adapter does not
+/// count as one of its copies: another server would load it in time.
+const SLOW_LOAD_RATIO: f64 = 1.0;
 
-/// Mistrust at which a server does not count among those over which an adapter is spread.
-const MISTRUSTED: f64 = 1.5;
+/// Mistrust at which a server does not count as one of the adapter's copies.
+const DISTRUSTED: f64 = 1.5;
 
-/// Servers without room in their limits after which a request looks at none that has a limit: to ask for
-/// room takes some milliseconds each time.
-const MOST_AT_LIMITS: u32 = 3;
+/// Number of servers found at their rate limit after which a request considers only servers without
+/// one, as asking for a permit takes some milliseconds each time.
+const MAX_AT_LIMITS: u32 = 3;
 
-/// Pause after which a holder is asked for a load again, as messages may be lost.
+/// Interval after which a load request is repeated, as messages may be lost.
 const ASK_AGAIN_MS: Millis = 200;
 
-/// Time beyond twice the expected one after which a load is overdue.
+/// Grace period after twice the expected load time, after which a load is overdue.
 const OVERDUE_MS: Millis = 300;
 
-/// Loads that are alike within this are chosen among at random.
+/// Range of the random load that breaks ties between about equally loaded servers.
 const TIE_LOAD: f64 = 0.02;
 
-/// What is to be done with a request next.
+/// What to do with a request next.
 pub enum Choice {
-    /// Send it there.
+    /// Send it to a server.
     Send {
-        /// The server.
+        /// The server to send to.
         server: Rc<Server>,
-        /// A server that should load the adapter as well.
+        /// Another server that should load the adapter too.
         copy: Option<Rc<Server>>,
     },
-    /// Wait until the server holds what it needs.
+    /// Have the server load the adapter, and wait.
     Load(Rc<Server>),
-    /// No server is left.
+    /// No untried server takes work.
     Nowhere,
 }
 
-/// What the holders of servers were asked on behalf of one request, and when.
+/// What one request has asked of servers' holders, the boxes that manage them.
 #[derive(Debug, Default)]
 pub struct Asked {
-    /// To load what it needs.
-    pub loads: HashMap<ServerKey, LoadAsked>,
-    /// How their servers stand.
+    /// Load requests by server.
+    pub loads: HashMap<ServerKey, LoadRequestTimes>,
+    /// Times of the status requests by server.
     pub status_requests: HashMap<ServerKey, Millis>,
 }
 
-/// When one holder was asked to load what a request needs.
+/// Times of the load requests to one holder.
 #[derive(Debug, Clone, Copy)]
-pub struct LoadAsked {
-    /// First.
+pub struct LoadRequestTimes {
+    /// When the load was first requested.
     pub first_ms: Millis,
-    /// Last.
+    /// When the load was last requested.
     pub last_ms: Millis,
-    /// When the load is expected to be done, once the holder has told.
+    /// When the load should be complete; `None` until the holder has reported.
     pub expected_ms: Option<Millis>,
 }
 
 impl Asked {
-    /// Notes how long a load takes at a server, where its holder was asked for one before.
+    /// Records how long a load takes on a server, if one was requested. The first estimate counts:
+    /// later ones are for loads requested then.
     pub fn note_wait(&mut self, server: ServerKey, wait_ms: f64) {
         if let Some(asked) = self.loads.get_mut(&server) {
             let expected_ms = asked.first_ms + wait_ms as Millis;
@@ -101,13 +102,13 @@
         }
     }
 
-    /// When a load that was asked for is expected to be done, once the holder has told.
+    /// When a requested load should be complete; `None` until the holder has reported.
     pub fn expected_ms(&self, server: ServerKey) -> Option<Millis> {
         self.loads.get(&server)?.expected_ms
     }
 
-    /// Whether a load that was asked for is on its way; one that is long overdue is not: the
-    /// server may not take orders, and another one may as well load the adapter.
+    /// Whether a requested load is still expected. Once it is long overdue, the server may not be
+    /// taking orders, and another one may load the adapter instead.
     pub fn is_coming(&self, server: ServerKey, now_ms: Millis) -> bool {
         let Some(asked) = self.loads.get(&server) else {
             return false;
@@ -116,10 +117,10 @@
         now_ms < expected_ms + (expected_ms - asked.first_ms) + OVERDUE_MS
     }
 
-    /// Whether a holder is to be asked for a load now, the first time or again; notes that it is.
+    /// Whether to request a load now, for the first time or again; if so, records the request.
     pub fn takes_load_request(&mut self, server: ServerKey, now_ms: Millis) -> bool {
         let Some(asked) = self.loads.get_mut(&server) else {
-            let asked = LoadAsked {
+            let asked = LoadRequestTimes {
                 first_ms: now_ms,
                 last_ms: now_ms,
                 expected_ms: None,
@@ -135,10 +136,10 @@
     }
 }
 
-/// Where a request should run, among servers not tried yet.
+/// Chooses where a request should run among the servers not in `tried`.
 pub fn choose(node: &Node, question: &Question, tried: &[String], asked: &Asked) -> Choice {
     let mut ready = node.servers.borrow().ready(&question.service);
-    let is_asked_enough = question.at_limits.get() >= MOST_AT_LIMITS;
+    let is_asked_enough = question.at_limits.get() >= MAX_AT_LIMITS;
     ready.retain(|server| {
         let is_passed_over = is_asked_enough && server.limit_per_s().is_some();
         let has_room = !question.room.is_without(server.key);
@@ -152,7 +153,7 @@
     };
     match question.model.as_deref() {
         Some(model) if model.contains('/') => match split() {
-            Some(split) => apart::choose_for_adapter(node, question, &split, asked),
+            Some(split) => reader_choice::choose_for_adapter(node, question, &split, asked),
             None => {
                 let survey = Survey::make(node, question, &ready, asked);
                 survey.to_choice(survey.pick())
@@ -162,7 +163,7 @@
             Some(split) => {
                 let home = least_loaded(node, &holding(model, &split.homes), objective_ms);
                 let reader = least_loaded(node, &holding(model, &split.readers), objective_ms);
-                match apart::choose_for_model(node, question, home, reader) {
+                match reader_choice::choose_for_model(node, question, home, reader) {
                     Some(server) => send(server),
                     None => choose_for_model(node, model, &ready, objective_ms),
                 }
@@ -186,11 +187,11 @@
     if let Some(server) = least_loaded(node, &holding(model, ready), objective_ms) {
         return send(server);
     }
-    let home = in_order(model, ready).into_iter().next();
+    let home = rendezvous_order(model, ready).into_iter().next();
     home.map_or(Choice::Nowhere, Choice::Load)
 }
 
-/// Servers that hold a base model.
+/// The servers that hold a base model.
 pub(super) fn holding(model: &str, servers: &[Rc<Server>]) -> Vec<Rc<Server>> {
     let holds = |server: &&Rc<Server>| server.record().models.iter().any(|held| held == model);
     servers.iter().filter(holds).cloned().collect()
@@ -208,31 +209,32 @@
         .map(|(_, server)| Rc::clone(server))
 }
 
-/// The first servers in the adapter's own order, which all boxes work out alike.
-fn in_order(adapter: &str, ready: &[Rc<Server>]) -> Vec<Rc<Server>> {
+/// The first servers in the adapter's rendezvous order, which is the same on all boxes.
+fn rendezvous_order(adapter: &str, ready: &[Rc<Server>]) -> Vec<Rc<Server>> {
     let mut scored: Vec<(u64, &Rc<Server>)> = ready
         .iter()
         .map(|server| (rendezvous::score(adapter, &server.address_text), server))
         .collect();
     scored.sort_unstable_by_key(|(score, _)| std::cmp::Reverse(*score));
-    scored.truncate(MOST_CANDIDATES);
+    scored.truncate(MAX_CANDIDATES);
     let servers = scored.into_iter().map(|(_, server)| Rc::clone(server));
     servers.collect()
 }
 
-/// What one request needs to know of the servers that should hold its adapter.
+/// The servers that should hold the adapter of a request, with what the choice depends on.
 pub(super) struct Survey {
     servers: Vec<Rc<Server>>,
     candidates: Vec<Candidate>,
+    /// By candidate, whether it serves an older version than the current one.
     is_older: Vec<bool>,
-    /// Servers over which the adapter is spread.
+    /// Number of servers that should hold the adapter.
     copies: usize,
-    /// Whether the service has servers that name no limit.
+    /// Whether the service has servers without a rate limit.
     has_unlimited: bool,
 }
 
 impl Survey {
-    /// Looks at the servers that should hold a request's adapter, among those given.
+    /// Collects the candidates for a request's adapter from `ready`.
     pub fn make(node: &Node, question: &Question, ready: &[Rc<Server>], asked: &Asked) -> Self {
         let adapter = question.model.as_deref().unwrap_or_default();
         let mut survey = Self {
@@ -244,10 +246,10 @@
         };
         let mut counted = 0;
         let mut is_home_found = false;
-        for server in in_order(adapter, ready) {
-            let is_looked_for = survey.servers.len() < MOST_LOOKED_AT && !survey.is_found();
+        for server in rendezvous_order(adapter, ready) {
+            let is_looked_for = survey.servers.len() < MIN_LOOKED_AT && !survey.has_adapter();
             let is_done = counted >= survey.copies && !is_looked_for;
-            if is_done || survey.servers.len() >= survey.copies + MOST_PASSED_OVER {
+            if is_done || survey.servers.len() >= survey.copies + MAX_PASSED_OVER {
                 break;
             }
             let entry = node.entry(&server, adapter_key(adapter));
@@ -262,37 +264,38 @@
             }
             let is_outdated = added.presence == Presence::Outdated || survey.is_last_older();
             let is_crowded = added.load >= CROWDED_LOAD;
-            let is_mistrusted = node.mistrust(&server) >= MISTRUSTED;
-            let is_clogged = entry.is_none() && added.load_wait >= CLOGGED_WAIT;
-            if is_home && !is_outdated && !is_crowded && !is_mistrusted && !is_clogged {
+            let is_distrusted = node.mistrust(&server) >= DISTRUSTED;
+            let loads_late = entry.is_none() && added.load_wait >= SLOW_LOAD_RATIO;
+            if is_home && !is_outdated && !is_crowded && !is_distrusted && !loads_late {
                 counted += 1;
             }
         }
-        survey.keep_to_asked(asked, node.now_ms());
-        survey.prefer_reader(node, question);
+        survey.restrict_loads_to_asked(asked, node.now_ms());
+        survey.prefer_prefix_cache(node, question);
         survey
     }
 
-    /// Among several servers that hold the adapter, requests that share the parts before their
-    /// own go to the same one, which reads these once: it counts as less busy by that time.
-    fn prefer_reader(&mut self, node: &Node, question: &Question) {
+    /// Steers requests with a common prompt prefix to the same one of the servers that hold the
+    /// adapter, by lowering that server's load by the prefill time that its prefix cache saves.
+    fn prefer_prefix_cache(&mut self, node: &Node, question: &Question) {
         let Some(shared) = question.prompt.shared_prefix() else {
             return;
         };
         let servers = self.servers.iter().zip(&self.candidates).enumerate();
-        let reader = servers
+        let cached_at = servers
             .filter(|(_, (_, candidate))| candidate.presence == Presence::Ready)
             .max_by_key(|(_, (server, _))| rendezvous::score_of(shared.key, &server.address_text))
             .map(|(position, _)| position);
-        if let Some(reader) = reader {
+        if let Some(cached_at) = cached_at {
             let saved_ms = node.reading_ms(&question.service, shared.tokens);
             let objective_ms = question.route.objective_ms.max(1) as f64;
-            self.candidates[reader].load -= saved_ms / objective_ms;
+            self.candidates[cached_at].load -= saved_ms / objective_ms;
         }
     }
 
-    /// A request that had one server asked to load its adapter has no other one load it too.
-    fn keep_to_asked(&mut self, asked: &Asked, now_ms: Millis) {
+    /// While a load that the request asked for is expected, lets no other server load the adapter
+    /// for the same request.
+    fn restrict_loads_to_asked(&mut self, asked: &Asked, now_ms: Millis) {
         let is_asked = |server: &Rc<Server>| asked.is_coming(server.key, now_ms);
         let is_coming = self
             .servers
@@ -327,28 +330,29 @@
             presence = Presence::Ready;
         }
         if presence == Presence::Absent {
-            presence = self.presumed(node, server, asked);
+            presence = self.presumed_presence(node, server, asked);
         }
         self.candidates.push(Candidate {
             presence,
             load: load(node, server, question.route.objective_ms),
-            takes_loads: node.takes_loads(server) && !self.spares(server),
+            takes_loads: node.takes_loads(server) && !self.excludes_loads(server),
             load_wait: node.load_wait_ms(server) / question.route.objective_ms.max(1) as f64,
         });
         self.is_older.push(is_older);
         self.servers.push(Rc::clone(server));
     }
 
-    /// Whether a server is given nothing more to hold: one in need serves what it holds as far as its
-    /// limit allows, and what it would load next asks for more than that.
-    fn spares(&self, server: &Server) -> bool {
+    /// Whether a server should load no more adapters. An overloaded server, one that announces a
+    /// rate limit, serves what it holds within that limit; another adapter would bring it more
+    /// requests.
+    fn excludes_loads(&self, server: &Server) -> bool {
         self.has_unlimited && server.limit_per_s().is_some()
     }
 
-    /// What to make of a server that is not known to hold the adapter. One that was asked will
-    /// load it; one of several over which it is spread, of which nothing is known, is presumed
-    /// to hold it, as its holder is asked before anything is sent.
-    fn presumed(&self, node: &Node, server: &Server, asked: &Asked) -> Presence {
+    /// The presumed state of the adapter on a server not known to hold it. A server that was asked
+    /// to load it will do so. A server other than the first of the order whose status is unknown is
+    /// presumed to hold it, as its holder is asked before anything is sent.
+    fn presumed_presence(&self, node: &Node, server: &Server, asked: &Asked) -> Presence {
         if asked.is_coming(server.key, node.now_ms()) {
             return Presence::Coming;
         }
@@ -360,8 +364,8 @@
         Presence::Absent
     }
 
-    /// Whether a server serves the adapter, or will.
-    fn is_found(&self) -> bool {
+    /// Whether a candidate holds the adapter or is loading it.
+    fn has_adapter(&self) -> bool {
         let is_there = |candidate: &Candidate| {
             matches!(candidate.presence, Presence::Ready | Presence::Coming)
         };
@@ -372,7 +376,8 @@
         self.is_older.last().copied().unwrap_or_default()
     }
 
-    /// Where the new version should be loaded while an older one serves.
+    /// The candidate that should load the current version while an older one is served; `None` if
+    /// the current version is held or being loaded already.
     fn place_for_newer(&self) -> Option<usize> {
         let is_newer_there =
             self.candidates
@@ -391,17 +396,17 @@
         self.candidates.iter().position(takes_it)
     }
 
-    /// A server of the survey.
+    /// The server of a candidate, by its position.
     pub fn server(&self, position: usize) -> Rc<Server> {
         Rc::clone(&self.servers[position])
     }
 
-    /// The best of its servers.
+    /// Picks the best candidate.
     pub fn pick(&self) -> Pick {
         pick(&self.candidates, self.copies)
     }
 
-    /// What a pick among its servers comes to.
+    /// Translates a pick of a candidate into a choice of a server.
     pub fn to_choice(&self, pick: Pick) -> Choice {
         match pick {
             Pick::Send { to, copy } => {
@@ -413,7 +418,7 @@
                 }
             }
             Pick::Load { at } => Choice::Load(self.server(at)),
-            // Places become free within moments: the holder of the first is asked again.
+            // Adapter places soon become free, so the first server's holder is asked again.
             Pick::Nowhere => match self.servers.first() {
                 Some(first) => Choice::Load(Rc::clone(first)),
                 None => Choice::Nowhere,
@@ -431,7 +436,7 @@
     }
 }
 
-/// How busy a server is, with mistrust and distance added.
+/// The load of a server with penalties for mistrust and another zone, and a random tie-breaker.
 fn load(node: &Node, server: &Server, objective_ms: Millis) -> f64 {
     let distance = if server.record().zone == node.settings.borrow().zone {
         0.0
--- a/crates/tinbay-gateway/src/front/deliver.rs
+++ b/crates/tinbay-gateway/src/front/deliver.rs
@@ -1,4 +1,5 @@
-//! Brings a request to a server, to another one where that is allowed, and back.
+//! Sends a request to a server, retries on another one where that is allowed, and relays the
+//! answer.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -26,42 +27,44 @@
 use crate::node::Node;
 use crate::servers::{RunningRequest, Server};
 
-/// Most tries of one request, refused ones included.
-const MOST_TRIES: usize = 4;
+/// Most attempts per request, including declined ones.
+const MAX_ATTEMPTS: usize = 4;
 
-/// Shortest wait after which a refused caller comes back.
-const SHORTEST_RETRY_MS: Millis = 50;
+/// `Retry-After` of a declined request if the service gives no time.
+const DEFAULT_RETRY_MS: Millis = 50;
 
-/// Factor over the expected time to the head after which a server is taken not to answer: its
-/// connection may have gone silent, and the rest of the time is better spent at another server.
+/// Multiple of the expected time to the head after which a server counts as silent: its connection
+/// may be dead, and the remaining time is better spent on another server.
 const SILENCE_FACTOR: f64 = 4.0;
 
-/// Shortest silence of a server that is taken as such: plain services answer within some tens of
-/// milliseconds.
-const LEAST_SILENCE_MS: Millis = 100;
+/// Lower bound of the time after which a server counts as silent, as services without models
+/// respond within some tens of milliseconds.
+const MIN_SILENCE_MS: Millis = 100;
 
-/// Time by which a server stops before its version may not serve any more: for the way there and a
-/// connection that must be made first, of some milliseconds, and for its word that it did not run.
+/// Safety margin before the time when a replaced version may no longer start requests. It covers
+/// connecting, the transfer, and the server's response that it did not run the request.
 const BEGIN_MARGIN_MS: Millis = 250;
 
-/// Mistrust after a try that may have run without an answer.
+/// Mistrust added after an attempt that may have run but was not answered.
 const MISTRUST_UNKNOWN: f64 = 1.0;
 
-/// Mistrust after a connection that did not stand.
+/// Mistrust added after a failure to connect.
 const MISTRUST_CONNECT: f64 = 2.0;
 
-/// Mistrust after the server declined.
+/// Mistrust added after the server declined.
 const MISTRUST_DECLINED: f64 = 0.5;
 
-/// What is known of a request's tries so far.
+/// The attempts of a request so far.
 #[derive(Debug, Default, Clone)]
-struct Tries {
+struct AttemptHistory {
+    /// Ids of the servers tried.
     tried: Vec<String>,
     ends: AttemptEnds,
+    /// Attempts that may have run.
     runs: u32,
 }
 
-impl Tries {
+impl AttemptHistory {
     fn note(&mut self, server: &Server, end: AttemptEnd) {
         self.ends.note(end);
         self.tried.push(server.record().id.clone());
@@ -71,16 +74,16 @@
     }
 }
 
-/// Brings a request to a server and back.
+/// Sends a request to a server, with retries, and returns the answer to relay.
 ///
 /// # Errors
-/// What the caller is told instead of a server's answer.
+/// When there is no server's answer to pass on.
 pub async fn deliver(
     node: &Rc<Node>,
     question: &Rc<Question>,
     body: RequestBody,
 ) -> Result<Response<AnswerBody>, Refusal> {
-    let mut tries = Tries::default();
+    let mut tries = AttemptHistory::default();
     let mut body = Some(body);
     loop {
         let server = match adapters::find_server(node, question, &tries.tried).await {
@@ -88,9 +91,9 @@
             Err(refusal) if tries.tried.is_empty() => return Err(refusal),
             Err(_) => return Err(give_up(node, question, &tries)),
         };
-        // Its last server may have been the one too many, and it may have waited for an adapter:
-        // only what is known now keeps the next server from it.
-        if is_refused(node, question).await {
+        // Checked again before each attempt: the previous server may have crashed under the
+        // request, or other boxes may have reported crashes while it waited for its adapter.
+        if is_quarantined(node, question).await {
             return Err(give_up_crashing(node, question, &tries));
         }
         match room::take(node, question, &server, &tries.tried).await {
@@ -118,13 +121,13 @@
         let (server, sent_ms, result) = (sent.server, sent.sent_ms, sent.result);
         if matches!(result, AttemptResult::Begun(_)) {
             node.note_reading(question, before_ms, node.now_ms() - sent_ms);
-            note_pace(node, question, &server, sent_ms);
+            note_answer_time(node, question, &server, sent_ms);
         }
         note_delay(node, question, &server, sent_ms);
         log_try(node, question, &server, &result);
         let end = match result {
             AttemptResult::Begun(answer) => {
-                if body.is_none() || !repeats(node, question, &tries, &server, &answer) {
+                if body.is_none() || !retries_failure(node, question, &tries, &server, &answer) {
                     return Ok(relay(node, question, *answer, body));
                 }
                 tries.note(&server, AttemptEnd::Unknown);
@@ -147,7 +150,7 @@
                 permit.give_back(node, &server);
                 server.add_mistrust(MISTRUST_CONNECT, node.now_ms());
                 tries.note(&server, AttemptEnd::NotRun);
-                // Nothing reached a server, so the next send is no second one.
+                // Nothing reached a server, so the next send needs no retry budget.
                 if !may_try_another(node, question, &tries, AttemptEnd::NotRun) {
                     return Err(give_up(node, question, &tries));
                 }
@@ -162,17 +165,17 @@
             }
         };
         tries.note(&server, end);
-        if !may_try_another(node, question, &tries, end) || !take_second_send(node, question) {
+        if !may_try_another(node, question, &tries, end) || !take_retry_budget(node, question) {
             return Err(give_up(node, question, &tries));
         }
     }
 }
 
-/// Sends a request to a server, and to a second one where it may run twice and the first is late.
+/// Sends a request to a server, and to a second one if it may run twice and the first is slow.
 async fn send_hedged(
     node: &Node,
     question: &Question,
-    tries: &mut Tries,
+    tries: &mut AttemptHistory,
     outgoing: Outgoing,
 ) -> hedge::Sent {
     let most_sends = question.route.most_attempts.saturating_sub(tries.runs);
@@ -182,7 +185,7 @@
     };
     let send_to = async |outgoing: Outgoing, sends_under_way: u32| {
         let runs = tries.runs + sends_under_way;
-        let tries = Tries {
+        let tries = AttemptHistory {
             runs,
             ..tries.clone()
         };
@@ -201,7 +204,8 @@
     sent
 }
 
-/// A full server is left alone for a while; one that lacks the adapter is known to lack it.
+/// Records that a server declined: either it does not hold the adapter, or it is avoided for a
+/// while.
 fn note_declined(node: &Node, question: &Question, server: &Server, status: StatusCode) {
     match question.model_key {
         Some(key) if status == StatusCode::MISDIRECTED_REQUEST => {
@@ -212,7 +216,7 @@
     }
 }
 
-/// Has a server checked that broke off a request.
+/// Starts a health check of a server that closed the connection during a request.
 fn note_cut(node: &Rc<Node>, question: &Question, server: &Rc<Server>) {
     if let Some(digest) = question.digest.get() {
         let request = CutRequest {
@@ -223,7 +227,8 @@
     }
 }
 
-async fn is_refused(node: &Node, question: &Question) -> bool {
+/// Whether servers crash under the request, once running checks of servers have ended.
+async fn is_quarantined(node: &Node, question: &Question) -> bool {
     let Some(digest) = question.digest.get() else {
         return false;
     };
@@ -231,22 +236,24 @@
     crashes::is_refused(node, *digest)
 }
 
-/// What the caller is told of a request under which servers crash.
-fn give_up_crashing(node: &Node, question: &Question, tries: &Tries) -> Refusal {
+/// The refusal of a request under which servers crash.
+fn give_up_crashing(node: &Node, question: &Question, tries: &AttemptHistory) -> Refusal {
     if tries.ends.are_all_not_run() {
         return Refusal::CrashesServers;
     }
     give_up(node, question, tries)
 }
 
-/// The speed of a server that does the same work as the others of its service.
-fn note_pace(node: &Node, question: &Question, server: &Server, sent_ms: Millis) {
+/// Records the response time of a server. Only requests without a model are comparable between the
+/// servers of a service.
+fn note_answer_time(node: &Node, question: &Question, server: &Server, sent_ms: Millis) {
     if question.model.is_none() {
         let now_ms = node.now_ms();
         server.note_answer_time((now_ms - sent_ms) as f64, now_ms);
     }
 }
 
+/// Records the response time of a server relative to the objective.
 fn note_delay(node: &Node, question: &Question, server: &Server, sent_ms: Millis) {
     let now_ms = node.now_ms();
     let objective_ms = question.route.objective_ms.max(1) as f64;
@@ -256,7 +263,7 @@
 async fn try_server(
     node: &Node,
     question: &Question,
-    tries: &Tries,
+    tries: &AttemptHistory,
     body: RequestBody,
     server: &Rc<Server>,
     permit: Permit,
@@ -293,11 +300,12 @@
     attempt(node, question, body, terms).await
 }
 
-/// How a request that is sent now is sent.
+/// Version and deadline of a request that is sent now.
 ///
-/// On a version that is replaced, the server is handed no more time than that version has left: a
-/// request that still waits there by then is declined. Bounding the send alone let one begin 6.2 s
-/// after its version was replaced, 5 s allowed, at a server that had stood still.
+/// If the server holds a replaced version, the deadline sent is capped at the time that this
+/// version has left, so that the server declines a request still queued by then. A limit on the
+/// send time alone let a request begin 6.2 s after its version was replaced, with 5 s allowed, on a
+/// server that had been stopped for a while.
 fn last_send(node: &Node, question: &Question, server: &Server, now_ms: Millis) -> LastSend {
     let model = question.model.as_deref().unwrap_or_default();
     let named_version = question.named_version(node);
@@ -325,27 +333,28 @@
     }
 }
 
-/// The version of its adapter that a server is believed to hold; 0 where it is not known which.
+/// The version of the request's adapter that a server is believed to hold; 0 if the version is
+/// unknown.
 pub(super) fn held_version(node: &Node, question: &Question, server: &Server) -> Option<u64> {
     let entry = node.entry(server, question.model_key?)?;
     Some(entry.version)
 }
 
-/// Whether a request may be sent to one more server if the next one does not answer.
-fn may_run_again(question: &Question, tries: &Tries) -> bool {
+/// Whether the request may be sent to another server if the next attempt gets no response.
+fn may_run_again(question: &Question, tries: &AttemptHistory) -> bool {
     question.is_repeatable() && tries.runs + 1 < question.route.most_attempts
 }
 
-/// Time after which a server that has said nothing is taken not to answer any more.
+/// Time without a response after which a server counts as silent.
 fn silent_after_ms(node: &Node, question: &Question, server: &Server) -> Millis {
     let objective_ms = question.route.objective_ms as f64;
     let usual_ms = server.delay(node.now_ms()) * objective_ms;
     let reading_ms = node.reading_ms(&question.service, question.prompt.tokens);
     let expected_ms = usual_ms.max(node.backlog_ms(server) + reading_ms);
-    LEAST_SILENCE_MS.max((expected_ms * SILENCE_FACTOR) as Millis)
+    MIN_SILENCE_MS.max((expected_ms * SILENCE_FACTOR) as Millis)
 }
 
-/// Connections this box may open to one server: its part of what the server accepts.
+/// Most connections of this box to one server: its share of those the server accepts.
 pub(super) fn most_open(node: &Node, question: &Question) -> usize {
     let accepted = node
         .in_force()
@@ -357,12 +366,12 @@
     (accepted / (node.box_count.get() + 1)).max(4)
 }
 
-/// Whether a server's failure is put aside for a try at another server that is there and
-/// within the budget; else the caller gets the failure as it is.
-fn repeats(
+/// Whether to discard a server's error response and retry. That needs another server that can take
+/// the request now, and retry budget; otherwise the error is passed on to the caller.
+fn retries_failure(
     node: &Node,
     question: &Question,
-    tries: &Tries,
+    tries: &AttemptHistory,
     server: &Server,
     answer: &BegunAnswer,
 ) -> bool {
@@ -376,11 +385,16 @@
         choice::choose(node, question, &tried, &Asked::default()),
         Choice::Send { .. }
     );
-    is_another && take_second_send(node, question)
+    is_another && take_retry_budget(node, question)
 }
 
-/// Whether another server may be tried, before the budget of second sends is asked.
-fn may_try_another(node: &Node, question: &Question, tries: &Tries, end: AttemptEnd) -> bool {
+/// Whether another server may be tried, apart from the retry budget.
+fn may_try_another(
+    node: &Node,
+    question: &Question,
+    tries: &AttemptHistory,
+    end: AttemptEnd,
+) -> bool {
     let case = RetryCase {
         end,
         repeatable: question.is_repeatable() && tries.runs < question.route.most_attempts,
@@ -388,10 +402,11 @@
         now_ms: node.now_ms(),
         deadline_ms: question.time_up_ms,
     };
-    may_retry(&case) && tries.tried.len() < MOST_TRIES
+    may_retry(&case) && tries.tried.len() < MAX_ATTEMPTS
 }
 
-fn take_second_send(node: &Node, question: &Question) -> bool {
+/// Takes a retry from the service's budget, if it has one left.
+fn take_retry_budget(node: &Node, question: &Question) -> bool {
     let terms = node.settings.borrow().bounds.second_sends;
     let boxes = node.box_count.get();
     let now_ms = node.now_ms();
@@ -406,7 +421,8 @@
     is_taken
 }
 
-fn give_up(node: &Node, question: &Question, tries: &Tries) -> Refusal {
+/// The refusal after the last attempt: whether the request may have run, or certainly has not.
+fn give_up(node: &Node, question: &Question, tries: &AttemptHistory) -> Refusal {
     if !tries.ends.are_all_not_run() {
         return if node.now_ms() >= question.time_up_ms {
             Refusal::TimeUp
@@ -416,10 +432,11 @@
     }
     Refusal::NotRun {
         reason: NotRunReason::Declined,
-        retry_after_ms: permits::return_in_ms(node, &question.service).unwrap_or(SHORTEST_RETRY_MS),
+        retry_after_ms: permits::return_in_ms(node, &question.service).unwrap_or(DEFAULT_RETRY_MS),
     }
 }
 
+/// Relays a server's answer, and hands its run over to another server where that is due.
 fn relay(
     node: &Rc<Node>,
     question: &Rc<Question>,
@@ -433,7 +450,7 @@
     let terms = RelayTerms {
         connection: answer.connection,
         pool: Rc::clone(&server.pool),
-        rest: headers::allowed_rest(&parts.headers),
+        rest: headers::keep_alive_timeout(&parts.headers),
         may_keep: headers::keeps_connection(&parts.headers),
         time_up: node.clock.instant(question.time_up_ms),
         successor,
@@ -445,6 +462,7 @@
     Response::from_parts(parts, AnswerBody::Relayed(Box::new(relay)))
 }
 
+/// What to record when the relayed answer ends.
 fn observe_end(
     node: &Rc<Node>,
     question: &Rc<Question>,
--- a/crates/tinbay-gateway/src/front/filters/account_key.rs
+++ b/crates/tinbay-gateway/src/front/filters/account_key.rs
@@ -1,25 +1,25 @@
-//! Finds the client account of a request by the key that it shows.
+//! Authenticates a request by its API key.
 
 use std::rc::Rc;
 
 use tinbay_core::accounts::key_check::{KeyDecision, check};
 
-use super::{Exchange, Filter, Filtering, Step};
+use super::{Exchange, Filter, FilterFuture, Step};
 use crate::front::question::{Question, ShownAccount};
 use crate::front::refusal::Refusal;
 use crate::node::Node;
 
-/// Lets a request in under a key that is certainly in force.
+/// Admits a request whose key is certainly in force, and determines its client account.
 pub struct AccountKey;
 
 impl Filter for AccountKey {
-    fn apply<'a>(&'a self, node: &'a Rc<Node>, exchange: &'a mut Exchange) -> Filtering<'a> {
+    fn apply<'a>(&'a self, node: &'a Rc<Node>, exchange: &'a mut Exchange) -> FilterFuture<'a> {
         Box::pin(async move { decide(node, &exchange.question) })
     }
 }
 
-/// The accounts are those of the newest configuration, which may have come since the route was
-/// found: the age of what is known is that of the newest one.
+/// Checks the key against the newest configuration, which may be newer than the one that gave the
+/// route: `configuration_age_ms` is the age of the newest.
 fn decide(node: &Node, question: &Question) -> Result<Step, Refusal> {
     let in_force = node.in_force().ok_or(Refusal::NoConfiguration)?;
     let proof_age_ms = node.configuration_age_ms();
--- a/crates/tinbay-gateway/src/front/filters/account_limit.rs
+++ b/crates/tinbay-gateway/src/front/filters/account_limit.rs
@@ -1,4 +1,4 @@
-//! Lets a request in within the limit of its client account.
+//! Enforces the rate limits of client accounts.
 
 use std::rc::Rc;
 
@@ -6,25 +6,25 @@
 use tinbay_core::limits::denied::CallerTry;
 use tinbay_core::serving::prompt::TokenCount;
 
-use super::{Exchange, Filter, Filtering, Step};
+use super::{Exchange, Filter, FilterFuture, Step};
 use crate::front::question::{AdmittedUnits, Question};
 use crate::front::refusal::Refusal;
 use crate::limits::{self, limited::Limited};
 use crate::node::Node;
 
-/// Lets a request in within the limit of its client account over all boxes.
+/// Admits a request within the rate limit of its client account, which holds across all boxes.
 pub struct AccountLimit;
 
 impl Filter for AccountLimit {
-    fn apply<'a>(&'a self, node: &'a Rc<Node>, exchange: &'a mut Exchange) -> Filtering<'a> {
+    fn apply<'a>(&'a self, node: &'a Rc<Node>, exchange: &'a mut Exchange) -> FilterFuture<'a> {
         Box::pin(async move {
             admit(node, &exchange.question).await?;
             Ok(Step::Next)
         })
     }
 
-    /// A request that was not run counts nothing.
-    fn take_back(&self, node: &Rc<Node>, question: &Question) {
+    /// Returns the units of the request to the account's limit.
+    fn roll_back(&self, node: &Rc<Node>, question: &Question) {
         let admitted = question.admitted.take();
         let account = question.client_account();
         let limited = account.and_then(|account| Limited::of_account(node, account));
--- a/crates/tinbay-gateway/src/front/filters/body.rs
+++ b/crates/tinbay-gateway/src/front/filters/body.rs
@@ -1,27 +1,27 @@
-//! Reads a request's body, as far as it is kept for a second send.
+//! Buffers request bodies for retries.
 
 use std::rc::Rc;
 
-use super::{Exchange, Filter, Filtering, Step};
+use super::{Exchange, Filter, FilterFuture, Step};
 use crate::front::refusal::Refusal;
 use crate::http::body::{BodyError, read_request_body};
 use crate::node::Node;
 
-/// Longest body that is kept whole, so that it can be sent a second time.
-pub const MOST_KEPT_BYTES: usize = 131_072;
+/// Longest body that is buffered whole, so that it can be sent again.
+pub const MAX_BUFFERED_BYTES: usize = 131_072;
 
-/// Reads a request's body.
+/// Reads a request's body up to `MAX_BUFFERED_BYTES`; a longer one is streamed on to the server.
 pub struct ReadBody;
 
 impl Filter for ReadBody {
-    fn apply<'a>(&'a self, node: &'a Rc<Node>, exchange: &'a mut Exchange) -> Filtering<'a> {
+    fn apply<'a>(&'a self, node: &'a Rc<Node>, exchange: &'a mut Exchange) -> FilterFuture<'a> {
         Box::pin(async move {
             let Some(incoming) = exchange.incoming.take() else {
                 return Ok(Step::Next);
             };
             let most_bytes = node.limits().body_bytes;
             let held = exchange.held.as_mut();
-            let read = read_request_body(incoming, MOST_KEPT_BYTES, most_bytes, held).await;
+            let read = read_request_body(incoming, MAX_BUFFERED_BYTES, most_bytes, held).await;
             let body = read.map_err(|error| match error {
                 BodyError::TooLong => Refusal::BodyTooLong,
                 _ => Refusal::CallerBrokeOff,
--- a/crates/tinbay-gateway/src/front/filters/delivery.rs
+++ b/crates/tinbay-gateway/src/front/filters/delivery.rs
@@ -1,18 +1,18 @@
-//! Brings a request to a server and its answer back.
+//! Sends a request to a server and returns its answer.
 
 use std::rc::Rc;
 
-use super::{Exchange, Filter, Filtering, Step};
+use super::{Exchange, Filter, FilterFuture, Step};
 use crate::front::deliver;
 use crate::front::question::Question;
 use crate::front::refusal::Refusal;
 use crate::node::Node;
 
-/// Brings a request to a server and its answer back; the last filter.
+/// Sends a request to a server and returns its answer; the last filter of the chain.
 pub struct Delivery;
 
 impl Filter for Delivery {
-    fn apply<'a>(&'a self, node: &'a Rc<Node>, exchange: &'a mut Exchange) -> Filtering<'a> {
+    fn apply<'a>(&'a self, node: &'a Rc<Node>, exchange: &'a mut Exchange) -> FilterFuture<'a> {
         Box::pin(async move {
             let body = exchange.body.take().ok_or(Refusal::CallerBrokeOff)?;
             note_first_send(node, &exchange.question);
@@ -22,7 +22,7 @@
     }
 }
 
-/// Second sends are allowed in proportion to the first ones.
+/// Adds to the retry budget, which is proportional to the number of first sends.
 fn note_first_send(node: &Node, question: &Question) {
     let now_ms = node.now_ms();
     let mut budgets = node.budgets.borrow_mut();
--- a/crates/tinbay-gateway/src/front/filters/memory.rs
+++ b/crates/tinbay-gateway/src/front/filters/memory.rs
@@ -1,23 +1,23 @@
-//! Turns away requests whose bodies there is no memory for, before they are read.
+//! Refuses requests before their bodies are read when memory is short.
 
 use std::rc::Rc;
 
 use hyper::body::{Body, Incoming};
 
-use super::body::MOST_KEPT_BYTES;
-use super::{Exchange, Filter, Filtering, Step};
+use super::body::MAX_BUFFERED_BYTES;
+use super::{Exchange, Filter, FilterFuture, Step};
 use crate::front::refusal::Refusal;
 use crate::node::Node;
 
-/// What a body in chunks is taken to hold until it is read.
-const UNTOLD_BYTES: u64 = 16_384;
+/// Presumed size of a body without a content length.
+const PRESUMED_BODY_BYTES: u64 = 16_384;
 
-/// Takes a request for whose body there is memory. It runs after the client account is known, so that
-/// one account's bodies and unread answers leave room for the others.
+/// Admits a request if there is memory for its body. It runs once the client account is known, so
+/// that one account's bodies and unread answers leave memory for the others.
 pub struct Memory;
 
 impl Filter for Memory {
-    fn apply<'a>(&'a self, node: &'a Rc<Node>, exchange: &'a mut Exchange) -> Filtering<'a> {
+    fn apply<'a>(&'a self, node: &'a Rc<Node>, exchange: &'a mut Exchange) -> FilterFuture<'a> {
         Box::pin(async move { admit(node, exchange) })
     }
 }
@@ -37,9 +37,9 @@
     }
 }
 
-/// What will be kept of a body, as far as it tells its length.
+/// Bytes of a body that will be buffered, by its content length if there is one.
 fn kept_bytes(incoming: &Incoming) -> u64 {
     let told_bytes = incoming.size_hint().upper();
-    let bytes = told_bytes.unwrap_or(UNTOLD_BYTES);
-    bytes.min(MOST_KEPT_BYTES as u64)
+    let bytes = told_bytes.unwrap_or(PRESUMED_BODY_BYTES);
+    bytes.min(MAX_BUFFERED_BYTES as u64)
 }
--- a/crates/tinbay-gateway/src/front/filters/mod.rs
+++ b/crates/tinbay-gateway/src/front/filters/mod.rs
@@ -1,4 +1,4 @@
-//! The chain of filters that a routed request passes, each a file with one job.
+//! The filter chain of routed requests.
 
 mod account_key;
 mod account_limit;
@@ -21,38 +21,38 @@
 
 /// A routed request on its way through the filters.
 pub struct Exchange {
-    /// The request's head and what was decided of it.
+    /// The request's head, route and the decisions made so far.
     pub question: Rc<Question>,
-    /// Its body as it comes, until it is read.
+    /// The unread body; `None` once a filter has read it.
     pub incoming: Option<Incoming>,
-    /// Counts its body while it is read.
+    /// Memory accounted to the body while it is read.
     pub held: Option<Hold>,
-    /// Its body as it goes on to a server, once it is read.
+    /// The body to send to a server, once it has been read.
     pub body: Option<RequestBody>,
 }
 
-/// What a filter has a request do.
+/// The result of a filter that did not refuse the request.
 pub enum Step {
-    /// Go on to the next filter.
+    /// Continue with the next filter.
     Next,
-    /// Get this answer.
+    /// Respond with this answer.
     Answer(Response<AnswerBody>),
 }
 
-/// What a filter does, until it is done.
-pub type Filtering<'a> = Pin<Box<dyn Future<Output = Result<Step, Refusal>> + 'a>>;
+/// The future that a filter returns.
+pub type FilterFuture<'a> = Pin<Box<dyn Future<Output = Result<Step, Refusal>> + 'a>>;
 
-/// One stage of a request's way.
+/// One stage of the filter chain.
 pub trait Filter {
-    /// Takes a request; an error is what its caller is told.
-    fn apply<'a>(&'a self, node: &'a Rc<Node>, exchange: &'a mut Exchange) -> Filtering<'a>;
+    /// Processes a request; an error is sent to its caller.
+    fn apply<'a>(&'a self, node: &'a Rc<Node>, exchange: &'a mut Exchange) -> FilterFuture<'a>;
 
-    /// Takes back what was counted for a request that has not run.
-    fn take_back(&self, _node: &Rc<Node>, _question: &Question) {}
+    /// Undoes what the filter counted for a request that was not run.
+    fn roll_back(&self, _node: &Rc<Node>, _question: &Question) {}
 }
 
-/// All filters, in the order in which a request passes them. Who may not ask is told before the
-/// rest of the request is read.
+/// All filters, in the order of execution. The key is checked before the body is read, so that an
+/// unauthorized caller is refused early.
 const FILTERS: [&dyn Filter; 6] = [
     &account_key::AccountKey,
     &memory::Memory,
@@ -62,10 +62,10 @@
     &delivery::Delivery,
 ];
 
-/// Takes a request through the filters.
+/// Runs a request through the filters.
 ///
 /// # Errors
-/// What the caller is told instead of a server's answer.
+/// When a filter refuses the request or delivery fails.
 pub async fn pass(
     node: &Rc<Node>,
     question: &Rc<Question>,
@@ -83,7 +83,7 @@
             Ok(Step::Answer(response)) => return Ok(response),
             Err(refusal) => {
                 if refusal.says_not_run() {
-                    take_back(node, question);
+                    roll_back(node, question);
                 }
                 return Err(refusal);
             }
@@ -94,8 +94,8 @@
     })
 }
 
-fn take_back(node: &Rc<Node>, question: &Question) {
+fn roll_back(node: &Rc<Node>, question: &Question) {
     for filter in FILTERS {
-        filter.take_back(node, question);
+        filter.roll_back(node, question);
     }
 }
--- a/crates/tinbay-gateway/src/front/filters/quarantine.rs
+++ b/crates/tinbay-gateway/src/front/filters/quarantine.rs
@@ -1,18 +1,18 @@
-//! Refuses a request under which servers crash.
+//! Quarantine for requests that crash servers.
 
 use std::rc::Rc;
 
-use super::{Exchange, Filter, Filtering, Step};
+use super::{Exchange, Filter, FilterFuture, Step};
 use crate::crashes;
 use crate::front::refusal::Refusal;
 use crate::node::Node;
 
-/// Refuses a request under which servers crash, at once: no server would live to answer it, and each
-/// one that tries takes some tens of other requests with it.
+/// Refuses a request that has repeatedly crashed servers. No server would survive to answer it, and
+/// each one that crashes loses some tens of other requests.
 pub struct Quarantine;
 
 impl Filter for Quarantine {
-    fn apply<'a>(&'a self, node: &'a Rc<Node>, exchange: &'a mut Exchange) -> Filtering<'a> {
+    fn apply<'a>(&'a self, node: &'a Rc<Node>, exchange: &'a mut Exchange) -> FilterFuture<'a> {
         Box::pin(async move {
             match exchange.question.digest.get() {
                 Some(digest) if crashes::is_refused(node, *digest) => Err(Refusal::CrashesServers),
--- a/crates/tinbay-gateway/src/front/headers.rs
+++ b/crates/tinbay-gateway/src/front/headers.rs
@@ -1,4 +1,4 @@
-//! Which headers go on to servers and back to callers.
+//! Rewrites headers between callers and servers.
 
 use std::time::Duration;
 
@@ -8,39 +8,39 @@
 
 use crate::port::dialect::HeaderNames;
 
-/// Concerns one connection, like those the HTTP standard names.
+/// Hop-by-hop header of HTTP/1.0, missing from the header constants of hyper.
 const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
 
-/// Concerns one connection, though no standard names it.
+/// Hop-by-hop header that some clients send although no standard defines it.
 const PROXY_CONNECTION: HeaderName = HeaderName::from_static("proxy-connection");
 
-/// What is set on a request to a server besides the caller's headers.
+/// Values set on a request to a server in addition to the caller's headers.
 #[derive(Debug)]
 pub struct ServerHeaders<'a> {
-    /// Time that is left.
+    /// Time left until the request's deadline.
     pub deadline_ms: u64,
-    /// Incarnation that is meant.
+    /// Id of the intended incarnation of the server: another one at its address declines.
     pub server_id: &'a str,
-    /// Rank at the server.
+    /// Rank in the server's queue, 0 first.
     pub priority: u8,
-    /// Version of the adapter that is meant.
+    /// Adapter version that the server must hold; any if absent.
     pub version: Option<u64>,
-    /// Client account on whose behalf it runs.
+    /// Client account on whose behalf the request runs.
     pub account: Option<&'a str>,
-    /// Where it goes on, if it was begun by another server.
+    /// Where to resume a run that another server began.
     pub resumption: Option<Resumption<'a>>,
 }
 
-/// Where a run goes on that was handed over.
+/// The point at which a server resumes a run that was handed over.
 #[derive(Debug, Clone, Copy)]
 pub struct Resumption<'a> {
-    /// Names the copy and the server that made it.
+    /// Identifies the copy of the run's state and the server that made it.
     pub copy_source: &'a str,
-    /// The last event that the caller has.
+    /// Id of the last event that was sent to the caller.
     pub last_event_id: u64,
 }
 
-/// The headers of a request to a server.
+/// Builds the headers of a request to a server from those of the caller.
 pub fn for_server(caller: &HeaderMap, names: &HeaderNames, set: &ServerHeaders<'_>) -> HeaderMap {
     let mut headers = caller.clone();
     drop_hop_headers(&mut headers);
@@ -67,7 +67,7 @@
     headers
 }
 
-/// Takes off what concerns one connection only.
+/// Removes the hop-by-hop headers, including those listed in `Connection`.
 pub fn drop_hop_headers(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(CONNECTION)
@@ -92,7 +92,7 @@
     }
 }
 
-/// Whether the server keeps the connection after this answer.
+/// Whether the server keeps the connection open after this answer.
 pub fn keeps_connection(headers: &HeaderMap) -> bool {
     !headers
         .get_all(CONNECTION)
@@ -102,8 +102,8 @@
         .any(|word| word.trim().eq_ignore_ascii_case("close"))
 }
 
-/// The rest that the server allows the connection.
-pub fn allowed_rest(headers: &HeaderMap) -> Option<Duration> {
+/// The idle time-out of the connection, from the server's `Keep-Alive` header.
+pub fn keep_alive_timeout(headers: &HeaderMap) -> Option<Duration> {
     let value = headers.get(KEEP_ALIVE)?.to_str().ok()?;
     let seconds = value
         .split(',')
--- a/crates/tinbay-gateway/src/front/hedge.rs
+++ b/crates/tinbay-gateway/src/front/hedge.rs
@@ -1,5 +1,5 @@
-//! Sends a request that may be repeated to a second server where the first one is late, and takes
-//! the answer that begins first; the other send ends with its connection.
+//! Hedged requests: sends a repeatable request to a second server when the first is slow, and uses
+//! the answer that begins first. The other send is cancelled by closing its connection.
 
 use std::pin::{Pin, pin};
 use std::rc::Rc;
@@ -23,44 +23,44 @@
 
 /// A send that is about to be made.
 pub struct Outgoing {
-    /// To which server.
+    /// The server to send to.
     pub server: Rc<Server>,
     /// The caller's body.
     pub body: RequestBody,
-    /// Leave to send it.
+    /// Permit under the server's rate limit.
     pub permit: Permit,
 }
 
-/// What came of a request at one server, or at two.
+/// The outcome of a request that was sent to one server or two.
 pub struct Sent {
-    /// The server that the result is of.
+    /// The server that gave the result.
     pub server: Rc<Server>,
-    /// When it was sent there.
+    /// When the request was sent to that server.
     pub sent_ms: Millis,
-    /// The result.
+    /// The result of the decisive send.
     pub result: AttemptResult,
-    /// The other server, where that one failed before.
+    /// The other send, if it failed before.
     pub failed: Option<FailedSend>,
 }
 
-/// One of two sends that failed before the other one ended.
+/// The one of two sends that failed before the other ended.
 pub struct FailedSend {
-    /// To which server.
+    /// The server that failed.
     pub server: Rc<Server>,
-    /// How it ended.
+    /// Whether the request may have run there.
     pub end: AttemptEnd,
 }
 
-/// What a request's sends before this one leave to it.
+/// Limits on a hedged send that follow from earlier attempts.
 #[derive(Debug, Clone, Copy)]
 pub struct HedgeTerms<'a> {
-    /// Servers that it was sent to before.
+    /// Ids of the servers already tried.
     pub tried: &'a [String],
-    /// Servers that it may be sent to beyond the first of these.
+    /// Further sends allowed after the first of this attempt.
     pub sends_left: u32,
 }
 
-/// What became of a second send.
+/// Outcome of a hedged send.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum HedgeOutcome {
     FirstWon,
@@ -99,7 +99,7 @@
     outcome: &'static str,
 }
 
-/// One of two sends, as it ended.
+/// A finished send.
 struct Ended {
     server: Rc<Server>,
     sent_ms: Millis,
@@ -123,7 +123,7 @@
         }
     }
 
-    /// Whether it is an answer for the caller, so that the other one need not be awaited.
+    /// Whether the result can be passed to the caller without waiting for the other send.
     fn is_answer(&self) -> bool {
         match &self.result {
             AttemptResult::Begun(answer) => !answer.response.status().is_server_error(),
@@ -146,8 +146,8 @@
     }
 }
 
-/// Sends a request by `send_to`, which is told how many sends of it are under way; to a second
-/// server as well where that is allowed and the first one is late.
+/// Sends a request, and sends it to a second server too if that is allowed and the first is slow.
+/// `send_to` is given the number of sends already in flight.
 pub async fn send(
     node: &Node,
     question: &Question,
@@ -177,8 +177,8 @@
     let second_sending = pin!(end_of(node, second, 1, &send_to));
     let (sent, outcome) = race(sending, second_sending).await;
     if outcome == HedgeOutcome::SecondWon && sent.failed.is_none() {
-        // The first one is not awaited any more: it is noted with the slow ones, or all that is slow
-        // would vanish from what is known of answer times.
+        // The first send is cancelled, so its elapsed time is recorded instead: otherwise slow
+        // answers would be missing from the recorded times.
         server.note_answer_time(after_ms as f64, node.now_ms());
     }
     count(node, outcome);
@@ -209,7 +209,7 @@
     }
 }
 
-/// The first of two sends that is an answer, or the last one to fail.
+/// Returns the first of two sends with an answer, or the last to fail.
 async fn race(
     mut first: Pin<&mut impl Future<Output = Ended>>,
     mut second: Pin<&mut impl Future<Output = Ended>>,
@@ -232,8 +232,9 @@
     (other.after(failed), outcome)
 }
 
-/// Wait after which a second server gets the request too. One that names a limit is not hurried: it
-/// is in need, and so may the others be.
+/// Time after which the request is sent to a second server; `None` if it is not hedged. A server
+/// that announces a rate limit is overloaded, and the others may be too, so its requests are not
+/// hedged.
 fn after_ms(
     node: &Node,
     question: &Question,
@@ -241,7 +242,7 @@
     first: &Server,
 ) -> Option<Millis> {
     let case = HedgeCase {
-        // A stream that may be resumed is read from one server at a time.
+        // Resumable streams may be repeated, but are relayed from one server at a time.
         is_repeatable: question.route.kind == RouteKind::Safe,
         is_plain: question.model.is_none(),
         sends_left: terms.sends_left,
@@ -253,7 +254,7 @@
     hedge_after_ms(&case, &first.service().times.borrow())
 }
 
-/// The second send, if there is a server for it and the budget holds one.
+/// Prepares the second send, if a server can take it and the retry budget allows it.
 async fn second_send(
     node: &Node,
     question: &Question,
--- a/crates/tinbay-gateway/src/front/listener.rs
+++ b/crates/tinbay-gateway/src/front/listener.rs
@@ -1,4 +1,4 @@
-//! Takes callers' connections.
+//! Accepts callers' connections and serves their requests.
 
 use std::convert::Infallible;
 use std::rc::Rc;
@@ -29,45 +29,47 @@
 use crate::latch::Latch;
 use crate::node::Node;
 
-/// Shortest read buffer that hyper takes.
-const LEAST_BUFFER_BYTES: usize = 8_192;
+/// Smallest read buffer that hyper accepts.
+const MIN_BUFFER_BYTES: usize = 8_192;
 
-/// Rest after which a caller's connection is probed: those that went silent are let go long
-/// before the longest rest that callers are allowed.
-const PROBED_REST: Duration = Duration::from_secs(3);
+/// Idle time after which a caller's connection is probed by TCP keep-alive, so that dead
+/// connections are closed long before the idle time-out.
+const PROBE_AFTER_IDLE: Duration = Duration::from_secs(3);
 
-/// When a caller should come back whose time was up: by then others may have been served.
+/// `Retry-After` of a request whose deadline passed before it was sent; until then the queue may
+/// have shortened.
 const RETRY_AFTER_TIME_UP_MS: Millis = 1_000;
 
-/// Counts a caller's connection while it lives.
-struct Open(Rc<Node>);
+/// Counts a caller's connection while it is open.
+struct OpenConnection(Rc<Node>);
 
-impl Open {
+impl OpenConnection {
     fn begin(node: &Rc<Node>) -> Self {
         node.connections.set(node.connections.get() + 1);
         Self(Rc::clone(node))
     }
 }
 
-impl Drop for Open {
+impl Drop for OpenConnection {
     fn drop(&mut self) {
         self.0.connections.set(self.0.connections.get() - 1);
     }
 }
 
-/// A caller's connection, as its requests see it.
+/// What the requests of a caller's connection share.
 struct CallerConnection {
     number: ConnectionNumber,
-    /// Set when it has to end, whatever it is doing.
+    /// Set to close the connection at once, even during an answer.
     end: Rc<Latch>,
 }
 
-/// Takes callers' connections until the box closes.
+/// Accepts callers' connections until the box closes.
 pub async fn listen(node: Rc<Node>, listener: TcpListener) {
     bound_unsent(&listener);
     loop {
-        // The end goes first, and what is accepted counts at once: a box that finds no connection
-        // open ends, and one it took after that lost its request though its server ran it.
+        // `closing` is polled first, and an accepted connection is counted at once, because the box
+        // exits when it counts no open connection. Otherwise a connection accepted after that count
+        // loses its request although a server runs it.
         let accepted = tokio::select! {
             biased;
             () = node.closing.wait() => return,
@@ -76,8 +78,8 @@
         match accepted {
             Ok((stream, _)) => {
                 let _ = stream.set_nodelay(true);
-                end_when_silent(&stream, PROBED_REST);
-                let open = Open::begin(&node);
+                end_when_silent(&stream, PROBE_AFTER_IDLE);
+                let open = OpenConnection::begin(&node);
                 tokio::task::spawn_local(serve(Rc::clone(&node), stream, open));
             }
             Err(_) => tokio::time::sleep(Duration::from_millis(10)).await,
@@ -85,7 +87,7 @@
     }
 }
 
-async fn serve(node: Rc<Node>, stream: TcpStream, _open: Open) {
+async fn serve(node: Rc<Node>, stream: TcpStream, _open: OpenConnection) {
     let limits = node.limits();
     let caller = Rc::new(CallerConnection {
         number: node.memory.number_connection(),
@@ -99,7 +101,7 @@
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
         .header_read_timeout(Duration::from_millis(limits.idle_timeout_ms))
-        .max_buf_size(limits.head_bytes.max(LEAST_BUFFER_BYTES))
+        .max_buf_size(limits.head_bytes.max(MIN_BUFFER_BYTES))
         .serve_connection(TokioIo::new(stream), service);
     let mut connection = std::pin::pin!(connection);
     tokio::select! {
@@ -124,8 +126,8 @@
     let mut response = match Question::read(&node, parts, arrived_ms, draw, caller.number) {
         Ok(question) => {
             let question = Rc::new(question);
-            let response = take(&node, Rc::clone(&question), body).await;
-            watch(&node, question, &caller, response)
+            let response = process(&node, Rc::clone(&question), body).await;
+            watch_reading(&node, question, &caller, response)
         }
         Err(refusal) => {
             log_refusal(refusal);
@@ -139,8 +141,8 @@
     Ok(response)
 }
 
-/// Has an answer of a server watched while its caller reads it.
-fn watch(
+/// Wraps a relayed answer so that it is cut off if its caller reads too slowly.
+fn watch_reading(
     node: &Node,
     question: Rc<Question>,
     caller: &CallerConnection,
@@ -164,7 +166,8 @@
     })
 }
 
-async fn take(node: &Rc<Node>, question: Rc<Question>, body: Incoming) -> Response<AnswerBody> {
+/// Processes a routed request within its deadline.
+async fn process(node: &Rc<Node>, question: Rc<Question>, body: Incoming) -> Response<AnswerBody> {
     let left = Duration::from_millis(question.time_up_ms - question.arrived_ms);
     let passing = filters::pass(node, &question, body);
     let result = match tokio::time::timeout(left, passing).await {
@@ -193,6 +196,7 @@
     }
 }
 
+/// Logs the refusal of a request that has no route.
 fn log_refusal(refusal: Refusal) {
     #[derive(serde::Serialize)]
     struct RefusedEvent {
--- a/crates/tinbay-gateway/src/front/mod.rs
+++ b/crates/tinbay-gateway/src/front/mod.rs
@@ -1,8 +1,7 @@
-//! Takes callers' requests and brings them their answers.
+//! Accepts callers' requests, proxies them to servers and relays the answers.
 
 pub mod adapters;
-pub mod answer_sight;
-mod apart;
+pub mod answer_timing;
 pub mod attempt;
 pub mod choice;
 pub mod deliver;
@@ -12,6 +11,7 @@
 pub mod listener;
 pub mod moving;
 pub mod question;
+mod reader_choice;
 pub mod refusal;
 pub mod request_log;
 pub mod room;
--- a/crates/tinbay-gateway/src/front/moving/mod.rs
+++ b/crates/tinbay-gateway/src/front/moving/mod.rs
@@ -1,4 +1,4 @@
-//! Hands runs of this box's requests over to other servers.
+//! Hands over the runs of this box's requests from one server to another.
 
 mod mover;
 mod successor;
@@ -29,7 +29,8 @@
 use crate::node::Node;
 use crate::servers::{RunningRequest, Server};
 
-/// What may go on with an answer that has begun; none where it stays with its server.
+/// The handover of an answer that has begun; `None` if its run stays where it is. Only a stream
+/// from a reader is handed over, and only if its length is not known in advance.
 pub fn successor(
     node: &Rc<Node>,
     question: &Rc<Question>,
@@ -53,7 +54,7 @@
     Some(Box::new(RunSuccessor::new(mover)))
 }
 
-/// Has the server that will go on with a run load its adapter while another one reads the prompt.
+/// Has the server that will continue a run load the adapter while the reader prefills the prompt.
 pub fn prepare(node: &Node, question: &Question, reader: &Server) {
     let is_reader = node.splits.is_reader(&node.servers, reader, node.now_ms());
     if !is_reader || question.route.kind != RouteKind::Streaming {
@@ -73,7 +74,8 @@
     }
 }
 
-/// Notes a stream that has ended, by which it is judged whether engines should read for others.
+/// Records a stream that ended where it began. Whether the engines of its service are split into
+/// readers and homes depends on how many streams paused for too long.
 pub fn note_stream(
     node: &Node,
     question: &Question,
@@ -95,7 +97,8 @@
     }
 }
 
-/// Whether runs of a service may move: its engines offer it, and its adapters have places enough.
+/// Whether runs of a service may be handed over: its engines support it, and have enough places to
+/// hold each adapter on two of them.
 fn moves_runs(node: &Node, service: &str) -> bool {
     let Some(engine) = node.engine_spec(service).filter(|engine| engine.moves_runs) else {
         return false;
--- a/crates/tinbay-gateway/src/front/moving/mover.rs
+++ b/crates/tinbay-gateway/src/front/moving/mover.rs
@@ -1,4 +1,4 @@
-//! Moves one run between servers, by calls to them.
+//! Performs the calls to servers that hand over one run.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -21,7 +21,7 @@
 use crate::front::deliver::{held_version, most_open};
 use crate::front::headers::{self, Resumption, ServerHeaders};
 use crate::front::question::{Handover, Question};
-use crate::handover::drive::{Doing, Outcome, Resumed, RunMover};
+use crate::handover::drive::{LocalFuture, Outcome, Resumed, RunMover};
 use crate::http::body::RequestBody;
 use crate::http::call::{CallError, Reply};
 use crate::http::pool::Trust;
@@ -31,22 +31,22 @@
 use crate::node::Node;
 use crate::servers::{RunningRequest, Server};
 
-/// Longest time for which a run waits for a server that can go on with it.
-const LONGEST_SEARCH_MS: Millis = 1_500;
+/// Longest search for a server that can continue a run.
+const MAX_SEARCH_MS: Millis = 1_500;
 
-/// Pause between looks for one.
+/// Longest interval between two attempts to choose that server.
 const LOOK_PAUSE: Duration = Duration::from_millis(100);
 
-/// Longest time of a copy; most take some tens of milliseconds.
+/// Time-out of the call that copies a run; most copies take some tens of milliseconds.
 const MOVE_WITHIN: Duration = Duration::from_millis(1_000);
 
-/// Longest time until a server goes on.
+/// Time-out until a server resumes the stream.
 const RESUME_WITHIN: Duration = Duration::from_millis(1_500);
 
-/// Longest time of the call that frees a copy.
+/// Time-out of the call that frees a copy.
 const FREE_WITHIN: Duration = Duration::from_millis(500);
 
-/// Moves one run.
+/// Hands over one run by calls to its servers.
 pub struct NodeMover {
     node: Rc<Node>,
     question: Rc<Question>,
@@ -54,13 +54,13 @@
     body: RequestBody,
     source: Rc<Server>,
     target: RefCell<Option<Rc<Server>>>,
-    /// Version of the adapter at the source.
+    /// Version of the adapter on the source; 0 if unknown.
     version: u64,
     begun_ms: Cell<Millis>,
 }
 
 impl NodeMover {
-    /// A mover of the run of a request.
+    /// Creates a mover for the run of a request.
     pub fn new(
         node: &Rc<Node>,
         question: &Rc<Question>,
@@ -82,11 +82,13 @@
     }
 
     async fn search(&self) -> bool {
-        let end_ms = self.node.now_ms() + LONGEST_SEARCH_MS;
+        let end_ms = self.node.now_ms() + MAX_SEARCH_MS;
         let mut asked = Asked::default();
         while self.node.now_ms() < end_ms {
             match target::choose(&self.node, &self.question, &asked, self.version) {
-                Target::At { server, .. } if adapters::is_to_ask(&self.node, &server, &asked) => {
+                Target::At { server, .. }
+                    if adapters::needs_status(&self.node, &server, &asked) =>
+                {
                     adapters::refresh_status(&self.node, &server, &mut asked).await;
                 }
                 Target::At { server, .. } => {
@@ -127,14 +129,15 @@
         let most_open = most_open(&self.node, &self.question);
         let pool = Rc::clone(&self.source.pool);
         let node = Rc::clone(&self.node);
-        let freeing = self.freeing();
+        let copies = self.source_copies();
         let (sender, receiver) = oneshot::channel();
-        // The caller may leave before the answer is there: whoever reads it has to free the copy then.
+        // The caller may leave before the reply arrives, so the call runs in a task of its own.
+        // `CopiedRun` frees the copy if nobody takes the reply.
         tokio::task::spawn_local(async move {
             let reply = call_pooled(&pool, most_open, request, MOVE_WITHIN).await;
             let copied = CopiedRun {
                 answer: Some(read_move(&node, reply)),
-                freeing,
+                copies,
             };
             let _ = sender.send(copied);
         });
@@ -144,9 +147,8 @@
         }
     }
 
-    /// What frees a copy at the source.
-    fn freeing(&self) -> Freeing {
-        Freeing {
+    fn source_copies(&self) -> SourceCopies {
+        SourceCopies {
             node: Rc::clone(&self.node),
             question: Rc::clone(&self.question),
             source: Rc::clone(&self.source),
@@ -159,10 +161,10 @@
             Place::Target => self.target.borrow().clone(),
         };
         let (Some(server), Some(body)) = (server, self.body.repeat()) else {
-            return Resumed::Not;
+            return Resumed::Declined;
         };
         let Some(permit) = permits::take(&self.node, &server).await else {
-            return Resumed::Not;
+            return Resumed::Declined;
         };
         let source = self.source.record().address;
         let copy_source = self.node.dialect.encode_copy_source(source, handle);
@@ -193,11 +195,11 @@
             AttemptResult::Begun(answer) if answer.response.status() == StatusCode::OK => {
                 *self.running.borrow_mut() = answer.running;
                 let (parts, incoming) = answer.response.into_parts();
-                Resumed::Goes(ContinuedAnswer {
+                Resumed::Answering(ContinuedAnswer {
                     incoming,
                     connection: answer.connection,
                     pool: Rc::clone(&server.pool),
-                    rest: headers::allowed_rest(&parts.headers),
+                    rest: headers::keep_alive_timeout(&parts.headers),
                     may_keep: headers::keeps_connection(&parts.headers),
                 })
             }
@@ -205,11 +207,11 @@
             AttemptResult::Declined { .. }
             | AttemptResult::Displaced
             | AttemptResult::Withdrawn { .. }
-            | AttemptResult::NotSent { .. } => Resumed::Not,
+            | AttemptResult::NotSent { .. } => Resumed::Declined,
         }
     }
 
-    /// Notes how it ended.
+    /// Records the outcome on the request, in the metrics and in the log.
     pub fn note_outcome(&self, outcome: &Outcome<ContinuedAnswer>) {
         let handover = match outcome {
             Outcome::Stays => Handover::Stayed,
@@ -255,11 +257,11 @@
 impl RunMover for NodeMover {
     type Answer = ContinuedAnswer;
 
-    fn find_target(&self) -> Doing<'_, bool> {
+    fn find_target(&self) -> LocalFuture<'_, bool> {
         Box::pin(self.search())
     }
 
-    fn ask_move(&self) -> Doing<'_, MoveAnswer> {
+    fn ask_move(&self) -> LocalFuture<'_, MoveAnswer> {
         Box::pin(self.move_run())
     }
 
@@ -268,23 +270,23 @@
         at: Place,
         handle: &'a str,
         last_id: u64,
-    ) -> Doing<'a, Resumed<ContinuedAnswer>> {
+    ) -> LocalFuture<'a, Resumed<ContinuedAnswer>> {
         Box::pin(self.resume_at(at, handle, last_id))
     }
 
     fn free(&self, handle: &str) {
-        self.freeing().free(handle);
+        self.source_copies().free(handle);
     }
 }
 
-/// Frees copies at the server that made them.
-struct Freeing {
+/// Frees copies on the server that made them.
+struct SourceCopies {
     node: Rc<Node>,
     question: Rc<Question>,
     source: Rc<Server>,
 }
 
-impl Freeing {
+impl SourceCopies {
     fn free(&self, handle: &str) {
         let path = self.node.dialect.copy_path(handle);
         let request = call_to(
@@ -296,17 +298,17 @@
         );
         let pool = Rc::clone(&self.source.pool);
         let most_open = most_open(&self.node, &self.question);
-        // Servers free it by themselves where this call is lost.
+        // If this call fails, the server frees the copy by itself after a while.
         tokio::task::spawn_local(async move {
             let _ = call_pooled(&pool, most_open, request, FREE_WITHIN).await;
         });
     }
 }
 
-/// The answer to a move; a copy that nobody takes on is freed.
+/// The answer to a move request. If it is dropped before it is taken, the copy is freed.
 struct CopiedRun {
     answer: Option<MoveAnswer>,
-    freeing: Freeing,
+    copies: SourceCopies,
 }
 
 impl CopiedRun {
@@ -319,7 +321,7 @@
     fn drop(&mut self) {
         let handle = self.answer.as_ref().and_then(MoveAnswer::handle);
         if let Some(handle) = handle {
-            self.freeing.free(handle);
+            self.copies.free(handle);
         }
     }
 }
@@ -338,7 +340,7 @@
     }
 }
 
-/// A call to a server that concerns a run there.
+/// Builds a call to a server about a run.
 fn call_to(
     node: &Node,
     server: &Server,
--- a/crates/tinbay-gateway/src/front/moving/successor.rs
+++ b/crates/tinbay-gateway/src/front/moving/successor.rs
@@ -1,4 +1,4 @@
-//! A hand-over beside the answer that it concerns.
+//! A handover that runs while its answer is relayed.
 
 use std::pin::Pin;
 use std::rc::Rc;
@@ -8,48 +8,49 @@
 
 use super::mover::NodeMover;
 use crate::handover::drive::{Outcome, drive};
-use crate::handover::passage::Passage;
+use crate::handover::event_gate::EventGate;
 use crate::http::relay::{ContinuedAnswer, Successor};
 
-/// A hand-over beside the answer that it concerns; dropped, it frees what it holds at servers.
+/// A handover that is polled together with the answer that it concerns. When dropped, it frees the
+/// copies on servers.
 pub struct RunSuccessor {
-    passage: Rc<Passage>,
-    course: Pin<Box<dyn Future<Output = Outcome<ContinuedAnswer>>>>,
+    gate: Rc<EventGate>,
+    handover: Pin<Box<dyn Future<Output = Outcome<ContinuedAnswer>>>>,
 }
 
 impl RunSuccessor {
-    /// A hand-over that has not begun.
+    /// Creates a handover; it starts when it is first polled.
     pub fn new(mover: NodeMover) -> Self {
-        let passage = Rc::new(Passage::default());
-        let course = {
-            let passage = Rc::clone(&passage);
+        let gate = Rc::new(EventGate::default());
+        let handover = {
+            let gate = Rc::clone(&gate);
             async move {
-                let outcome = drive(&mover, &passage).await;
+                let outcome = drive(&mover, &gate).await;
                 mover.note_outcome(&outcome);
                 outcome
             }
         };
         Self {
-            passage,
-            course: Box::pin(course),
+            gate,
+            handover: Box::pin(handover),
         }
     }
 }
 
 impl Successor for RunSuccessor {
     fn pass(&self, bytes: Bytes) -> Bytes {
-        self.passage.pass(bytes)
+        self.gate.pass(bytes)
     }
 
     fn poll_outcome(&mut self, context: &mut Context<'_>) -> Poll<Outcome<ContinuedAnswer>> {
-        self.course.as_mut().poll(context)
+        self.handover.as_mut().poll(context)
     }
 
     fn note_broken_off(&self) -> bool {
-        self.passage.note_broken_off()
+        self.gate.note_broken_off()
     }
 
     fn open(&self) -> Bytes {
-        self.passage.open()
+        self.gate.open()
     }
 }
--- a/crates/tinbay-gateway/src/front/moving/target.rs
+++ b/crates/tinbay-gateway/src/front/moving/target.rs
@@ -1,4 +1,4 @@
-//! Chooses the server that goes on with a run.
+//! Chooses the server that continues a run after a handover.
 
 use std::rc::Rc;
 
@@ -9,22 +9,23 @@
 use crate::node::Node;
 use crate::servers::Server;
 
-/// Where a run should go on.
+/// Where a run should be continued.
 pub enum Target {
-    /// There.
+    /// On a server that can take it now.
     At {
-        /// The server.
+        /// The server that can take it.
         server: Rc<Server>,
-        /// A server that should load the adapter as well.
+        /// Another server that should load the adapter too.
         copy: Option<Rc<Server>>,
     },
-    /// There, once it holds the adapter.
+    /// On a server that first has to load the adapter.
     Later(Rc<Server>),
-    /// Nowhere now.
+    /// On no server for now.
     Nowhere,
 }
 
-/// The server that should go on with a run; `version` is that of its adapter at the source.
+/// Chooses the server that should continue a run; `version` is the adapter version on the source,
+/// which the target must hold too.
 pub fn choose(node: &Node, question: &Question, asked: &Asked, version: u64) -> Target {
     let now_ms = node.now_ms();
     let ready = node.servers.borrow().ready(&question.service);
@@ -62,7 +63,7 @@
     }
 }
 
-/// Whether a server has a place for a run, and takes it without leave.
+/// Whether a server has a free slot for a run and requires no permit.
 fn is_fit(node: &Node, server: &Server) -> bool {
     server.limit_per_s().is_none() && node.running(server) < server.record().slots
 }
@@ -75,7 +76,7 @@
         .is_some_and(|entry| entry.state == HeldState::Ready && entry.version == version)
 }
 
-/// The key of a request's adapter; none where it names a base model alone.
+/// The key of a request's adapter; `None` if the request names only a base model.
 pub fn adapter_of(question: &Question) -> Option<AdapterKey> {
     let model = question.model.as_deref()?;
     model.contains('/').then_some(question.model_key).flatten()
--- a/crates/tinbay-gateway/src/front/question.rs
+++ b/crates/tinbay-gateway/src/front/question.rs
@@ -1,4 +1,4 @@
-//! A caller's request with all that decides its way.
+//! A caller's request with its route and the state of its processing.
 
 use std::cell::{Cell, OnceCell};
 use std::rc::Rc;
@@ -23,59 +23,59 @@
 use crate::node::{InForce, Node};
 use crate::sharing::taken::RoomTaken;
 
-/// Time a caller is taken to wait where it names none.
+/// Deadline of a request that specifies none.
 const DEFAULT_DEADLINE_MS: Millis = 30_000;
 
-/// How a request was sent to a server, and what that was decided by.
+/// How a request was last sent to a server, and the version information this was based on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LastSend {
-    /// Time from the request's arrival.
+    /// Time from the request's arrival to the send.
     pub after_ms: Millis,
-    /// Version of the adapter the server must have; any one does where none is given.
+    /// Adapter version that the server must hold; any if absent.
     pub expected_version: Option<u64>,
-    /// When the request's time is up at the server.
+    /// Deadline given to the server.
     pub time_up_ms: Millis,
-    /// Version the operators had named last, as this box knew it.
+    /// Current version according to the operators, as known to this box.
     pub named_version: Option<u64>,
-    /// How long this box had known that version; none where it was there when the box came.
+    /// How long this box had known that version; absent if it was set before the box started.
     pub named_age_ms: Option<Millis>,
 }
 
-/// The client account of a request, and what that was decided by.
+/// The client account of a request, and how old the data was that it was determined from.
 #[derive(Debug, Clone)]
 pub struct ShownAccount {
-    /// The account; none where the request needs none.
+    /// The account; absent if the request needs none or was refused.
     pub account: Option<Rc<Account>>,
-    /// How long ago the accounts were certainly all there are.
+    /// Time since this box's list of accounts was last certain to be current.
     pub proof_age_ms: Millis,
 }
 
-/// What a request counted against the limit of its client account.
+/// Units that a request consumed of its client account's limit.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct AdmittedUnits {
-    /// Requests or tokens.
+    /// Requests or tokens, by the unit of the limit.
     pub units: f64,
-    /// What let it in.
+    /// What admitted the request.
     pub by: AdmittedBy,
 }
 
-/// How the run of a request was handed over.
+/// Progress or outcome of the handover of a run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Handover {
-    /// The server that reads it is asked to stop it.
+    /// The source was asked to stop the run and copy it.
     Begun,
-    /// It stayed where it was.
+    /// The run stayed on the source.
     Stayed,
-    /// Another server goes on with it.
+    /// Another server continues the run.
     Moved,
-    /// The server that began it went on, as the other one did not.
+    /// The source resumed the run, as the target did not.
     TakenBack,
-    /// Nobody went on with it.
+    /// No server is known to continue the run.
     Lost,
 }
 
 impl Handover {
-    /// Name for logs and measures.
+    /// Name for logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             Handover::Begun => "begun",
@@ -87,58 +87,58 @@
     }
 }
 
-/// A caller's request with all that decides its way.
+/// A caller's request with its route and the state of its processing.
 #[derive(Debug)]
 pub struct Question {
-    /// Id of the caller's try.
+    /// Id that the caller gave to this attempt of its request.
     pub id: String,
-    /// Method, path, query and headers as they came, but for the key.
+    /// Method, path, query and headers as received, without the API key.
     pub parts: Parts,
-    /// What it has in common with others that are the same, once its body is read.
+    /// Digest by which identical requests are recognized; set once the body is read.
     pub digest: OnceCell<RequestDigest>,
-    /// The key it shows, as a digest.
+    /// Digest of the API key.
     pub key: ShownKey,
-    /// Its client account, once that is decided.
+    /// The client account; set once the key is checked.
     pub account: OnceCell<ShownAccount>,
-    /// What it counted against its account's limit; nothing where that does not bind.
+    /// Units consumed of the account's limit; absent if no limit applies.
     pub admitted: Cell<Option<AdmittedUnits>>,
-    /// When the pieces of its answer came; nothing before its end.
+    /// Times of the answer's chunks; empty until the answer has ended.
     pub sight: Cell<StreamSight>,
-    /// How its run was handed over to another server; nothing where that was not begun.
+    /// State of the run's handover; absent if none was started.
     pub handover: Cell<Option<Handover>>,
-    /// Servers that were passed over as their limits had no room.
+    /// Number of servers passed over because they were at their rate limit.
     pub at_limits: Cell<u32>,
-    /// What it was told of room at servers.
+    /// Results of asking holders for room on overloaded servers.
     pub room: RoomTaken,
-    /// The caller's connection.
+    /// Identifies the caller's connection in the memory accounting.
     pub connection: ConnectionNumber,
-    /// The route.
+    /// The route that matches host and path.
     pub route: Rc<Route>,
-    /// The service chosen among the route's.
+    /// The service drawn from those of the route.
     pub service: String,
-    /// The configuration that gave the route.
+    /// The configuration that contains the route.
     pub in_force: Rc<InForce>,
-    /// The adapter asked for as `model/name`, or the model alone.
+    /// The requested adapter as `model/name`, or a base model alone.
     pub model: Option<String>,
-    /// The key of what it asks for.
+    /// Key of the requested adapter or model.
     pub model_key: Option<AdapterKey>,
-    /// What it has an engine read.
+    /// Size and prefixes of the prompt, as declared in the headers.
     pub prompt: Prompt,
-    /// When the request came.
+    /// When the request arrived.
     pub arrived_ms: Millis,
-    /// How it was last sent; none was sent where it is not set.
+    /// How the request was last sent; absent if it was never sent.
     pub last_send: Cell<Option<LastSend>>,
-    /// When its time is up: the caller's deadline or the route's time-out.
+    /// The earlier of the caller's deadline and the route's time-out.
     pub time_up_ms: Millis,
-    /// When its caller leaves if nothing has come.
+    /// When the caller is expected to give up if no chunk of the answer has arrived.
     pub first_piece_by_ms: Millis,
 }
 
 impl Question {
-    /// Reads a request's head and finds its route.
+    /// Parses a request's head and finds its route. `draw`, from 0 to 1, selects the service.
     ///
     /// # Errors
-    /// What the caller is told where there is no way.
+    /// When there is no configuration, route or request id.
     pub fn read(
         node: &Node,
         mut parts: Parts,
@@ -197,17 +197,17 @@
         })
     }
 
-    /// The version of its adapter that the operators named last.
+    /// The adapter's current version according to the operators.
     pub fn named_version(&self, node: &Node) -> Option<u64> {
         node.named_version(self.model.as_deref()?)
     }
 
-    /// Its client account, if it has one.
+    /// The client account; `None` if there is none or the key is not checked yet.
     pub fn client_account(&self) -> Option<&Rc<Account>> {
         self.account.get()?.account.as_ref()
     }
 
-    /// For whom its bytes are held.
+    /// The account and connection that its memory is accounted to.
     pub fn holder(&self) -> Holder {
         let account = self.client_account();
         Holder {
@@ -216,8 +216,7 @@
         }
     }
 
-    /// Notes its body, or the first part of a long one: with it, requests that are the same one
-    /// can be told.
+    /// Computes the digest of the request from its body, or from the first part of a long one.
     pub fn note_body(&self, body: &[u8]) {
         let account = self.client_account().map(|account| &*account.name);
         let path = self.parts.uri.path_and_query();
@@ -226,13 +225,13 @@
         let _ = self.digest.set(digest);
     }
 
-    /// Its rank at its server, 0 first.
+    /// Rank in the server's queue, 0 first.
     pub fn rank(&self) -> u8 {
         let account = self.client_account().map(|account| account.priority);
         self.in_force.ranks.rank(account, self.route.priority)
     }
 
-    /// Notes that a server was passed over as its limit had no room.
+    /// Counts a server that was passed over because it was at its rate limit.
     pub fn note_at_limit(&self) {
         self.at_limits.set(self.at_limits.get() + 1);
     }
@@ -246,7 +245,7 @@
         }
     }
 
-    /// The kind of its route, for logs and measures.
+    /// The kind of the route, for logs and metrics.
     pub fn kind(&self) -> &'static str {
         match (self.route.kind, self.route.resumable) {
             (RouteKind::Safe, _) => "safe",
@@ -267,7 +266,8 @@
     }
 }
 
-/// Takes the key off a request, so that it is not kept; given twice it is none.
+/// Removes the API key from the headers, so that it is neither kept nor forwarded, and returns its
+/// digest. A key that is given twice counts as none.
 fn take_key(headers: &mut HeaderMap, name: &HeaderName) -> ShownKey {
     let given = headers.get_all(name).iter().count();
     let Some(key) = headers.remove(name) else {
@@ -279,7 +279,7 @@
     }
 }
 
-/// A header's text.
+/// The value of a header, if it is valid text.
 pub fn text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Option<&'a str> {
     headers.get(name)?.to_str().ok()
 }
--- a/crates/tinbay-gateway/src/front/apart.rs
+++ b/crates/tinbay-gateway/src/front/reader_choice.rs
@@ -1,21 +1,22 @@
-//! Chooses the server for a prompt where some engines read for others.
+//! Chooses the server for a prompt when the engines of a service are split into readers, which
+//! prefill prompts for the others, and homes, which decode.
 //!
-//! A prompt goes to an engine that reads for others, and its run moves on to its home. One that is short
-//! enough to be read beside running streams goes home at once.
+//! A prompt goes to a reader, and its run is handed over to its home after the first event. A
+//! prompt short enough not to stall the streams of its home goes there directly.
 
 use std::rc::Rc;
 
 use tinbay_core::handover::reading_room::reads_beside;
 use tinbay_core::serving::homes::Pick;
 
-use super::adapters::is_to_ask;
+use super::adapters::needs_status;
 use super::choice::{Asked, Choice, Survey};
 use super::question::Question;
 use crate::handover::split::Split;
 use crate::node::Node;
 use crate::servers::Server;
 
-/// Where a request for an adapter should run.
+/// Chooses the server for a request that names an adapter.
 pub fn choose_for_adapter(
     node: &Node,
     question: &Question,
@@ -35,7 +36,7 @@
     }
 }
 
-/// The home of a request, if its prompt holds up no stream there.
+/// The home of a request, if its prefill stalls no stream there.
 fn choose_home(node: &Node, question: &Question, split: &Split, asked: &Asked) -> Option<Choice> {
     if !reads_beside_streams(node, question, 0.0) {
         return None;
@@ -44,7 +45,7 @@
     let choice = homes.to_choice(homes.pick());
     let is_fine = match &choice {
         Choice::Send { server, .. } => {
-            is_to_ask(node, server, asked)
+            needs_status(node, server, asked)
                 || reads_beside_streams(node, question, node.backlog_ms(server))
         }
         Choice::Load(_) => true,
@@ -53,7 +54,7 @@
     is_fine.then_some(choice)
 }
 
-/// Where a request for a base model alone should run.
+/// Chooses between the least loaded home and reader for a request that names only a base model.
 pub fn choose_for_model(
     node: &Node,
     question: &Question,
@@ -69,7 +70,8 @@
     }
 }
 
-/// Whether a prompt holds up no stream at an engine that has so much to read already.
+/// Whether an engine with a prefill queue of `backlog_ms` can prefill the prompt as well without
+/// pausing its streams for too long.
 fn reads_beside_streams(node: &Node, question: &Question, backlog_ms: f64) -> bool {
     let own_ms = node.reading_ms(&question.service, question.prompt.tokens);
     let pause_ms = question.route.objective_gap_ms;
--- a/crates/tinbay-gateway/src/front/request_log.rs
+++ b/crates/tinbay-gateway/src/front/request_log.rs
@@ -1,11 +1,11 @@
-//! The lines that tell a request's story: one a try, one at its end.
+//! The request log: an event for each attempt and one for the end of a request.
 
 use hyper::StatusCode;
 use log::Level;
 use serde::Serialize;
 use tinbay_core::units::{MS_PER_SECOND, Millis};
 
-use super::answer_sight::{AnswerEnd, AnswerSight};
+use super::answer_timing::{AnswerEnd, AnswerTiming};
 use super::attempt::AttemptResult;
 use super::question::Question;
 use super::refusal::Refusal;
@@ -29,7 +29,7 @@
     named_age_ms: Option<Millis>,
 }
 
-/// Writes the line of one try.
+/// Logs an attempt.
 pub fn log_try(node: &Node, question: &Question, server: &Server, result: &AttemptResult) {
     let cause = match result {
         AttemptResult::Unknown { cause } => Some(cause.name()),
@@ -69,11 +69,11 @@
 
 /// How an answer ended.
 pub enum Ending {
-    /// Whole.
+    /// The server's answer was relayed completely.
     Whole,
-    /// Cut.
+    /// The server's answer was cut off.
     Cut(BodyError),
-    /// An answer of our own.
+    /// The box itself answered.
     Refused(Refusal),
 }
 
@@ -91,16 +91,16 @@
     admitted_by: Option<&'static str>,
     #[serde(skip_serializing_if = "Option::is_none")]
     units: Option<f64>,
-    /// How its run was handed over.
+    /// State of the run's handover.
     #[serde(skip_serializing_if = "Option::is_none")]
     handover: Option<&'static str>,
-    /// Servers passed over as their limits had no room.
+    /// Number of servers passed over because they were at their rate limit.
     #[serde(skip_serializing_if = "Option::is_none")]
     at_limits: Option<u32>,
-    /// What let it in while its server had too little room, or turned it away.
+    /// What admitted or refused the request on an overloaded server.
     #[serde(skip_serializing_if = "Option::is_none")]
     room: Option<&'static str>,
-    /// How long it waited for room.
+    /// Time spent waiting for that decision.
     #[serde(skip_serializing_if = "Option::is_none")]
     room_wait_ms: Option<Millis>,
     model: Option<&'a str>,
@@ -120,11 +120,11 @@
     named_age_ms: Option<Millis>,
     head_ms: Option<Millis>,
     #[serde(flatten)]
-    sight: AnswerSight,
+    timing: AnswerTiming,
     total_ms: Millis,
 }
 
-/// Writes the line that ends a request's story.
+/// Logs the end of a request and records its metrics.
 pub fn log_end(
     node: &Node,
     question: &Question,
@@ -141,7 +141,7 @@
     };
     let sent = question.last_send.get();
     let now_ms = node.now_ms();
-    let sight = AnswerSight::new(question, answer_end(status, ending), now_ms);
+    let timing = AnswerTiming::new(question, answer_end(status, ending), now_ms);
     let is_served = matches!(ending, Ending::Whole);
     let digest = question.digest.get().filter(|_| !is_served);
     let event = EndEvent {
@@ -168,19 +168,19 @@
         named_version: sent.and_then(|sent| sent.named_version),
         named_age_ms: sent.and_then(|sent| sent.named_age_ms),
         head_ms,
-        sight,
+        timing,
         total_ms: now_ms - question.arrived_ms,
     };
-    measure(node, question, outcome, head_ms, &sight);
+    record_metrics(node, question, outcome, head_ms, &timing);
     events::emit(part::FRONT, Level::Info, "request", &event);
 }
 
-fn measure(
+fn record_metrics(
     node: &Node,
     question: &Question,
     outcome: &str,
     head_ms: Option<Millis>,
-    sight: &AnswerSight,
+    timing: &AnswerTiming,
 ) {
     let metrics = &node.metrics;
     let kind = question.kind();
@@ -194,7 +194,7 @@
         let stalls = metrics.stall_seconds.with_label_values(&[kind]);
         stalls.observe(seconds(sent.after_ms));
     }
-    if let Some(answer) = sight.measured(question) {
+    if let Some(answer) = timing.measured(question) {
         metrics.count_answer(answer);
     }
 }
--- a/crates/tinbay-gateway/src/front/room.rs
+++ b/crates/tinbay-gateway/src/front/room.rs
@@ -1,4 +1,4 @@
-//! Takes room for a request at the server that was chosen for it.
+//! Asks for room for a request on an overloaded server, which is shared between client accounts.
 
 use std::rc::Rc;
 
@@ -14,23 +14,24 @@
 use crate::sharing::asking::{self, RoomWish};
 use crate::sharing::links::RoomLinks;
 
-/// Servers whose holders are asked for room for one request: what the second one has no place for either
-/// finds none in time.
-const MOST_ASKED: usize = 2;
+/// Most servers whose holders are asked for room for one request. A request refused by two finds no
+/// room in time on a third.
+const MAX_ASKED: usize = 2;
 
-/// Where there is room for a request.
+/// Where a request finds room.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Room {
-    /// At the server that was chosen.
+    /// On the chosen server.
     Here,
-    /// Not there; another one is to be chosen.
+    /// Possibly on another server, which has to be chosen.
     Elsewhere,
 }
 
-/// Takes room for a request at the server that was chosen for it, where that has too little for all.
+/// Asks for room for a request on the chosen server if that server is overloaded.
 ///
 /// # Errors
-/// When no server has room in time: the request has not run, and its caller is told its turn.
+/// When no server has room in time. The request has not run, and the refusal tells the caller when
+/// its account's turn is.
 pub async fn take(
     node: &Rc<Node>,
     question: &Question,
@@ -52,15 +53,15 @@
         return Ok(Room::Here);
     };
     question.room.note_without(server.key);
-    let may_ask_more = question.room.without_count() < MOST_ASKED;
+    let may_ask_more = question.room.without_count() < MAX_ASKED;
     if may_ask_more && has_other_room(node, question, tried) {
         return Ok(Room::Elsewhere);
     }
     Err(Refusal::NoRoom { retry_after_ms })
 }
 
-/// What a request of a client account asks for; nothing for one without account or adapter: nobody deals
-/// the room of plain servers.
+/// The room that a request needs. `None` for a request without client account or model: servers
+/// without models are not shared between accounts.
 fn wish(node: &Node, question: &Question) -> Option<RoomWish> {
     let account = question.client_account()?;
     question.model_key?;
@@ -79,14 +80,15 @@
     })
 }
 
-/// Time within which a request must begin so that its first piece is in time: its own reading is left.
+/// Time within which a request must start for its first chunk to meet the objective, after
+/// deducting its own prefill.
 fn in_time_ms(question: &Question, reading_ms: Millis, now_ms: Millis) -> Millis {
     let objective_ms = question.route.objective_ms;
     let begin_by_ms = question.arrived_ms + objective_ms - reading_ms.min(objective_ms / 2);
     begin_by_ms.saturating_sub(now_ms)
 }
 
-/// Whether another server may take it that has room, as far as this box knows.
+/// Whether another server that is not overloaded, as far as this box knows, could take the request.
 fn has_other_room(node: &Node, question: &Question, tried: &[String]) -> bool {
     match choice::choose(node, question, tried, &Asked::default()) {
         Choice::Send { server, .. } | Choice::Load(server) => !node.is_scarce(&server),
--- a/crates/tinbay-gateway/src/front/slow_callers.rs
+++ b/crates/tinbay-gateway/src/front/slow_callers.rs
@@ -1,4 +1,4 @@
-//! Tells of answers that were cut as their callers did not keep up.
+//! Reports answers that were cut off because their callers read too slowly.
 
 use log::Level;
 use prometheus::IntCounterVec;
@@ -8,14 +8,14 @@
 use crate::events::{self, part};
 use crate::http::pump::{AnswerCut, CutObserver};
 
-/// Writes a line and counts for each answer that is cut.
+/// Logs and counts each answer that is cut off.
 #[derive(Debug)]
 pub struct SlowCallers {
     cuts: IntCounterVec,
 }
 
 impl SlowCallers {
-    /// Counts by cause in `cuts`.
+    /// Creates an observer that counts cuts by cause in `cuts`.
     pub fn new(cuts: IntCounterVec) -> Self {
         Self { cuts }
     }
--- a/crates/tinbay-gateway/src/handover/drive.rs
+++ b/crates/tinbay-gateway/src/handover/drive.rs
@@ -1,76 +1,77 @@
-//! Takes one run through its hand-over.
+//! Drives the handover of one run.
 
 use std::pin::Pin;
 use std::time::Duration;
 
 use tinbay_core::handover::course::{self, MoveAnswer, Place, ResumeAnswer, Step};
 
-use super::passage::Passage;
+use super::event_gate::EventGate;
 
-/// Longest wait for the end of a stream whose server said that it has stopped: a cut link may hold it
-/// back, and what did not come by then comes again from the server that goes on.
-const LONGEST_END_WAIT: Duration = Duration::from_millis(300);
+/// Longest wait for the end of a stream after its server reported that the run has stopped. A
+/// broken link may delay the end; events not received by then are sent again by the server that
+/// resumes.
+const MAX_END_WAIT: Duration = Duration::from_millis(300);
 
-/// What is under way.
-pub type Doing<'a, T> = Pin<Box<dyn Future<Output = T> + 'a>>;
+/// The future of a call to a server, on this thread.
+pub type LocalFuture<'a, T> = Pin<Box<dyn Future<Output = T> + 'a>>;
 
-/// How a server took up a run, with its answer.
+/// Result of asking a server to resume a run.
 #[derive(Debug)]
 pub enum Resumed<A> {
-    /// It goes on there.
-    Goes(A),
-    /// It did not take it up.
-    Not,
-    /// It may have.
+    /// The server resumed it and answers.
+    Answering(A),
+    /// The server did not resume it.
+    Declined,
+    /// The server may have resumed it, but its answer is lost.
     Unknown,
 }
 
-/// What a hand-over asks of the servers.
+/// The calls to servers that a handover needs.
 pub trait RunMover {
-    /// The answer of a server that goes on with a run.
+    /// The answer of a server that resumes a run.
     type Answer;
 
-    /// Waits until a server can take the run; whether one can.
-    fn find_target(&self) -> Doing<'_, bool>;
+    /// Waits for a server that can take the run; returns false if none is found.
+    fn find_target(&self) -> LocalFuture<'_, bool>;
 
-    /// Has the source stop the run and copy it to the target.
-    fn ask_move(&self) -> Doing<'_, MoveAnswer>;
+    /// Asks the source to stop the run and copy it to the target.
+    fn ask_move(&self) -> LocalFuture<'_, MoveAnswer>;
 
-    /// Asks a server to go on after an event.
+    /// Asks a server to resume the run after the event `last_id`.
     fn resume<'a>(
         &'a self,
         at: Place,
         handle: &'a str,
         last_id: u64,
-    ) -> Doing<'a, Resumed<Self::Answer>>;
+    ) -> LocalFuture<'a, Resumed<Self::Answer>>;
 
-    /// Has both ends forget a copy that nobody asks for any more.
+    /// Frees an unused copy on source and target.
     fn free(&self, handle: &str);
 }
 
-/// How a hand-over ended.
+/// How a handover ended.
 #[derive(Debug, PartialEq)]
 pub enum Outcome<A> {
-    /// The run stays where it is.
+    /// The run continues on the source as before.
     Stays,
-    /// It goes on with this answer.
+    /// The run was stopped and resumed.
     GoesOn {
-        /// Where.
+        /// Where it was resumed.
         at: Place,
-        /// The rest of the events.
+        /// The answer with the remaining events.
         answer: A,
     },
-    /// Nobody goes on with it.
+    /// No server is known to continue the run.
     Lost,
 }
 
-/// Frees a copy unless somebody went on with it: the caller may leave at any moment.
-struct Copy<'a, A> {
+/// Frees a copy on drop unless a server resumed from it, as the caller may leave at any time.
+struct CopyGuard<'a, A> {
     mover: &'a dyn RunMover<Answer = A>,
     handle: Option<String>,
 }
 
-impl<A> Drop for Copy<'_, A> {
+impl<A> Drop for CopyGuard<'_, A> {
     fn drop(&mut self) {
         if let Some(handle) = &self.handle {
             self.mover.free(handle);
@@ -78,42 +79,42 @@
     }
 }
 
-/// Hands a run over once its first event has passed.
-pub async fn drive<A>(mover: &dyn RunMover<Answer = A>, passage: &Passage) -> Outcome<A> {
-    passage.wait_for_event().await;
+/// Hands over a run once its first event has been relayed.
+pub async fn drive<A>(mover: &dyn RunMover<Answer = A>, gate: &EventGate) -> Outcome<A> {
+    gate.wait_for_event().await;
     if !mover.find_target().await {
         return Outcome::Stays;
     }
-    passage.begin_move();
+    gate.begin_move();
     let answer = mover.ask_move().await;
-    let mut copy = Copy {
+    let mut copy = CopyGuard {
         mover,
         handle: answer.handle().map(str::to_string),
     };
     let mut step = course::after_move(answer);
     if matches!(step, Step::Resume { .. }) {
-        let broken_off = passage.wait_until_broken_off();
-        let _ = tokio::time::timeout(LONGEST_END_WAIT, broken_off).await;
+        let broken_off = gate.wait_until_broken_off();
+        let _ = tokio::time::timeout(MAX_END_WAIT, broken_off).await;
     }
     loop {
         let Step::Resume { at, handle } = step else {
-            passage.end_move();
+            gate.end_move();
             return match step {
                 Step::Lost => Outcome::Lost,
                 _ => Outcome::Stays,
             };
         };
-        let last_id = passage.last_id().unwrap_or_default();
+        let last_id = gate.last_id().unwrap_or_default();
         let resumed = mover.resume(at, &handle, last_id).await;
         let answer = match &resumed {
-            Resumed::Goes(_) => ResumeAnswer::Resumed,
-            Resumed::Not => ResumeAnswer::NotResumed,
+            Resumed::Answering(_) => ResumeAnswer::Resumed,
+            Resumed::Declined => ResumeAnswer::NotResumed,
             Resumed::Unknown => ResumeAnswer::Unknown,
         };
         step = course::after_resume(at, &handle, answer);
-        if let Resumed::Goes(answer) = resumed {
+        if let Resumed::Answering(answer) = resumed {
             copy.handle = None;
-            passage.drop_partial();
+            gate.drop_partial();
             return Outcome::GoesOn { at, answer };
         }
     }
--- a/crates/tinbay-gateway/src/handover/passage.rs
+++ b/crates/tinbay-gateway/src/handover/event_gate.rs
@@ -1,5 +1,5 @@
-//! The bytes of an answer that may move, as they pass: whole events only, so that the next server can go
-//! on after the last of them.
+//! Relays the bytes of an answer whose run may be handed over, in whole events only, so that
+//! another server can resume after the last one.
 
 use std::cell::{Cell, RefCell};
 
@@ -7,11 +7,11 @@
 use tinbay_core::handover::events::EventScanner;
 use tokio::sync::Notify;
 
-/// What passes of an answer that may move.
+/// Holds back incomplete events of an answer whose run may be handed over.
 #[derive(Debug, Default)]
-pub struct Passage {
+pub struct EventGate {
     scanner: RefCell<EventScanner>,
-    /// What has come of an event that is not whole.
+    /// The bytes received of an incomplete event.
     tail: RefCell<BytesMut>,
     is_open: Cell<bool>,
     is_moving: Cell<bool>,
@@ -19,8 +19,8 @@
     changed: Notify,
 }
 
-impl Passage {
-    /// Takes bytes from the server; those that may go on to the caller now.
+impl EventGate {
+    /// Takes bytes from the server and returns those to relay to the caller now.
     pub fn pass(&self, bytes: Bytes) -> Bytes {
         if self.is_open.get() {
             return bytes;
@@ -43,35 +43,36 @@
         passed
     }
 
-    /// Lets all bytes pass as they come from now on; what was held back until then.
+    /// Stops holding bytes back, and returns those held so far.
     pub fn open(&self) -> Bytes {
         self.is_open.set(true);
         self.tail.take().freeze()
     }
 
-    /// Number of the last event that went on to the caller.
+    /// Id of the last event relayed to the caller.
     pub fn last_id(&self) -> Option<u64> {
         self.scanner.borrow().last_id()
     }
 
-    /// Waits until an event with a number has passed.
+    /// Waits until an event with an id has been relayed.
     pub async fn wait_for_event(&self) {
         while self.last_id().is_none() {
             self.changed.notified().await;
         }
     }
 
-    /// The server is asked to stop the run: that its answer breaks off is no failure from here on.
+    /// Marks that the server is being asked to stop the run; from here on, the end of its answer is
+    /// not a failure.
     pub fn begin_move(&self) {
         self.is_moving.set(true);
     }
 
-    /// The run stays where it is.
+    /// Marks that the run was not moved.
     pub fn end_move(&self) {
         self.is_moving.set(false);
     }
 
-    /// Notes that the server's answer broke off; whether that is part of a move.
+    /// Records that the server's answer was cut off; returns whether that is part of a move.
     pub fn note_broken_off(&self) -> bool {
         if !self.is_moving.get() {
             return false;
@@ -81,14 +82,14 @@
         true
     }
 
-    /// Waits until the answer of the server that stops has come whole and broken off.
+    /// Waits until the answer of the stopped server has been received to its end.
     pub async fn wait_until_broken_off(&self) {
         while !self.has_broken_off.get() {
             self.changed.notified().await;
         }
     }
 
-    /// Forgets an event that has begun: it comes again from the server that goes on.
+    /// Discards an incomplete event, which the server that resumes sends again.
     pub fn drop_partial(&self) {
         self.tail.borrow_mut().clear();
         self.scanner.borrow_mut().drop_partial();
--- a/crates/tinbay-gateway/src/handover/mod.rs
+++ b/crates/tinbay-gateway/src/handover/mod.rs
@@ -1,9 +1,12 @@
-//! Runs that move from the server that read their prompt to another one, within one answer.
+//! Handover of a run from the server that prefilled its prompt to another that decodes, within one
+//! answer.
 //!
-//! Who reads for others is drawn alike by all boxes; each box judges by its own streams whether that is
-//! needed, and hands over the runs of its own requests. Nothing is kept for it between boxes, and nothing
-//! is told: a box that dies takes its requests with it, and servers free copies that nobody asks for.
+//! The engines of a service are split into readers, which prefill prompts for the others, and
+//! homes, which decode. All boxes derive the same split from the list of servers. Each box decides
+//! by its own streams whether a split is needed, and hands over the runs of its own requests. Boxes
+//! share no state and send no messages for it: the requests of a box that fails end with it, and
+//! servers free the copies that nobody asks for.
 
 pub mod drive;
-pub mod passage;
+pub mod event_gate;
 pub mod split;
--- a/crates/tinbay-gateway/src/handover/split.rs
+++ b/crates/tinbay-gateway/src/handover/split.rs
@@ -1,4 +1,4 @@
-//! The engines of a service, parted into those that read for others and the rest.
+//! Splits the engines of a service into those that prefill prompts for others and the rest.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -11,62 +11,64 @@
 
 use crate::servers::{Server, ServerTable};
 
-/// How long readers that were drawn are kept: to draw them takes time that grows with the servers.
-const DRAWN_LIFE_MS: Millis = 250;
+/// How long roles and engine counts are cached, as computing them takes time proportional to the
+/// number of servers.
+const CACHE_LIFE_MS: Millis = 250;
 
-/// Engines of a service.
+/// Engines of a service by role.
 #[derive(Debug, Default)]
 pub struct Split {
-    /// Those that read prompts, whose runs move on.
+    /// Engines that prefill prompts and then hand the runs over.
     pub readers: Vec<Rc<Server>>,
-    /// Those where such runs go on, and that serve rare adapters whole.
+    /// Engines that take over such runs, and that serve requests for rare adapters from start to
+    /// end.
     pub homes: Vec<Rc<Server>>,
 }
 
 #[derive(Debug)]
-struct Drawn {
+struct CachedRoles {
     roles: Rc<HashMap<ServerKey, Role>>,
     until_ms: Millis,
 }
 
-/// What one box knows of the services whose engines read for each other.
+/// By service, whether this box splits the engines, and their roles.
 #[derive(Debug, Default)]
 pub struct Splits {
     needs: RefCell<HashMap<String, ReadingNeed>>,
-    drawn: RefCell<HashMap<String, Drawn>>,
-    counts: RefCell<HashMap<String, Counted>>,
+    roles: RefCell<HashMap<String, CachedRoles>>,
+    counts: RefCell<HashMap<String, CachedCount>>,
 }
 
-/// Engines of a service as they were counted lately.
 #[derive(Debug, Clone, Copy)]
-struct Counted {
+struct CachedCount {
     engines: usize,
     until_ms: Millis,
 }
 
 impl Splits {
-    /// Notes a stream of a service that ended where it began; whether that made others read.
-    pub fn note_stream(&self, service: &str, is_late_by_pause: bool, now_ms: Millis) -> bool {
+    /// Records a stream that ended where it began; returns whether it caused the engines to be
+    /// split.
+    pub fn note_stream(&self, service: &str, has_long_pause: bool, now_ms: Millis) -> bool {
         let mut needs = self.needs.borrow_mut();
         let need = needs.entry(service.to_string()).or_default();
         let was_needed = need.is_needed(now_ms);
-        need.note_stream(is_late_by_pause, now_ms);
+        need.note_stream(has_long_pause, now_ms);
         need.is_needed(now_ms) && !was_needed
     }
 
-    /// Engines of a service that are there to stay, as counted lately.
+    /// Number of engines of a service that are not leaving, cached for `CACHE_LIFE_MS`.
     pub fn engines(&self, servers: &RefCell<ServerTable>, service: &str, now_ms: Millis) -> usize {
         let mut counts = self.counts.borrow_mut();
         if let Some(counted) = counts.get(service).filter(|kept| now_ms < kept.until_ms) {
             return counted.engines;
         }
         let engines = servers.borrow().staying(service).len();
-        let until_ms = now_ms + DRAWN_LIFE_MS;
-        counts.insert(service.to_string(), Counted { engines, until_ms });
+        let until_ms = now_ms + CACHE_LIFE_MS;
+        counts.insert(service.to_string(), CachedCount { engines, until_ms });
         engines
     }
 
-    /// Whether some engines of a service read for the others.
+    /// Whether the engines of a service are split.
     pub fn is_needed(&self, service: &str, now_ms: Millis) -> bool {
         let needs = self.needs.borrow();
         needs
@@ -74,7 +76,8 @@
             .is_some_and(|need| need.is_needed(now_ms))
     }
 
-    /// Parts servers of a service; none where no engine reads for others.
+    /// Splits the servers in `among` by role; `None` if the service is not split or one role has no
+    /// server there.
     pub fn split(
         &self,
         servers: &RefCell<ServerTable>,
@@ -98,7 +101,7 @@
         is_parted.then_some(split)
     }
 
-    /// Whether an engine reads for others.
+    /// Whether a server prefills prompts for others.
     pub fn is_reader(
         &self,
         servers: &RefCell<ServerTable>,
@@ -119,21 +122,21 @@
         service: &str,
         now_ms: Millis,
     ) -> Rc<HashMap<ServerKey, Role>> {
-        let mut drawn = self.drawn.borrow_mut();
-        if let Some(drawn) = drawn.get(service).filter(|drawn| now_ms < drawn.until_ms) {
-            return Rc::clone(&drawn.roles);
+        let mut cache = self.roles.borrow_mut();
+        if let Some(cached) = cache.get(service).filter(|cached| now_ms < cached.until_ms) {
+            return Rc::clone(&cached.roles);
         }
-        let roles = Rc::new(draw(&servers.borrow().staying(service)));
-        let kept = Drawn {
+        let roles = Rc::new(assign_roles(&servers.borrow().staying(service)));
+        let kept = CachedRoles {
             roles: Rc::clone(&roles),
-            until_ms: now_ms + DRAWN_LIFE_MS,
+            until_ms: now_ms + CACHE_LIFE_MS,
         };
-        drawn.insert(service.to_string(), kept);
+        cache.insert(service.to_string(), kept);
         roles
     }
 }
 
-fn draw(servers: &[Rc<Server>]) -> HashMap<ServerKey, Role> {
+fn assign_roles(servers: &[Rc<Server>]) -> HashMap<ServerKey, Role> {
     let records: Vec<_> = servers.iter().map(|server| server.record()).collect();
     let engines: Vec<Engine<'_>> = servers
         .iter()
--- a/crates/tinbay-gateway/tests/handover_test.rs
+++ b/crates/tinbay-gateway/tests/handover_test.rs
@@ -1,15 +1,15 @@
-//! The course of a hand-over before fakes of the servers.
+//! Handovers of a run between fake servers.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 
 use bytes::Bytes;
 use tinbay_core::handover::course::{MoveAnswer, Place};
-use tinbay_gateway::handover::drive::{Doing, Outcome, Resumed, RunMover, drive};
-use tinbay_gateway::handover::passage::Passage;
+use tinbay_gateway::handover::drive::{LocalFuture, Outcome, Resumed, RunMover, drive};
+use tinbay_gateway::handover::event_gate::EventGate;
 use tokio::sync::Notify;
 
-/// Servers that answer as a test sets it.
+/// Servers with answers set by the test.
 #[derive(Default)]
 struct FakeServers {
     has_target: bool,
@@ -27,11 +27,11 @@
 impl RunMover for FakeServers {
     type Answer = Place;
 
-    fn find_target(&self) -> Doing<'_, bool> {
+    fn find_target(&self) -> LocalFuture<'_, bool> {
         Box::pin(async { self.has_target })
     }
 
-    fn ask_move(&self) -> Doing<'_, MoveAnswer> {
+    fn ask_move(&self) -> LocalFuture<'_, MoveAnswer> {
         Box::pin(async {
             self.asked_to_move.set(true);
             self.move_answer.take().unwrap_or(MoveAnswer::Unknown)
@@ -43,7 +43,7 @@
         at: Place,
         _handle: &'a str,
         last_id: u64,
-    ) -> Doing<'a, Resumed<Place>> {
+    ) -> LocalFuture<'a, Resumed<Place>> {
         Box::pin(async move {
             self.asked.borrow_mut().push((at, last_id));
             if self.holds_answer_back {
@@ -55,8 +55,8 @@
             };
             match (takes_it, self.answers_are_lost) {
                 (_, true) => Resumed::Unknown,
-                (true, _) => Resumed::Goes(at),
-                (false, _) => Resumed::Not,
+                (true, _) => Resumed::Answering(at),
+                (false, _) => Resumed::Declined,
             }
         })
     }
@@ -71,54 +71,54 @@
     RefCell::new(Some(MoveAnswer::Copied { handle }))
 }
 
-/// A passage through which an event and a half have come, and whose server breaks off when asked.
-fn stopped_passage() -> Rc<Passage> {
-    let passage = Rc::new(Passage::default());
-    let passed = passage.pass(Bytes::from_static(b"id: 1\ndata: a\n\nid: 2\nda"));
+/// A gate that has received one event and half of another.
+fn gate_amid_event() -> Rc<EventGate> {
+    let gate = Rc::new(EventGate::default());
+    let passed = gate.pass(Bytes::from_static(b"id: 1\ndata: a\n\nid: 2\nda"));
     assert_eq!(&passed[..], b"id: 1\ndata: a\n\n");
-    passage
+    gate
 }
 
-async fn run(servers: &FakeServers, passage: &Passage) -> Outcome<Place> {
+async fn run(servers: &FakeServers, gate: &EventGate) -> Outcome<Place> {
     let breaking_off = async {
         while !servers.asked_to_move.get() {
             tokio::task::yield_now().await;
         }
-        passage.note_broken_off();
+        gate.note_broken_off();
     };
-    let driving = drive(servers, passage);
+    let driving = drive(servers, gate);
     let (outcome, ()) = tokio::join!(driving, breaking_off);
     outcome
 }
 
 #[tokio::test(flavor = "current_thread")]
 async fn drive_goes_on_at_the_target() {
-    let passage = stopped_passage();
+    let gate = gate_amid_event();
     let servers = FakeServers {
         has_target: true,
         move_answer: copied(),
         target_takes_it: true,
         ..FakeServers::default()
     };
-    let outcome = run(&servers, &passage).await;
+    let outcome = run(&servers, &gate).await;
     let at = Place::Target;
     assert_eq!(outcome, Outcome::GoesOn { at, answer: at });
     assert_eq!(*servers.asked.borrow(), [(Place::Target, 1)]);
     assert!(servers.freed.borrow().is_empty());
-    let next = passage.pass(Bytes::from_static(b"id: 2\ndata: b\n\n"));
+    let next = gate.pass(Bytes::from_static(b"id: 2\ndata: b\n\n"));
     assert_eq!(&next[..], b"id: 2\ndata: b\n\n");
 }
 
 #[tokio::test(flavor = "current_thread")]
 async fn drive_target_declines_and_the_source_takes_it_back() {
-    let passage = stopped_passage();
+    let gate = gate_amid_event();
     let servers = FakeServers {
         has_target: true,
         move_answer: copied(),
         source_takes_it: true,
         ..FakeServers::default()
     };
-    let outcome = run(&servers, &passage).await;
+    let outcome = run(&servers, &gate).await;
     let at = Place::Source;
     assert_eq!(outcome, Outcome::GoesOn { at, answer: at });
     let asked = [(Place::Target, 1), (Place::Source, 1)];
@@ -127,19 +127,19 @@
 
 #[tokio::test(flavor = "current_thread")]
 async fn drive_nobody_takes_it_and_the_copy_is_freed() {
-    let passage = stopped_passage();
+    let gate = gate_amid_event();
     let servers = FakeServers {
         has_target: true,
         move_answer: copied(),
         ..FakeServers::default()
     };
-    assert_eq!(run(&servers, &passage).await, Outcome::Lost);
+    assert_eq!(run(&servers, &gate).await, Outcome::Lost);
     assert_eq!(*servers.freed.borrow(), ["h1"]);
 }
 
 #[tokio::test(flavor = "current_thread")]
 async fn drive_lost_answer_asks_nobody_else() {
-    let passage = stopped_passage();
+    let gate = gate_amid_event();
     let servers = FakeServers {
         has_target: true,
         move_answer: copied(),
@@ -148,36 +148,36 @@
         answers_are_lost: true,
         ..FakeServers::default()
     };
-    assert_eq!(run(&servers, &passage).await, Outcome::Lost);
+    assert_eq!(run(&servers, &gate).await, Outcome::Lost);
     assert_eq!(*servers.asked.borrow(), [(Place::Target, 1)]);
 }
 
 #[tokio::test(flavor = "current_thread")]
 async fn drive_without_a_target_asks_nothing() {
-    let passage = stopped_passage();
+    let gate = gate_amid_event();
     let servers = FakeServers::default();
-    assert_eq!(drive(&servers, &passage).await, Outcome::Stays);
+    assert_eq!(drive(&servers, &gate).await, Outcome::Stays);
     assert!(!servers.asked_to_move.get());
-    assert!(!passage.note_broken_off());
+    assert!(!gate.note_broken_off());
 }
 
 #[tokio::test(flavor = "current_thread")]
 async fn drive_source_that_does_not_stop_goes_on() {
-    let passage = stopped_passage();
+    let gate = gate_amid_event();
     let servers = FakeServers {
         has_target: true,
         move_answer: RefCell::new(Some(MoveAnswer::NotStopped)),
         ..FakeServers::default()
     };
-    assert_eq!(drive(&servers, &passage).await, Outcome::Stays);
+    assert_eq!(drive(&servers, &gate).await, Outcome::Stays);
     assert!(servers.asked.borrow().is_empty());
-    assert!(!passage.note_broken_off());
+    assert!(!gate.note_broken_off());
 }
 
-/// The caller leaves while the run is between two servers: both ends are freed.
+/// The caller leaves after the run was copied and before it is resumed: the copy is freed.
 #[tokio::test(flavor = "current_thread")]
 async fn drive_caller_leaves_midway_and_the_copy_is_freed() {
-    let passage = stopped_passage();
+    let gate = gate_amid_event();
     let servers = FakeServers {
         has_target: true,
         move_answer: copied(),
@@ -185,7 +185,7 @@
         ..FakeServers::default()
     };
     {
-        let driving = run(&servers, &passage);
+        let driving = run(&servers, &gate);
         let asked = async {
             while servers.asked.borrow().is_empty() {
                 tokio::task::yield_now().await;
@@ -200,9 +200,9 @@
 }
 
 #[test]
-fn passage_open_lets_everything_through() {
-    let passage = Passage::default();
-    assert!(passage.pass(Bytes::from_static(b"id: 1\nda")).is_empty());
-    assert_eq!(&passage.open()[..], b"id: 1\nda");
-    assert_eq!(&passage.pass(Bytes::from_static(b"ta"))[..], b"ta");
+fn event_gate_open_lets_everything_through() {
+    let gate = EventGate::default();
+    assert!(gate.pass(Bytes::from_static(b"id: 1\nda")).is_empty());
+    assert_eq!(&gate.open()[..], b"id: 1\nda");
+    assert_eq!(&gate.pass(Bytes::from_static(b"ta"))[..], b"ta");
 }
