--- a/crates/tinbay-gateway/src/answer_metrics.rs
+++ b/crates/tinbay-gateway/src/answer_metrics.rs
@@ -1,4 +1,4 @@
-//! What a box measures of the answers it passes on.
+//! Metrics of the answers that a box relays.
 
 use prometheus::{HistogramOpts, HistogramVec, IntCounterVec, Opts, Registry};
 use tinbay_core::serving::lateness::Lateness;
@@ -7,38 +7,39 @@
 use crate::error::GatewayError;
 use crate::shown_labels::ShownLabels;
 
-/// Bounds in seconds of first pieces, around objectives of 150 ms to a second.
+/// Histogram buckets in seconds for the time to the first chunk, for objectives of 150 ms to 1 s.
 const FIRST_PIECE_BOUNDS: [f64; 10] = [0.02, 0.05, 0.1, 0.15, 0.3, 0.6, 0.8, 1.0, 2.0, 5.0];
 
-/// Bounds in seconds of pauses, around objectives of 100 ms to half a second.
+/// Histogram buckets in seconds for pauses, for objectives of 100 ms to 500 ms.
 const PAUSE_BOUNDS: [f64; 10] = [0.02, 0.05, 0.1, 0.15, 0.2, 0.3, 0.4, 0.5, 1.0, 2.0];
 
-/// Services that are shown one by one.
-const MOST_SERVICES_SHOWN: usize = 64;
+/// Most services with a label of their own.
+const MAX_SERVICE_LABELS: usize = 64;
 
-/// Label of all other services.
+/// Label shared by all other services.
 const OTHER_SERVICES: &str = "(others)";
 
-/// What is measured of one answer that came whole.
+/// Measured values of one complete answer.
 #[derive(Debug, Clone, Copy)]
 pub struct MeasuredAnswer<'a> {
-    /// Kind of its route.
+    /// Kind of the request's route.
     pub kind: &'a str,
-    /// Service that gave it.
+    /// Service that answered.
     pub service: &'a str,
-    /// Its client account, if it has one.
+    /// Client account of the request, if it has one.
     pub account: Option<&'a str>,
-    /// Time to its first piece, if it has one.
+    /// Time to the first chunk; absent for an answer without a body.
     pub first_piece_ms: Option<Millis>,
-    /// Longest pause between its pieces, if it is a stream of several.
+    /// Longest pause between two chunks; absent for fewer than two.
     pub longest_pause_ms: Option<Millis>,
-    /// Time in which the caller's side asked for nothing, if it has a first piece.
+    /// Time during which the caller's side did not poll for data; absent for an answer without a
+    /// body.
     pub untaken_ms: Option<Millis>,
-    /// Whether it was late.
+    /// Which objective the answer missed, if any.
     pub lateness: Lateness,
 }
 
-/// The measures of answers.
+/// Histograms and counters of complete answers.
 #[derive(Debug)]
 pub struct AnswerMetrics {
     first_piece_seconds: HistogramVec,
@@ -50,10 +51,10 @@
 }
 
 impl AnswerMetrics {
-    /// New measures, all zero, shown by `registry`.
+    /// Creates the metrics and registers them with `registry`.
     ///
     /// # Errors
-    /// When a measure's name is taken.
+    /// When a metric of the same name is registered already.
     pub fn new(registry: &Registry) -> Result<Self, GatewayError> {
         let histogram = |name: &str, help: &str, bounds: &[f64]| {
             let options = HistogramOpts::new(name, help).buckets(bounds.to_vec());
@@ -92,11 +93,11 @@
                 "Whole answers of client accounts, by whether they were late",
                 &["account", "lateness"],
             )?,
-            services: ShownLabels::new(MOST_SERVICES_SHOWN, OTHER_SERVICES),
+            services: ShownLabels::new(MAX_SERVICE_LABELS, OTHER_SERVICES),
         })
     }
 
-    /// Counts an answer that came whole; `account_label` stands for its client account.
+    /// Records a complete answer; `account_label` is the label of its client account.
     pub fn count(&self, answer: &MeasuredAnswer<'_>, account_label: Option<&str>) {
         let service = self.services.label(answer.service);
         let labels = [answer.kind, service];
--- a/crates/tinbay-gateway/tests/access_test.rs
+++ b/crates/tinbay-gateway/tests/access_test.rs
@@ -1,4 +1,4 @@
-//! What answers of the store tell of its era.
+//! How store access detects that the store was restored, by the era that its answers name.
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -14,11 +14,11 @@
 };
 use tinbay_gateway::watch::access::StoreAccess;
 
-/// What the next answers name; one beyond them names no era.
+/// Queue of the store's next answers. An empty queue answers without an era.
 #[derive(Debug, Clone, Default)]
 struct Eras(Rc<RefCell<VecDeque<Next>>>);
 
-/// The next answer.
+/// How the store answers a call.
 #[derive(Debug, Clone, Copy)]
 enum Next {
     Names(Option<Era>),
@@ -50,10 +50,10 @@
     }
 }
 
-/// A store that does everything, in the era it is told to name.
-struct Named(Eras);
+/// A store on which every call succeeds, in the era given by the queue.
+struct FakeStore(Eras);
 
-impl Store for Named {
+impl Store for FakeStore {
     fn read<'a>(&'a self, _: &'a str) -> LocalBoxFuture<'a, Answered<Option<Item>>> {
         async { self.0.answer(|_| None) }.boxed_local()
     }
@@ -91,7 +91,7 @@
 
 fn access() -> (StoreAccess, Eras) {
     let eras = Eras::default();
-    let access = StoreAccess::new(Box::new(Named(eras.clone())), Clock::start());
+    let access = StoreAccess::new(Box::new(FakeStore(eras.clone())), Clock::start());
     (access, eras)
 }
 
@@ -99,7 +99,7 @@
     work.now_or_never().expect("the store answers at once")
 }
 
-/// Notes an era by the first answer at hand.
+/// Has the store answer a read in an era.
 fn see(access: &StoreAccess, eras: &Eras, era: u64) {
     eras.name(&[Some(era)]);
     now(access.read("k")).expect("an answer");
@@ -139,7 +139,7 @@
     );
 }
 
-/// A store that names no era is one that never came back, until it names one.
+/// A store that names no era counts as never restored, until it names one.
 #[test]
 fn take_answers_without_eras_then_with_one() {
     let (access, eras) = access();
@@ -162,7 +162,8 @@
     assert_eq!(watched, Err(StoreError::HistoryGone));
 }
 
-/// The revision was given out again while the watch waited: what it brings is not what came after.
+/// The store was restored while the watch waited and reuses revisions, so the changes returned are
+/// not those after the requested revision.
 #[test]
 fn watch_answered_in_another_era_is_gone() {
     let (access, eras) = access();
@@ -193,7 +194,8 @@
     assert!(now(access.commit(&transaction(2))).is_ok());
 }
 
-/// The store came back while the transaction was on its way: it may have fitted another content.
+/// The store was restored while the transaction was in flight, so its conditions may have been met
+/// by other content.
 #[test]
 fn commit_done_in_another_era_is_not_taken_for_done() {
     let (access, eras) = access();
@@ -205,7 +207,7 @@
     );
 }
 
-/// The number of a lease was given to another box.
+/// A restored store may give the lease's number to another box.
 #[test]
 fn keep_lease_of_another_era_is_over() {
     let (access, eras) = access();
@@ -217,7 +219,7 @@
     assert_eq!(now(access.keep(lease)), Err(StoreError::LeaseOver));
 }
 
-/// Another box saw a later era: the store is asked, and says so too.
+/// Another box reports a later era, and the store confirms it when asked.
 #[test]
 fn confirm_told_later_era_that_the_store_names() {
     let (access, eras) = access();
@@ -228,7 +230,7 @@
     assert!(access.take_return().is_some());
 }
 
-/// One box's mistake moves no other one while the store can be asked.
+/// A wrong report by one box has no effect on others while the store is reachable.
 #[test]
 fn confirm_told_later_era_that_the_store_does_not_name() {
     let (access, eras) = access();
@@ -246,7 +248,7 @@
     assert_eq!(access.confirm_told(Era(1)).now_or_never(), Some(false));
 }
 
-/// The store is out of reach, and the other box's word counts until it answers.
+/// While the store is unreachable, another box's report counts until the store answers.
 #[test]
 fn confirm_told_counts_without_an_answer_until_there_is_one() {
     let (access, eras) = access();
--- a/crates/tinbay-gateway/tests/answer_metrics_test.rs
+++ b/crates/tinbay-gateway/tests/answer_metrics_test.rs
@@ -1,4 +1,4 @@
-//! What a box measures of the answers it passes on.
+//! Metrics of the answers that a box relays.
 
 use tinbay_core::serving::lateness::Lateness;
 use tinbay_gateway::answer_metrics::MeasuredAnswer;
@@ -17,8 +17,9 @@
     }
 }
 
-fn lines_of(text: &str, measure: &str) -> usize {
-    let begin = format!("{measure}{{");
+/// Counts the lines of a metric, one per combination of labels.
+fn count_series(text: &str, metric: &str) -> usize {
+    let begin = format!("{metric}{{");
     text.lines().filter(|line| line.starts_with(&begin)).count()
 }
 
@@ -43,7 +44,7 @@
 }
 
 #[test]
-fn count_answer_without_pieces_has_no_times() {
+fn count_answer_without_chunks_records_no_times() {
     let metrics = Metrics::new().expect("measures");
     metrics.count_answer(MeasuredAnswer {
         account: None,
@@ -53,29 +54,29 @@
         ..answer("chat", "acme", Lateness::InTime)
     });
     let text = metrics.to_text();
-    assert_eq!(lines_of(&text, "tinbay_answers_total"), 1);
-    assert_eq!(lines_of(&text, "tinbay_account_answers_total"), 0);
-    assert_eq!(lines_of(&text, "tinbay_first_piece_seconds_count"), 0);
-    assert_eq!(lines_of(&text, "tinbay_longest_pause_seconds_count"), 0);
-    assert_eq!(lines_of(&text, "tinbay_untaken_seconds_count"), 0);
+    assert_eq!(count_series(&text, "tinbay_answers_total"), 1);
+    assert_eq!(count_series(&text, "tinbay_account_answers_total"), 0);
+    assert_eq!(count_series(&text, "tinbay_first_piece_seconds_count"), 0);
+    assert_eq!(count_series(&text, "tinbay_longest_pause_seconds_count"), 0);
+    assert_eq!(count_series(&text, "tinbay_untaken_seconds_count"), 0);
 }
 
 #[test]
-fn count_answer_many_names_stays_small() {
+fn count_answer_limits_number_of_labels() {
     let metrics = Metrics::new().expect("measures");
     for number in 0..1_000 {
         let name = format!("name-{number}");
         metrics.count_answer(answer(&name, &name, Lateness::InTime));
     }
     let text = metrics.to_text();
-    assert_eq!(lines_of(&text, "tinbay_answers_total"), 65);
-    assert_eq!(lines_of(&text, "tinbay_account_answers_total"), 65);
+    assert_eq!(count_series(&text, "tinbay_answers_total"), 65);
+    assert_eq!(count_series(&text, "tinbay_account_answers_total"), 65);
     let others = r#"tinbay_account_answers_total{account="(others)",lateness="in_time"} 936"#;
     assert!(text.contains(others), "{text}");
 }
 
 #[test]
-fn label_known_value_stays_shown() {
+fn label_keeps_first_values() {
     let labels = ShownLabels::new(2, "(others)");
     assert_eq!(labels.label("a"), "a");
     assert_eq!(labels.label("b"), "b");
--- a/crates/tinbay-gateway/tests/call_test.rs
+++ b/crates/tinbay-gateway/tests/call_test.rs
@@ -1,4 +1,4 @@
-//! Single calls over kept connections that may have gone silent.
+//! Calls over pooled connections that may have become unresponsive.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::LocalSet;
 
-/// Connections that answer their first request and nothing after it.
+/// Number of connections, the first opened, that answer one request and no further one.
 const SILENT_CONNECTIONS: usize = 3;
 
 const ANSWER: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
@@ -42,7 +42,7 @@
     let mut answers = 0;
     while matches!(stream.read(&mut buffer).await, Ok(length) if length > 0) {
         if answers < most_answers {
-            // A pause, so that calls at the same time need connections of their own.
+            // Delays the answer, so that concurrent calls use separate connections.
             tokio::time::sleep(Duration::from_millis(50)).await;
             stream.write_all(ANSWER).await.expect("the caller reads");
             answers += 1;
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn call_after_a_silent_connection_trusts_none_that_rested() {
+fn call_after_unresponsive_connection_reuses_no_idle_one() {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
