--- a/crates/tinbay-gateway/src/front/adapters.rs
+++ b/crates/tinbay-gateway/src/front/adapters.rs
@@ -9,7 +9,7 @@
 use tinbay_core::units::Millis;
 
 use super::choice::{self, Asked, Choice};
-use super::question::Question;
+use super::question::InboundRequest;
 use super::refusal::{NotRunReason, Refusal};
 use crate::events::{self, part};
 use crate::limits::permits;
@@ -32,7 +32,7 @@
 /// When no server takes work, the adapter can't be loaded in time or this box is leaving.
 pub async fn find_server(
     node: &Rc<Node>,
-    question: &Question,
+    question: &InboundRequest,
     tried: &[String],
 ) -> Result<Rc<Server>, Refusal> {
     let mut asked = Asked::default();
@@ -84,7 +84,7 @@
 /// Only the prefill of its own prompt is deducted. The prefill queue of a server is an estimate;
 /// when it was deducted too, a wrong estimate refused all requests of a small fleet for 13 s while
 /// the engines had free places.
-fn last_send_ms(node: &Node, question: &Question) -> Millis {
+fn last_send_ms(node: &Node, question: &InboundRequest) -> Millis {
     let own_ms = node.reading_ms(&question.service, question.prompt.tokens) as Millis;
     let most_ms = question.route.objective_ms;
     question
@@ -126,7 +126,7 @@
 /// status of the server arrives, the adapter becomes ready on any server, or `pause` has passed.
 pub(super) async fn wait_for_load(
     node: &Node,
-    question: &Question,
+    question: &InboundRequest,
     server: &Server,
     pause: Duration,
     asked: &mut Asked,
@@ -146,7 +146,7 @@
 }
 
 /// The load request for the adapter of a caller's request; `is_copy` asks for an additional copy.
-pub(super) fn want(node: &Node, question: &Question, is_copy: bool) -> WantedLoad {
+pub(super) fn want(node: &Node, question: &InboundRequest, is_copy: bool) -> WantedLoad {
     WantedLoad {
         adapter: question.model.clone().unwrap_or_default(),
         version: question.named_version(node),
@@ -165,7 +165,7 @@
     age_ms: Millis,
 }
 
-fn log_wait(node: &Node, question: &Question, home: &Server) {
+fn log_wait(node: &Node, question: &InboundRequest, home: &Server) {
     let holder = node.holder_of(home);
     let event = WaitEvent {
         request: &question.id,
--- a/crates/tinbay-gateway/src/front/answer_timing.rs
+++ b/crates/tinbay-gateway/src/front/answer_timing.rs
@@ -5,7 +5,7 @@
 use tinbay_core::serving::stream_timing::StreamTiming;
 use tinbay_core::units::Millis;
 
-use super::question::Question;
+use super::question::InboundRequest;
 use crate::answer_metrics::MeasuredAnswer;
 
 /// How an answer ended, as far as its timing is concerned.
@@ -64,7 +64,7 @@
 
 impl AnswerTiming {
     /// Evaluates the chunk times of an answer that ended at `ended_ms`.
-    pub fn new(question: &Question, end: AnswerEnd, ended_ms: Millis) -> Self {
+    pub fn new(question: &InboundRequest, end: AnswerEnd, ended_ms: Millis) -> Self {
         let sight = question.sight.get();
         let stream = Some(sight).filter(|sight| sight.pieces() > 1);
         let objective = AnswerObjective::of_route(&question.route);
@@ -90,7 +90,7 @@
     }
 
     /// The values for the answer metrics; `None` for an incomplete answer.
-    pub fn measured<'a>(&self, question: &'a Question) -> Option<MeasuredAnswer<'a>> {
+    pub fn measured<'a>(&self, question: &'a InboundRequest) -> Option<MeasuredAnswer<'a>> {
         Some(MeasuredAnswer {
             kind: self.kind,
             service: &question.service,
@@ -103,7 +103,7 @@
     }
 }
 
-fn at_server_ms(question: &Question, times: &AnswerTimes) -> Option<Millis> {
+fn at_server_ms(question: &InboundRequest, times: &AnswerTimes) -> Option<Millis> {
     let sent = question.last_send.get()?;
     let first_piece_ms = times.first_piece_ms?;
     Some(first_piece_ms.saturating_sub(sent.after_ms))
--- a/crates/tinbay-gateway/src/front/attempt.rs
+++ b/crates/tinbay-gateway/src/front/attempt.rs
@@ -12,7 +12,7 @@
 use tinbay_core::units::Millis;
 
 use super::headers::{self, ServerHeaders};
-use super::question::{Question, text};
+use super::question::{InboundRequest, text};
 use crate::http::body::RequestBody;
 use crate::http::pool::{ConnectError, Connection, Trust};
 use crate::http::reuse::Reuse;
@@ -115,7 +115,7 @@
 /// Sends a request to a server and waits for the response head.
 pub async fn attempt(
     node: &Node,
-    question: &Question,
+    question: &InboundRequest,
     body: RequestBody,
     terms: AttemptTerms<'_>,
 ) -> AttemptResult {
@@ -152,7 +152,7 @@
 
 async fn exchange(
     node: &Node,
-    question: &Question,
+    question: &InboundRequest,
     body: RequestBody,
     terms: &AttemptTerms<'_>,
     waiting: &WaitingReuse,
@@ -224,7 +224,7 @@
     result
 }
 
-fn build(question: &Question, body: RequestBody, headers: HeaderMap) -> Request<RequestBody> {
+fn build(question: &InboundRequest, body: RequestBody, headers: HeaderMap) -> Request<RequestBody> {
     let mut request = Request::new(body);
     *request.method_mut() = question.parts.method.clone();
     *request.uri_mut() = question.parts.uri.clone();
@@ -234,7 +234,7 @@
 
 fn classify(
     node: &Node,
-    question: &Question,
+    question: &InboundRequest,
     terms: &AttemptTerms<'_>,
     exchanged: Exchanged,
     running: RunningRequest,
--- a/crates/tinbay-gateway/src/front/choice.rs
+++ b/crates/tinbay-gateway/src/front/choice.rs
@@ -10,7 +10,7 @@
 use tinbay_core::serving::servers::ServerKey;
 use tinbay_core::units::Millis;
 
-use super::question::Question;
+use super::question::InboundRequest;
 use super::reader_choice;
 use crate::node::Node;
 use crate::servers::Server;
@@ -137,7 +137,7 @@
 }
 
 /// Chooses where a request should run among the servers not in `tried`.
-pub fn choose(node: &Node, question: &Question, tried: &[String], asked: &Asked) -> Choice {
+pub fn choose(node: &Node, question: &InboundRequest, tried: &[String], asked: &Asked) -> Choice {
     let mut ready = node.servers.borrow().ready(&question.service);
     let is_asked_enough = question.at_limits.get() >= MAX_AT_LIMITS;
     ready.retain(|server| {
@@ -235,7 +235,12 @@
 
 impl Survey {
     /// Collects the candidates for a request's adapter from `ready`.
-    pub fn make(node: &Node, question: &Question, ready: &[Rc<Server>], asked: &Asked) -> Self {
+    pub fn make(
+        node: &Node,
+        question: &InboundRequest,
+        ready: &[Rc<Server>],
+        asked: &Asked,
+    ) -> Self {
         let adapter = question.model.as_deref().unwrap_or_default();
         let mut survey = Self {
             servers: Vec::new(),
@@ -277,7 +282,7 @@
 
     /// Steers requests with a common prompt prefix to the same one of the servers that hold the
     /// adapter, by lowering that server's load by the prefill time that its prefix cache saves.
-    fn prefer_prefix_cache(&mut self, node: &Node, question: &Question) {
+    fn prefer_prefix_cache(&mut self, node: &Node, question: &InboundRequest) {
         let Some(shared) = question.prompt.shared_prefix() else {
             return;
         };
@@ -315,7 +320,7 @@
     fn add(
         &mut self,
         node: &Node,
-        question: &Question,
+        question: &InboundRequest,
         server: &Rc<Server>,
         entry: Option<ViewEntry>,
         asked: &Asked,
--- a/crates/tinbay-gateway/src/front/deliver.rs
+++ b/crates/tinbay-gateway/src/front/deliver.rs
@@ -15,7 +15,7 @@
 use super::headers::{self, ServerHeaders};
 use super::hedge::{self, HedgeTerms, Outgoing};
 use super::moving;
-use super::question::{LastSend, Question};
+use super::question::{InboundRequest, LastSend};
 use super::refusal::{NotRunReason, Refusal};
 use super::request_log::{Ending, log_end, log_try};
 use super::room::{self, Room};
@@ -80,7 +80,7 @@
 /// When there is no server's answer to pass on.
 pub async fn deliver(
     node: &Rc<Node>,
-    question: &Rc<Question>,
+    question: &Rc<InboundRequest>,
     body: RequestBody,
 ) -> Result<Response<AnswerBody>, Refusal> {
     let mut tries = AttemptHistory::default();
@@ -174,7 +174,7 @@
 /// Sends a request to a server, and to a second one if it may run twice and the first is slow.
 async fn send_hedged(
     node: &Node,
-    question: &Question,
+    question: &InboundRequest,
     tries: &mut AttemptHistory,
     outgoing: Outgoing,
 ) -> hedge::Sent {
@@ -206,7 +206,7 @@
 
 /// Records that a server declined: either it does not hold the adapter, or it is avoided for a
 /// while.
-fn note_declined(node: &Node, question: &Question, server: &Server, status: StatusCode) {
+fn note_declined(node: &Node, question: &InboundRequest, server: &Server, status: StatusCode) {
     match question.model_key {
         Some(key) if status == StatusCode::MISDIRECTED_REQUEST => {
             server.note_missing(key);
@@ -217,7 +217,7 @@
 }
 
 /// Starts a health check of a server that closed the connection during a request.
-fn note_cut(node: &Rc<Node>, question: &Question, server: &Rc<Server>) {
+fn note_cut(node: &Rc<Node>, question: &InboundRequest, server: &Rc<Server>) {
     if let Some(digest) = question.digest.get() {
         let request = CutRequest {
             id: question.id.clone(),
@@ -228,7 +228,7 @@
 }
 
 /// Whether servers crash under the request, once running checks of servers have ended.
-async fn is_quarantined(node: &Node, question: &Question) -> bool {
+async fn is_quarantined(node: &Node, question: &InboundRequest) -> bool {
     let Some(digest) = question.digest.get() else {
         return false;
     };
@@ -237,7 +237,7 @@
 }
 
 /// The refusal of a request under which servers crash.
-fn give_up_crashing(node: &Node, question: &Question, tries: &AttemptHistory) -> Refusal {
+fn give_up_crashing(node: &Node, question: &InboundRequest, tries: &AttemptHistory) -> Refusal {
     if tries.ends.are_all_not_run() {
         return Refusal::CrashesServers;
     }
@@ -246,7 +246,7 @@
 
 /// Records the response time of a server. Only requests without a model are comparable between the
 /// servers of a service.
-fn note_answer_time(node: &Node, question: &Question, server: &Server, sent_ms: Millis) {
+fn note_answer_time(node: &Node, question: &InboundRequest, server: &Server, sent_ms: Millis) {
     if question.model.is_none() {
         let now_ms = node.now_ms();
         server.note_answer_time((now_ms - sent_ms) as f64, now_ms);
@@ -254,7 +254,7 @@
 }
 
 /// Records the response time of a server relative to the objective.
-fn note_delay(node: &Node, question: &Question, server: &Server, sent_ms: Millis) {
+fn note_delay(node: &Node, question: &InboundRequest, server: &Server, sent_ms: Millis) {
     let now_ms = node.now_ms();
     let objective_ms = question.route.objective_ms.max(1) as f64;
     server.note_delay((now_ms - sent_ms) as f64 / objective_ms, now_ms);
@@ -262,7 +262,7 @@
 
 async fn try_server(
     node: &Node,
-    question: &Question,
+    question: &InboundRequest,
     tries: &AttemptHistory,
     body: RequestBody,
     server: &Rc<Server>,
@@ -306,7 +306,7 @@
 /// version has left, so that the server declines a request still queued by then. A limit on the
 /// send time alone let a request begin 6.2 s after its version was replaced, with 5 s allowed, on a
 /// server that had been stopped for a while.
-fn last_send(node: &Node, question: &Question, server: &Server, now_ms: Millis) -> LastSend {
+fn last_send(node: &Node, question: &InboundRequest, server: &Server, now_ms: Millis) -> LastSend {
     let model = question.model.as_deref().unwrap_or_default();
     let named_version = question.named_version(node);
     let held_version = held_version(node, question, server);
@@ -335,18 +335,18 @@
 
 /// The version of the request's adapter that a server is believed to hold; 0 if the version is
 /// unknown.
-pub(super) fn held_version(node: &Node, question: &Question, server: &Server) -> Option<u64> {
+pub(super) fn held_version(node: &Node, question: &InboundRequest, server: &Server) -> Option<u64> {
     let entry = node.entry(server, question.model_key?)?;
     Some(entry.version)
 }
 
 /// Whether the request may be sent to another server if the next attempt gets no response.
-fn may_run_again(question: &Question, tries: &AttemptHistory) -> bool {
+fn may_run_again(question: &InboundRequest, tries: &AttemptHistory) -> bool {
     question.is_repeatable() && tries.runs + 1 < question.route.most_attempts
 }
 
 /// Time without a response after which a server counts as silent.
-fn silent_after_ms(node: &Node, question: &Question, server: &Server) -> Millis {
+fn silent_after_ms(node: &Node, question: &InboundRequest, server: &Server) -> Millis {
     let objective_ms = question.route.objective_ms as f64;
     let usual_ms = server.delay(node.now_ms()) * objective_ms;
     let reading_ms = node.reading_ms(&question.service, question.prompt.tokens);
@@ -355,7 +355,7 @@
 }
 
 /// Most connections of this box to one server: its share of those the server accepts.
-pub(super) fn most_open(node: &Node, question: &Question) -> usize {
+pub(super) fn most_open(node: &Node, question: &InboundRequest) -> usize {
     let accepted = node
         .in_force()
         .and_then(|in_force| {
@@ -370,7 +370,7 @@
 /// the request now, and retry budget; otherwise the error is passed on to the caller.
 fn retries_failure(
     node: &Node,
-    question: &Question,
+    question: &InboundRequest,
     tries: &AttemptHistory,
     server: &Server,
     answer: &BegunAnswer,
@@ -391,7 +391,7 @@
 /// Whether another server may be tried, apart from the retry budget.
 fn may_try_another(
     node: &Node,
-    question: &Question,
+    question: &InboundRequest,
     tries: &AttemptHistory,
     end: AttemptEnd,
 ) -> bool {
@@ -406,7 +406,7 @@
 }
 
 /// Takes a retry from the service's budget, if it has one left.
-fn take_retry_budget(node: &Node, question: &Question) -> bool {
+fn take_retry_budget(node: &Node, question: &InboundRequest) -> bool {
     let terms = node.settings.borrow().bounds.second_sends;
     let boxes = node.box_count.get();
     let now_ms = node.now_ms();
@@ -422,7 +422,7 @@
 }
 
 /// The refusal after the last attempt: whether the request may have run, or certainly has not.
-fn give_up(node: &Node, question: &Question, tries: &AttemptHistory) -> Refusal {
+fn give_up(node: &Node, question: &InboundRequest, tries: &AttemptHistory) -> Refusal {
     if !tries.ends.are_all_not_run() {
         return if node.now_ms() >= question.time_up_ms {
             Refusal::TimeUp
@@ -440,7 +440,7 @@
 /// Relays a server's answer, and hands its run over to another server where that is due.
 fn relay(
     node: &Rc<Node>,
-    question: &Rc<Question>,
+    question: &Rc<InboundRequest>,
     answer: BegunAnswer,
     body: Option<RequestBody>,
 ) -> Response<AnswerBody> {
@@ -466,7 +466,7 @@
 /// What to record when the relayed answer ends.
 fn observe_end(
     node: &Rc<Node>,
-    question: &Rc<Question>,
+    question: &Rc<InboundRequest>,
     running: Rc<RefCell<RunningRequest>>,
     status: u16,
 ) -> EndObserver {
--- a/crates/tinbay-gateway/src/front/filters/account_key.rs
+++ b/crates/tinbay-gateway/src/front/filters/account_key.rs
@@ -5,7 +5,7 @@
 use tinbay_core::accounts::key_check::{KeyDecision, check};
 
 use super::{Exchange, Filter, FilterFuture, Step};
-use crate::front::question::{Question, ShownAccount};
+use crate::front::question::{InboundRequest, ShownAccount};
 use crate::front::refusal::Refusal;
 use crate::node::Node;
 
@@ -20,7 +20,7 @@
 
 /// Checks the key against the newest configuration, which may be newer than the one that gave the
 /// route: `configuration_age_ms` is the age of the newest.
-fn decide(node: &Node, question: &Question) -> Result<Step, Refusal> {
+fn decide(node: &Node, question: &InboundRequest) -> Result<Step, Refusal> {
     let in_force = node.in_force().ok_or(Refusal::NoConfiguration)?;
     let proof_age_ms = node.configuration_age_ms();
     let terms = node.settings.borrow().bounds.keys;
--- a/crates/tinbay-gateway/src/front/filters/account_limit.rs
+++ b/crates/tinbay-gateway/src/front/filters/account_limit.rs
@@ -7,7 +7,7 @@
 use tinbay_core::serving::prompt::TokenCount;
 
 use super::{Exchange, Filter, FilterFuture, Step};
-use crate::front::question::{AdmittedUnits, Question};
+use crate::front::question::{AdmittedUnits, InboundRequest};
 use crate::front::refusal::Refusal;
 use crate::limits::{self, limited::Limited};
 use crate::node::Node;
@@ -24,7 +24,7 @@
     }
 
     /// Returns the units of the request to the account's limit.
-    fn roll_back(&self, node: &Rc<Node>, question: &Question) {
+    fn roll_back(&self, node: &Rc<Node>, question: &InboundRequest) {
         let admitted = question.admitted.take();
         let account = question.client_account();
         let limited = account.and_then(|account| Limited::of_account(node, account));
@@ -34,7 +34,7 @@
     }
 }
 
-async fn admit(node: &Node, question: &Question) -> Result<(), Refusal> {
+async fn admit(node: &Node, question: &InboundRequest) -> Result<(), Refusal> {
     let Some(account) = question.client_account() else {
         return Ok(());
     };
--- a/crates/tinbay-gateway/src/front/filters/delivery.rs
+++ b/crates/tinbay-gateway/src/front/filters/delivery.rs
@@ -4,7 +4,7 @@
 
 use super::{Exchange, Filter, FilterFuture, Step};
 use crate::front::deliver;
-use crate::front::question::Question;
+use crate::front::question::InboundRequest;
 use crate::front::refusal::Refusal;
 use crate::node::Node;
 
@@ -23,7 +23,7 @@
 }
 
 /// Adds to the retry budget, which is proportional to the number of first sends.
-fn note_first_send(node: &Node, question: &Question) {
+fn note_first_send(node: &Node, question: &InboundRequest) {
     let now_ms = node.now_ms();
     let mut budgets = node.budgets.borrow_mut();
     let budget = budgets.entry(question.service.clone()).or_default();
--- a/crates/tinbay-gateway/src/front/filters/mod.rs
+++ b/crates/tinbay-gateway/src/front/filters/mod.rs
@@ -13,7 +13,7 @@
 use hyper::Response;
 use hyper::body::Incoming;
 
-use super::question::Question;
+use super::question::InboundRequest;
 use super::refusal::Refusal;
 use crate::http::body::{AnswerBody, RequestBody};
 use crate::memory::Hold;
@@ -22,7 +22,7 @@
 /// A routed request on its way through the filters.
 pub struct Exchange {
     /// The request's head, route and the decisions made so far.
-    pub question: Rc<Question>,
+    pub question: Rc<InboundRequest>,
     /// The unread body; `None` once a filter has read it.
     pub incoming: Option<Incoming>,
     /// Memory accounted to the body while it is read.
@@ -48,7 +48,7 @@
     fn apply<'a>(&'a self, node: &'a Rc<Node>, exchange: &'a mut Exchange) -> FilterFuture<'a>;
 
     /// Undoes what the filter counted for a request that was not run.
-    fn roll_back(&self, _node: &Rc<Node>, _question: &Question) {}
+    fn roll_back(&self, _node: &Rc<Node>, _question: &InboundRequest) {}
 }
 
 /// All filters, in the order of execution. The key is checked before the body is read, so that an
@@ -68,7 +68,7 @@
 /// When a filter refuses the request or delivery fails.
 pub async fn pass(
     node: &Rc<Node>,
-    question: &Rc<Question>,
+    question: &Rc<InboundRequest>,
     incoming: Incoming,
 ) -> Result<Response<AnswerBody>, Refusal> {
     let mut exchange = Exchange {
@@ -94,7 +94,7 @@
     })
 }
 
-fn roll_back(node: &Rc<Node>, question: &Question) {
+fn roll_back(node: &Rc<Node>, question: &InboundRequest) {
     for filter in FILTERS {
         filter.roll_back(node, question);
     }
--- a/crates/tinbay-gateway/src/front/hedge.rs
+++ b/crates/tinbay-gateway/src/front/hedge.rs
@@ -14,7 +14,7 @@
 
 use super::attempt::AttemptResult;
 use super::choice::{self, Asked, Choice};
-use super::question::Question;
+use super::question::InboundRequest;
 use crate::events::{self, part};
 use crate::http::body::RequestBody;
 use crate::limits::permits::{self, Permit};
@@ -150,7 +150,7 @@
 /// `send_to` is given the number of sends already in flight.
 pub async fn send(
     node: &Node,
-    question: &Question,
+    question: &InboundRequest,
     terms: HedgeTerms<'_>,
     first: Outgoing,
     send_to: impl AsyncFn(Outgoing, u32) -> AttemptResult,
@@ -237,7 +237,7 @@
 /// hedged.
 fn after_ms(
     node: &Node,
-    question: &Question,
+    question: &InboundRequest,
     terms: &HedgeTerms<'_>,
     first: &Server,
 ) -> Option<Millis> {
@@ -257,7 +257,7 @@
 /// Prepares the second send, if a server can take it and the retry budget allows it.
 async fn second_send(
     node: &Node,
-    question: &Question,
+    question: &InboundRequest,
     terms: &HedgeTerms<'_>,
     first: &Server,
     body: RequestBody,
@@ -280,7 +280,7 @@
     })
 }
 
-fn takes_budget(node: &Node, question: &Question) -> bool {
+fn takes_budget(node: &Node, question: &InboundRequest) -> bool {
     let terms = node.settings.borrow().bounds.second_sends;
     let mut budgets = node.budgets.borrow_mut();
     let budget = budgets.entry(question.service.clone()).or_default();
--- a/crates/tinbay-gateway/src/front/listener.rs
+++ b/crates/tinbay-gateway/src/front/listener.rs
@@ -18,7 +18,7 @@
 use tokio::net::{TcpListener, TcpStream};
 
 use super::filters;
-use super::question::Question;
+use super::question::InboundRequest;
 use super::refusal::{NotRunReason, Refusal};
 use super::request_log::{self, Ending};
 use crate::events::{self, part};
@@ -123,7 +123,7 @@
     let arrived_ms = node.now_ms();
     let (parts, body) = request.into_parts();
     let draw = rand::rng().random_range(0.0..1.0);
-    let mut response = match Question::read(&node, parts, arrived_ms, draw, caller.number) {
+    let mut response = match InboundRequest::read(&node, parts, arrived_ms, draw, caller.number) {
         Ok(question) => {
             let question = Rc::new(question);
             let response = process(&node, Rc::clone(&question), body).await;
@@ -144,7 +144,7 @@
 /// Wraps a relayed answer so that it is cut off if its caller reads too slowly.
 fn watch_reading(
     node: &Node,
-    question: Rc<Question>,
+    question: Rc<InboundRequest>,
     caller: &CallerConnection,
     response: Response<AnswerBody>,
 ) -> Response<AnswerBody> {
@@ -167,7 +167,11 @@
 }
 
 /// Processes a routed request within its deadline.
-async fn process(node: &Rc<Node>, question: Rc<Question>, body: Incoming) -> Response<AnswerBody> {
+async fn process(
+    node: &Rc<Node>,
+    question: Rc<InboundRequest>,
+    body: Incoming,
+) -> Response<AnswerBody> {
     let left = Duration::from_millis(question.time_up_ms - question.arrived_ms);
     let passing = filters::pass(node, &question, body);
     let result = match tokio::time::timeout(left, passing).await {
--- a/crates/tinbay-gateway/src/front/moving/mod.rs
+++ b/crates/tinbay-gateway/src/front/moving/mod.rs
@@ -22,7 +22,7 @@
 use super::adapters;
 use super::choice::Asked;
 use super::deliver::held_version;
-use super::question::{Handover, Question};
+use super::question::{Handover, InboundRequest};
 use crate::events::{self, part};
 use crate::http::body::{BodyError, RequestBody};
 use crate::http::relay::Successor;
@@ -33,7 +33,7 @@
 /// from a reader is handed over, and only if its length is not known in advance.
 pub fn successor(
     node: &Rc<Node>,
-    question: &Rc<Question>,
+    question: &Rc<InboundRequest>,
     head: &Parts,
     running: &Rc<RefCell<RunningRequest>>,
     body: Option<RequestBody>,
@@ -55,7 +55,7 @@
 }
 
 /// Has the server that will continue a run load the adapter while the reader prefills the prompt.
-pub fn prepare(node: &Node, question: &Question, reader: &Server) {
+pub fn prepare(node: &Node, question: &InboundRequest, reader: &Server) {
     let is_reader = node.splits.is_reader(&node.servers, reader, node.now_ms());
     if !is_reader || question.route.kind != RouteKind::Streaming {
         return;
@@ -78,7 +78,7 @@
 /// readers and homes depends on how many streams paused for too long.
 pub fn note_stream(
     node: &Node,
-    question: &Question,
+    question: &InboundRequest,
     sight: StreamTiming,
     end: Result<(), BodyError>,
 ) {
--- a/crates/tinbay-gateway/src/front/moving/mover.rs
+++ b/crates/tinbay-gateway/src/front/moving/mover.rs
@@ -20,7 +20,7 @@
 use crate::front::choice::Asked;
 use crate::front::deliver::{held_version, most_open};
 use crate::front::headers::{self, Resumption, ServerHeaders};
-use crate::front::question::{Handover, Question};
+use crate::front::question::{Handover, InboundRequest};
 use crate::handover::drive::{LocalFuture, Outcome, Resumed, RunMover};
 use crate::http::body::RequestBody;
 use crate::http::call::{CallError, Reply};
@@ -49,7 +49,7 @@
 /// Hands over one run by calls to its servers.
 pub struct NodeMover {
     node: Rc<Node>,
-    question: Rc<Question>,
+    question: Rc<InboundRequest>,
     running: Rc<RefCell<RunningRequest>>,
     body: RequestBody,
     source: Rc<Server>,
@@ -63,7 +63,7 @@
     /// Creates a mover for the run of a request.
     pub fn new(
         node: &Rc<Node>,
-        question: &Rc<Question>,
+        question: &Rc<InboundRequest>,
         running: &Rc<RefCell<RunningRequest>>,
         body: RequestBody,
     ) -> Self {
@@ -282,7 +282,7 @@
 /// Frees copies on the server that made them.
 struct SourceCopies {
     node: Rc<Node>,
-    question: Rc<Question>,
+    question: Rc<InboundRequest>,
     source: Rc<Server>,
 }
 
--- a/crates/tinbay-gateway/src/front/moving/target.rs
+++ b/crates/tinbay-gateway/src/front/moving/target.rs
@@ -5,7 +5,7 @@
 use tinbay_core::serving::contents::{AdapterKey, HeldState};
 
 use crate::front::choice::{self, Asked, Choice, Survey};
-use crate::front::question::Question;
+use crate::front::question::InboundRequest;
 use crate::node::Node;
 use crate::servers::Server;
 
@@ -26,7 +26,7 @@
 
 /// Chooses the server that should continue a run; `version` is the adapter version on the source,
 /// which the target must hold too.
-pub fn choose(node: &Node, question: &Question, asked: &Asked, version: u64) -> Target {
+pub fn choose(node: &Node, question: &InboundRequest, asked: &Asked, version: u64) -> Target {
     let now_ms = node.now_ms();
     let ready = node.servers.borrow().ready(&question.service);
     let split = node
@@ -53,7 +53,7 @@
     }
 }
 
-fn choose_for_model(node: &Node, question: &Question, homes: &[Rc<Server>]) -> Target {
+fn choose_for_model(node: &Node, question: &InboundRequest, homes: &[Rc<Server>]) -> Target {
     let model = question.model.as_deref().unwrap_or_default();
     let holding = choice::holding(model, homes);
     let server = choice::least_loaded(node, &holding, question.route.objective_ms);
@@ -68,7 +68,7 @@
     server.limit_per_s().is_none() && node.running(server) < server.record().slots
 }
 
-fn holds(node: &Node, question: &Question, server: &Server, version: u64) -> bool {
+fn holds(node: &Node, question: &InboundRequest, server: &Server, version: u64) -> bool {
     let Some(key) = adapter_of(question) else {
         return true;
     };
@@ -77,7 +77,7 @@
 }
 
 /// The key of a request's adapter; `None` if the request names only a base model.
-pub fn adapter_of(question: &Question) -> Option<AdapterKey> {
+pub fn adapter_of(question: &InboundRequest) -> Option<AdapterKey> {
     let model = question.model.as_deref()?;
     model.contains('/').then_some(question.model_key).flatten()
 }
--- a/crates/tinbay-gateway/src/front/question.rs
+++ b/crates/tinbay-gateway/src/front/question.rs
@@ -89,7 +89,7 @@
 
 /// A caller's request with its route and the state of its processing.
 #[derive(Debug)]
-pub struct Question {
+pub struct InboundRequest {
     /// Id that the caller gave to this attempt of its request.
     pub id: String,
     /// Method, path, query and headers as received, without the API key.
@@ -134,7 +134,7 @@
     pub first_piece_by_ms: Millis,
 }
 
-impl Question {
+impl InboundRequest {
     /// Parses a request's head and finds its route. `draw`, from 0 to 1, selects the service.
     ///
     /// # Errors
@@ -256,7 +256,7 @@
     }
 }
 
-impl Asker for Question {
+impl Asker for InboundRequest {
     fn id(&self) -> &str {
         &self.id
     }
--- a/crates/tinbay-gateway/src/front/reader_choice.rs
+++ b/crates/tinbay-gateway/src/front/reader_choice.rs
@@ -11,7 +11,7 @@
 
 use super::adapters::needs_status;
 use super::choice::{Asked, Choice, Survey};
-use super::question::Question;
+use super::question::InboundRequest;
 use crate::handover::split::Split;
 use crate::node::Node;
 use crate::servers::Server;
@@ -19,7 +19,7 @@
 /// Chooses the server for a request that names an adapter.
 pub fn choose_for_adapter(
     node: &Node,
-    question: &Question,
+    question: &InboundRequest,
     split: &Split,
     asked: &Asked,
 ) -> Choice {
@@ -37,7 +37,12 @@
 }
 
 /// The home of a request, if its prefill stalls no stream there.
-fn choose_home(node: &Node, question: &Question, split: &Split, asked: &Asked) -> Option<Choice> {
+fn choose_home(
+    node: &Node,
+    question: &InboundRequest,
+    split: &Split,
+    asked: &Asked,
+) -> Option<Choice> {
     if !reads_beside_streams(node, question, 0.0) {
         return None;
     }
@@ -57,7 +62,7 @@
 /// Chooses between the least loaded home and reader for a request that names only a base model.
 pub fn choose_for_model(
     node: &Node,
-    question: &Question,
+    question: &InboundRequest,
     home: Option<Rc<Server>>,
     reader: Option<Rc<Server>>,
 ) -> Option<Rc<Server>> {
@@ -72,7 +77,7 @@
 
 /// Whether an engine with a prefill queue of `backlog_ms` can prefill the prompt as well without
 /// pausing its streams for too long.
-fn reads_beside_streams(node: &Node, question: &Question, backlog_ms: f64) -> bool {
+fn reads_beside_streams(node: &Node, question: &InboundRequest, backlog_ms: f64) -> bool {
     let own_ms = node.reading_ms(&question.service, question.prompt.tokens);
     let pause_ms = question.route.objective_gap_ms;
     pause_ms.is_none_or(|pause_ms| can_prefill_beside_streams(backlog_ms + own_ms, pause_ms))
--- a/crates/tinbay-gateway/src/front/request_log.rs
+++ b/crates/tinbay-gateway/src/front/request_log.rs
@@ -7,7 +7,7 @@
 
 use super::answer_timing::{AnswerEnd, AnswerTiming};
 use super::attempt::AttemptResult;
-use super::question::Question;
+use super::question::InboundRequest;
 use super::refusal::Refusal;
 use crate::events::{self, part};
 use crate::http::body::BodyError;
@@ -30,7 +30,7 @@
 }
 
 /// Logs an attempt.
-pub fn log_try(node: &Node, question: &Question, server: &Server, result: &AttemptResult) {
+pub fn log_try(node: &Node, question: &InboundRequest, server: &Server, result: &AttemptResult) {
     let cause = match result {
         AttemptResult::Unknown { cause } => Some(cause.name()),
         _ => None,
@@ -127,7 +127,7 @@
 /// Logs the end of a request and records its metrics.
 pub fn log_end(
     node: &Node,
-    question: &Question,
+    question: &InboundRequest,
     server: Option<&str>,
     status: u16,
     head_ms: Option<Millis>,
@@ -177,7 +177,7 @@
 
 fn record_metrics(
     node: &Node,
-    question: &Question,
+    question: &InboundRequest,
     outcome: &str,
     head_ms: Option<Millis>,
     timing: &AnswerTiming,
--- a/crates/tinbay-gateway/src/front/room.rs
+++ b/crates/tinbay-gateway/src/front/room.rs
@@ -6,7 +6,7 @@
 use tinbay_core::units::Millis;
 
 use super::choice::{self, Asked, Choice};
-use super::question::Question;
+use super::question::InboundRequest;
 use super::refusal::Refusal;
 use crate::members::box_fingerprint;
 use crate::node::Node;
@@ -34,7 +34,7 @@
 /// its account's turn is.
 pub async fn take(
     node: &Rc<Node>,
-    question: &Question,
+    question: &InboundRequest,
     server: &Rc<Server>,
     tried: &[String],
 ) -> Result<Room, Refusal> {
@@ -62,7 +62,7 @@
 
 /// The room that a request needs. `None` for a request without client account or model: servers
 /// without models are not shared between accounts.
-fn wish(node: &Node, question: &Question) -> Option<RoomRequest> {
+fn wish(node: &Node, question: &InboundRequest) -> Option<RoomRequest> {
     let account = question.client_account()?;
     question.model_key?;
     let units = match question.prompt.count {
@@ -82,21 +82,21 @@
 
 /// Time within which a request must start for its first chunk to meet the objective, after
 /// deducting its own prefill.
-fn in_time_ms(question: &Question, reading_ms: Millis, now_ms: Millis) -> Millis {
+fn in_time_ms(question: &InboundRequest, reading_ms: Millis, now_ms: Millis) -> Millis {
     let objective_ms = question.route.objective_ms;
     let begin_by_ms = question.arrived_ms + objective_ms - reading_ms.min(objective_ms / 2);
     begin_by_ms.saturating_sub(now_ms)
 }
 
 /// Whether another server that is not overloaded, as far as this box knows, could take the request.
-fn has_other_room(node: &Node, question: &Question, tried: &[String]) -> bool {
+fn has_other_room(node: &Node, question: &InboundRequest, tried: &[String]) -> bool {
     match choice::choose(node, question, tried, &Asked::default()) {
         Choice::Send { server, .. } | Choice::Load(server) => !node.is_scarce(&server),
         Choice::Nowhere => false,
     }
 }
 
-fn count(node: &Node, question: &Question, outcome: &str) {
+fn count(node: &Node, question: &InboundRequest, outcome: &str) {
     if let Some(account) = question.client_account() {
         node.metrics.count_room(&account.name, outcome);
     }
--- a/crates/tinbay-gateway/src/node.rs
+++ b/crates/tinbay-gateway/src/node.rs
@@ -25,7 +25,7 @@
 
 use crate::clock::Clock;
 use crate::crashes::Crashes;
-use crate::front::question::Question;
+use crate::front::question::InboundRequest;
 use crate::front::slow_callers::SlowCallers;
 use crate::handover::split::Splits;
 use crate::http::call::Caller;
@@ -587,7 +587,7 @@
     }
 
     /// Notes how long a request's first byte took at a server that had so much to read before.
-    pub fn note_reading(&self, question: &Question, backlog_ms: f64, took_ms: Millis) {
+    pub fn note_reading(&self, question: &InboundRequest, backlog_ms: f64, took_ms: Millis) {
         let mut paces = self.reading.borrow_mut();
         let pace = paces.entry(question.service.clone()).or_default();
         pace.note_answer(question.prompt.tokens, backlog_ms, took_ms as f64);
@@ -604,7 +604,7 @@
     pub fn begin_request(
         &self,
         server: &Rc<Server>,
-        question: &Question,
+        question: &InboundRequest,
         tokens: u32,
     ) -> RunningRequest {
         if question.model_key.is_some() {
