--- a/crates/tinbay-gateway/src/front/adapters.rs
+++ b/crates/tinbay-gateway/src/front/adapters.rs
@@ -9,7 +9,7 @@
 use tinbay_core::units::Millis;
 
 use super::choice::{self, Asked, Choice};
-use super::question::InboundRequest;
+use super::inbound::InboundRequest;
 use super::refusal::{NotRunReason, Refusal};
 use crate::events::{self, part};
 use crate::limits::permits;
@@ -32,32 +32,32 @@
 /// When no server takes work, the adapter can't be loaded in time or this box is leaving.
 pub async fn find_server(
     node: &Rc<Node>,
-    question: &InboundRequest,
+    inbound: &InboundRequest,
     tried: &[String],
 ) -> Result<Rc<Server>, Refusal> {
     let mut asked = Asked::default();
     loop {
-        match choice::choose(node, question, tried, &asked) {
+        match choice::choose(node, inbound, tried, &asked) {
             Choice::Send { server, copy } => {
                 if let Some(copy) = copy {
-                    node.request_load(&copy, want(node, question, true));
+                    node.request_load(&copy, want(node, inbound, true));
                 }
-                if question.model_key.is_none() || !needs_status(node, &server, &asked) {
+                if inbound.model_key.is_none() || !needs_status(node, &server, &asked) {
                     return Ok(server);
                 }
                 refresh_status(node, &server, &mut asked).await;
             }
             Choice::Load(server) => {
-                let last_send_ms = last_send_ms(node, question);
+                let last_send_ms = last_send_ms(node, inbound);
                 check_load_in_time(node, &mut asked, &server, last_send_ms)?;
                 if asked.loads.is_empty() {
-                    log_wait(node, question, &server);
+                    log_wait(node, inbound, &server);
                 }
                 let left = Duration::from_millis(last_send_ms.saturating_sub(node.now_ms()));
-                wait_for_load(node, question, &server, LOOK_PAUSE.min(left), &mut asked).await;
+                wait_for_load(node, inbound, &server, LOOK_PAUSE.min(left), &mut asked).await;
             }
             Choice::Nowhere => {
-                let retry_after_ms = permits::caller_retry_after_ms(node, &question.service);
+                let retry_after_ms = permits::caller_retry_after_ms(node, &inbound.service);
                 return Err(Refusal::NoServer { retry_after_ms });
             }
         }
@@ -84,10 +84,10 @@
 /// Only the prefill of its own prompt is deducted. The prefill queue of a server is an estimate;
 /// when it was deducted too, a wrong estimate refused all requests of a small fleet for 13 s while
 /// the engines had free places.
-fn last_send_ms(node: &Node, question: &InboundRequest) -> Millis {
-    let own_ms = node.reading_ms(&question.service, question.prompt.tokens) as Millis;
-    let most_ms = question.route.objective_ms;
-    question
+fn last_send_ms(node: &Node, inbound: &InboundRequest) -> Millis {
+    let own_ms = node.reading_ms(&inbound.service, inbound.prompt.tokens) as Millis;
+    let most_ms = inbound.route.objective_ms;
+    inbound
         .first_piece_by_ms
         .saturating_sub(own_ms.min(most_ms))
 }
@@ -126,17 +126,17 @@
 /// status of the server arrives, the adapter becomes ready on any server, or `pause` has passed.
 pub(super) async fn wait_for_load(
     node: &Node,
-    question: &InboundRequest,
+    inbound: &InboundRequest,
     server: &Server,
     pause: Duration,
     asked: &mut Asked,
 ) {
-    let adapter = node.waiters.join(question.model_key.unwrap_or_default());
+    let adapter = node.waiters.join(inbound.model_key.unwrap_or_default());
     let adapter_ready = adapter.notified();
     let status_received = server.status_received.notified();
     let now_ms = node.now_ms();
     if asked.takes_load_request(server.key, now_ms) {
-        node.request_load(server, want(node, question, false));
+        node.request_load(server, want(node, inbound, false));
     }
     tokio::select! {
         () = adapter_ready => {}
@@ -146,10 +146,10 @@
 }
 
 /// The load request for the adapter of a caller's request; `is_copy` asks for an additional copy.
-pub(super) fn want(node: &Node, question: &InboundRequest, is_copy: bool) -> WantedLoad {
+pub(super) fn want(node: &Node, inbound: &InboundRequest, is_copy: bool) -> WantedLoad {
     WantedLoad {
-        adapter: question.model.clone().unwrap_or_default(),
-        version: question.named_version(node),
+        adapter: inbound.model.clone().unwrap_or_default(),
+        version: inbound.named_version(node),
         is_copy,
     }
 }
@@ -165,16 +165,16 @@
     age_ms: Millis,
 }
 
-fn log_wait(node: &Node, question: &InboundRequest, home: &Server) {
+fn log_wait(node: &Node, inbound: &InboundRequest, home: &Server) {
     let holder = node.holder_of(home);
     let event = WaitEvent {
-        request: &question.id,
-        model: question.model.as_deref(),
-        version: question.named_version(node),
+        request: &inbound.id,
+        model: inbound.model.as_deref(),
+        version: inbound.named_version(node),
         server: &home.record().id,
         holder: holder.as_deref(),
         has_holder: node.has_holder(home),
-        age_ms: node.now_ms() - question.arrived_ms,
+        age_ms: node.now_ms() - inbound.arrived_ms,
     };
     events::emit(part::FRONT, Level::Info, "wait", &event);
 }
--- a/crates/tinbay-gateway/src/front/answer_timing.rs
+++ b/crates/tinbay-gateway/src/front/answer_timing.rs
@@ -5,7 +5,7 @@
 use tinbay_core::serving::stream_timing::StreamTiming;
 use tinbay_core::units::Millis;
 
-use super::question::InboundRequest;
+use super::inbound::InboundRequest;
 use crate::answer_metrics::MeasuredAnswer;
 
 /// How an answer ended, as far as its timing is concerned.
@@ -64,20 +64,20 @@
 
 impl AnswerTiming {
     /// Evaluates the chunk times of an answer that ended at `ended_ms`.
-    pub fn new(question: &InboundRequest, end: AnswerEnd, ended_ms: Millis) -> Self {
-        let sight = question.sight.get();
+    pub fn new(inbound: &InboundRequest, end: AnswerEnd, ended_ms: Millis) -> Self {
+        let sight = inbound.sight.get();
         let stream = Some(sight).filter(|sight| sight.pieces() > 1);
-        let objective = AnswerObjective::of_route(&question.route);
-        let times = AnswerTimes::of_sight(&sight, question.arrived_ms, ended_ms);
+        let objective = AnswerObjective::of_route(&inbound.route);
+        let times = AnswerTimes::of_sight(&sight, inbound.arrived_ms, ended_ms);
         let judged = (end == AnswerEnd::Served).then(|| Lateness::judge(&times, &objective));
         let is_cut = end == AnswerEnd::Cut;
         Self {
-            kind: question.kind(),
+            kind: inbound.kind(),
             objective_ms: objective.within_ms,
             objective_gap_ms: objective.pause_ms,
             lateness: judged.map(Lateness::name),
             first_piece_ms: times.first_piece_ms,
-            at_server_ms: at_server_ms(question, &times),
+            at_server_ms: at_server_ms(inbound, &times),
             pauses_ms: stream.map(|sight| sight.pauses_ms()),
             longest_pause_ms: stream.map(|sight| sight.longest_pause_ms()),
             longest_pause_untaken_ms: stream.map(|sight| sight.longest_pause_untaken_ms()),
@@ -90,11 +90,11 @@
     }
 
     /// The values for the answer metrics; `None` for an incomplete answer.
-    pub fn measured<'a>(&self, question: &'a InboundRequest) -> Option<MeasuredAnswer<'a>> {
+    pub fn measured<'a>(&self, inbound: &'a InboundRequest) -> Option<MeasuredAnswer<'a>> {
         Some(MeasuredAnswer {
             kind: self.kind,
-            service: &question.service,
-            account: question.client_account().map(|account| &*account.name),
+            service: &inbound.service,
+            account: inbound.client_account().map(|account| &*account.name),
             first_piece_ms: self.first_piece_ms,
             longest_pause_ms: self.longest_pause_ms,
             untaken_ms: self.untaken_ms,
@@ -103,8 +103,8 @@
     }
 }
 
-fn at_server_ms(question: &InboundRequest, times: &AnswerTimes) -> Option<Millis> {
-    let sent = question.last_send.get()?;
+fn at_server_ms(inbound: &InboundRequest, times: &AnswerTimes) -> Option<Millis> {
+    let sent = inbound.last_send.get()?;
     let first_piece_ms = times.first_piece_ms?;
     Some(first_piece_ms.saturating_sub(sent.after_ms))
 }
--- a/crates/tinbay-gateway/src/front/attempt.rs
+++ b/crates/tinbay-gateway/src/front/attempt.rs
@@ -12,7 +12,7 @@
 use tinbay_core::units::Millis;
 
 use super::headers::{self, ServerHeaders};
-use super::question::{InboundRequest, text};
+use super::inbound::{InboundRequest, text};
 use crate::http::body::RequestBody;
 use crate::http::pool::{ConnectError, Connection, Trust};
 use crate::http::reuse::Reuse;
@@ -115,13 +115,13 @@
 /// Sends a request to a server and waits for the response head.
 pub async fn attempt(
     node: &Node,
-    question: &InboundRequest,
+    inbound: &InboundRequest,
     body: RequestBody,
     terms: AttemptTerms<'_>,
 ) -> AttemptResult {
-    let running = node.begin_request(terms.server, question, terms.reading_tokens);
+    let running = node.begin_request(terms.server, inbound, terms.reading_tokens);
     let waiting = Cell::default();
-    let exchange = exchange(node, question, body, &terms, &waiting);
+    let exchange = exchange(node, inbound, body, &terms, &waiting);
     match tokio::time::timeout(terms.head_within, exchange).await {
         Err(_) => {
             if terms.head_within >= terms.silent_after {
@@ -130,7 +130,7 @@
             AttemptResult::unknown(UnknownCause::Silent)
         }
         Ok(Err(result)) => result,
-        Ok(Ok(exchanged)) => classify(node, question, &terms, exchanged, running),
+        Ok(Ok(exchanged)) => classify(node, inbound, &terms, exchanged, running),
     }
 }
 
@@ -152,14 +152,14 @@
 
 async fn exchange(
     node: &Node,
-    question: &InboundRequest,
+    inbound: &InboundRequest,
     body: RequestBody,
     terms: &AttemptTerms<'_>,
     waiting: &WaitingReuse,
 ) -> Result<Exchanged, AttemptResult> {
     let names = node.dialect.headers();
-    let headers = headers::for_server(&question.parts.headers, names, &terms.headers);
-    let mut request = build(question, body, headers);
+    let headers = headers::for_server(&inbound.parts.headers, names, &terms.headers);
+    let mut request = build(inbound, body, headers);
     loop {
         let connected = terms.server.pool.get(terms.most_open, terms.trust).await;
         let mut connection = connected.map_err(|error| AttemptResult::NotSent { error })?;
@@ -224,17 +224,17 @@
     result
 }
 
-fn build(question: &InboundRequest, body: RequestBody, headers: HeaderMap) -> Request<RequestBody> {
+fn build(inbound: &InboundRequest, body: RequestBody, headers: HeaderMap) -> Request<RequestBody> {
     let mut request = Request::new(body);
-    *request.method_mut() = question.parts.method.clone();
-    *request.uri_mut() = question.parts.uri.clone();
+    *request.method_mut() = inbound.parts.method.clone();
+    *request.uri_mut() = inbound.parts.uri.clone();
     *request.headers_mut() = headers;
     request
 }
 
 fn classify(
     node: &Node,
-    question: &InboundRequest,
+    inbound: &InboundRequest,
     terms: &AttemptTerms<'_>,
     exchanged: Exchanged,
     running: RunningRequest,
@@ -250,7 +250,7 @@
         return AttemptResult::Displaced;
     }
     let answered_id = text(response.headers(), &names.request_id);
-    let is_own = answered_id == Some(question.id.as_str());
+    let is_own = answered_id == Some(inbound.id.as_str());
     // A late response to another request, possibly a refusal, can arrive on this connection. It
     // says nothing about this request, which may be running.
     if !is_own && answered_id.is_some() {
@@ -260,7 +260,7 @@
         || status == StatusCode::MISDIRECTED_REQUEST;
     if is_own {
         let head = AnswerHead {
-            asked_for: RequestKind::Request(&question.id),
+            asked_for: RequestKind::Request(&inbound.id),
             asked_ms: sent_ms,
             status: status.as_u16(),
             headers: response.headers(),
--- a/crates/tinbay-gateway/src/front/choice.rs
+++ b/crates/tinbay-gateway/src/front/choice.rs
@@ -10,7 +10,7 @@
 use tinbay_core::serving::servers::ServerKey;
 use tinbay_core::units::Millis;
 
-use super::question::InboundRequest;
+use super::inbound::InboundRequest;
 use super::reader_choice;
 use crate::node::Node;
 use crate::servers::Server;
@@ -137,25 +137,25 @@
 }
 
 /// Chooses where a request should run among the servers not in `tried`.
-pub fn choose(node: &Node, question: &InboundRequest, tried: &[String], asked: &Asked) -> Choice {
-    let mut ready = node.servers.borrow().ready(&question.service);
-    let is_asked_enough = question.at_limits.get() >= MAX_AT_LIMITS;
+pub fn choose(node: &Node, inbound: &InboundRequest, tried: &[String], asked: &Asked) -> Choice {
+    let mut ready = node.servers.borrow().ready(&inbound.service);
+    let is_asked_enough = inbound.at_limits.get() >= MAX_AT_LIMITS;
     ready.retain(|server| {
         let is_passed_over = is_asked_enough && server.limit_per_s().is_some();
-        let has_room = !question.room.is_full(server.key);
+        let has_room = !inbound.room.is_full(server.key);
         !is_passed_over && has_room && !tried.contains(&server.record().id)
     });
-    let objective_ms = question.route.objective_ms;
+    let objective_ms = inbound.route.objective_ms;
     let now_ms = node.now_ms();
     let split = || {
-        let service = &question.service;
+        let service = &inbound.service;
         node.splits.split(&node.servers, service, &ready, now_ms)
     };
-    match question.model.as_deref() {
+    match inbound.model.as_deref() {
         Some(model) if model.contains('/') => match split() {
-            Some(split) => reader_choice::choose_for_adapter(node, question, &split, asked),
+            Some(split) => reader_choice::choose_for_adapter(node, inbound, &split, asked),
             None => {
-                let survey = Survey::make(node, question, &ready, asked);
+                let survey = Survey::make(node, inbound, &ready, asked);
                 survey.to_choice(survey.pick())
             }
         },
@@ -163,7 +163,7 @@
             Some(split) => {
                 let home = least_loaded(node, &holding(model, &split.homes), objective_ms);
                 let reader = least_loaded(node, &holding(model, &split.readers), objective_ms);
-                match reader_choice::choose_for_model(node, question, home, reader) {
+                match reader_choice::choose_for_model(node, inbound, home, reader) {
                     Some(server) => send(server),
                     None => choose_for_model(node, model, &ready, objective_ms),
                 }
@@ -237,11 +237,11 @@
     /// Collects the candidates for a request's adapter from `ready`.
     pub fn make(
         node: &Node,
-        question: &InboundRequest,
+        inbound: &InboundRequest,
         ready: &[Rc<Server>],
         asked: &Asked,
     ) -> Self {
-        let adapter = question.model.as_deref().unwrap_or_default();
+        let adapter = inbound.model.as_deref().unwrap_or_default();
         let mut survey = Self {
             servers: Vec::new(),
             candidates: Vec::new(),
@@ -258,7 +258,7 @@
                 break;
             }
             let entry = node.entry(&server, adapter_key(adapter));
-            survey.add(node, question, &server, entry, asked);
+            survey.add(node, inbound, &server, entry, asked);
             let Some(added) = survey.candidates.last() else {
                 continue;
             };
@@ -276,14 +276,14 @@
             }
         }
         survey.restrict_loads_to_asked(asked, node.now_ms());
-        survey.prefer_prefix_cache(node, question);
+        survey.prefer_prefix_cache(node, inbound);
         survey
     }
 
     /// Steers requests with a common prompt prefix to the same one of the servers that hold the
     /// adapter, by lowering that server's load by the prefill time that its prefix cache saves.
-    fn prefer_prefix_cache(&mut self, node: &Node, question: &InboundRequest) {
-        let Some(shared) = question.prompt.shared_prefix() else {
+    fn prefer_prefix_cache(&mut self, node: &Node, inbound: &InboundRequest) {
+        let Some(shared) = inbound.prompt.shared_prefix() else {
             return;
         };
         let servers = self.servers.iter().zip(&self.candidates).enumerate();
@@ -292,8 +292,8 @@
             .max_by_key(|(_, (server, _))| rendezvous::score_of(shared.key, &server.address_text))
             .map(|(position, _)| position);
         if let Some(cached_at) = cached_at {
-            let saved_ms = node.reading_ms(&question.service, shared.tokens);
-            let objective_ms = question.route.objective_ms.max(1) as f64;
+            let saved_ms = node.reading_ms(&inbound.service, shared.tokens);
+            let objective_ms = inbound.route.objective_ms.max(1) as f64;
             self.candidates[cached_at].load -= saved_ms / objective_ms;
         }
     }
@@ -320,12 +320,12 @@
     fn add(
         &mut self,
         node: &Node,
-        question: &InboundRequest,
+        inbound: &InboundRequest,
         server: &Rc<Server>,
         entry: Option<ViewEntry>,
         asked: &Asked,
     ) {
-        let adapter = question.model.as_deref().unwrap_or_default();
+        let adapter = inbound.model.as_deref().unwrap_or_default();
         let version = node.named_version(adapter).unwrap_or(0);
         let mut presence = presence(entry, version);
         let held_version = entry.map_or(0, |entry| entry.version);
@@ -339,9 +339,9 @@
         }
         self.candidates.push(Candidate {
             presence,
-            load: load(node, server, question.route.objective_ms),
+            load: load(node, server, inbound.route.objective_ms),
             takes_loads: node.takes_loads(server) && !self.excludes_loads(server),
-            load_wait: node.load_wait_ms(server) / question.route.objective_ms.max(1) as f64,
+            load_wait: node.load_wait_ms(server) / inbound.route.objective_ms.max(1) as f64,
         });
         self.is_older.push(is_older);
         self.servers.push(Rc::clone(server));
--- a/crates/tinbay-gateway/src/front/deliver.rs
+++ b/crates/tinbay-gateway/src/front/deliver.rs
@@ -14,8 +14,8 @@
 use super::choice::{self, Asked, Choice};
 use super::headers::{self, ServerHeaders};
 use super::hedge::{self, HedgeTerms, Outgoing};
+use super::inbound::{InboundRequest, LastSend};
 use super::moving;
-use super::question::{InboundRequest, LastSend};
 use super::refusal::{NotRunReason, Refusal};
 use super::request_log::{Ending, log_end, log_try};
 use super::room::{self, Room};
@@ -80,55 +80,55 @@
 /// When there is no server's answer to pass on.
 pub async fn deliver(
     node: &Rc<Node>,
-    question: &Rc<InboundRequest>,
+    inbound: &Rc<InboundRequest>,
     body: RequestBody,
 ) -> Result<Response<AnswerBody>, Refusal> {
     let mut tries = AttemptHistory::default();
     let mut body = Some(body);
     loop {
-        let server = match adapters::find_server(node, question, &tries.tried).await {
+        let server = match adapters::find_server(node, inbound, &tries.tried).await {
             Ok(server) => server,
             Err(refusal) if tries.tried.is_empty() => return Err(refusal),
-            Err(_) => return Err(give_up(node, question, &tries)),
+            Err(_) => return Err(give_up(node, inbound, &tries)),
         };
         // Checked again before each attempt: the previous server may have crashed under the
         // request, or other boxes may have reported crashes while it waited for its adapter.
-        if is_quarantined(node, question).await {
-            return Err(give_up_crashing(node, question, &tries));
+        if is_quarantined(node, inbound).await {
+            return Err(give_up_crashing(node, inbound, &tries));
         }
-        match room::take(node, question, &server, &tries.tried).await {
+        match room::take(node, inbound, &server, &tries.tried).await {
             Ok(Room::Here) => {}
             Ok(Room::Elsewhere) => continue,
             Err(refusal) if tries.tried.is_empty() => return Err(refusal),
-            Err(_) => return Err(give_up(node, question, &tries)),
+            Err(_) => return Err(give_up(node, inbound, &tries)),
         }
         let Some(permit) = permits::take(node, &server).await else {
-            question.note_at_limit();
+            inbound.note_at_limit();
             continue;
         };
         let Some(sent) = body.take() else {
-            return Err(give_up(node, question, &tries));
+            return Err(give_up(node, inbound, &tries));
         };
         body = sent.repeat();
         let before_ms = node.backlog_ms(&server);
-        moving::prepare(node, question, &server);
+        moving::prepare(node, inbound, &server);
         let outgoing = Outgoing {
             server,
             body: sent,
             permit,
         };
-        let sent = send_hedged(node, question, &mut tries, outgoing).await;
+        let sent = send_hedged(node, inbound, &mut tries, outgoing).await;
         let (server, sent_ms, result) = (sent.server, sent.sent_ms, sent.result);
         if matches!(result, AttemptResult::Begun(_)) {
-            node.note_reading(question, before_ms, node.now_ms() - sent_ms);
-            note_answer_time(node, question, &server, sent_ms);
+            node.note_reading(inbound, before_ms, node.now_ms() - sent_ms);
+            note_answer_time(node, inbound, &server, sent_ms);
         }
-        note_delay(node, question, &server, sent_ms);
-        log_try(node, question, &server, &result);
+        note_delay(node, inbound, &server, sent_ms);
+        log_try(node, inbound, &server, &result);
         let end = match result {
             AttemptResult::Begun(answer) => {
-                if body.is_none() || !retries_failure(node, question, &tries, &server, &answer) {
-                    return Ok(relay(node, question, *answer, body));
+                if body.is_none() || !retries_failure(node, inbound, &tries, &server, &answer) {
+                    return Ok(relay(node, inbound, *answer, body));
                 }
                 tries.note(&server, AttemptEnd::Unknown);
                 continue;
@@ -139,7 +139,7 @@
                 continue;
             }
             AttemptResult::Declined { status } => {
-                note_declined(node, question, &server, status);
+                note_declined(node, inbound, &server, status);
                 AttemptEnd::NotRun
             }
             AttemptResult::Displaced => {
@@ -151,22 +151,22 @@
                 server.add_mistrust(MISTRUST_CONNECT, node.now_ms());
                 tries.note(&server, AttemptEnd::NotRun);
                 // Nothing reached a server, so the next send needs no retry budget.
-                if !may_try_another(node, question, &tries, AttemptEnd::NotRun) {
-                    return Err(give_up(node, question, &tries));
+                if !may_try_another(node, inbound, &tries, AttemptEnd::NotRun) {
+                    return Err(give_up(node, inbound, &tries));
                 }
                 continue;
             }
             AttemptResult::Unknown { cause } => {
                 if cause == UnknownCause::Closed {
-                    note_cut(node, question, &server);
+                    note_cut(node, inbound, &server);
                 }
                 server.add_mistrust(MISTRUST_UNKNOWN, node.now_ms());
                 AttemptEnd::Unknown
             }
         };
         tries.note(&server, end);
-        if !may_try_another(node, question, &tries, end) || !take_retry_budget(node, question) {
-            return Err(give_up(node, question, &tries));
+        if !may_try_another(node, inbound, &tries, end) || !take_retry_budget(node, inbound) {
+            return Err(give_up(node, inbound, &tries));
         }
     }
 }
@@ -174,11 +174,11 @@
 /// Sends a request to a server, and to a second one if it may run twice and the first is slow.
 async fn send_hedged(
     node: &Node,
-    question: &InboundRequest,
+    inbound: &InboundRequest,
     tries: &mut AttemptHistory,
     outgoing: Outgoing,
 ) -> hedge::Sent {
-    let most_sends = question.route.most_attempts.saturating_sub(tries.runs);
+    let most_sends = inbound.route.most_attempts.saturating_sub(tries.runs);
     let terms = HedgeTerms {
         tried: &tries.tried,
         sends_left: most_sends.saturating_sub(1),
@@ -194,9 +194,9 @@
             body,
             permit,
         } = outgoing;
-        try_server(node, question, &tries, body, &server, permit).await
+        try_server(node, inbound, &tries, body, &server, permit).await
     };
-    let sent = hedge::send(node, question, terms, outgoing, send_to).await;
+    let sent = hedge::send(node, inbound, terms, outgoing, send_to).await;
     if let Some(failed) = &sent.failed {
         failed.server.add_mistrust(MISTRUST_UNKNOWN, node.now_ms());
         tries.note(&failed.server, failed.end);
@@ -206,8 +206,8 @@
 
 /// Records that a server declined: either it does not hold the adapter, or it is avoided for a
 /// while.
-fn note_declined(node: &Node, question: &InboundRequest, server: &Server, status: StatusCode) {
-    match question.model_key {
+fn note_declined(node: &Node, inbound: &InboundRequest, server: &Server, status: StatusCode) {
+    match inbound.model_key {
         Some(key) if status == StatusCode::MISDIRECTED_REQUEST => {
             server.note_missing(key);
             node.report_contents_mismatch(server);
@@ -217,10 +217,10 @@
 }
 
 /// Starts a health check of a server that closed the connection during a request.
-fn note_cut(node: &Rc<Node>, question: &InboundRequest, server: &Rc<Server>) {
-    if let Some(digest) = question.digest.get() {
+fn note_cut(node: &Rc<Node>, inbound: &InboundRequest, server: &Rc<Server>) {
+    if let Some(digest) = inbound.digest.get() {
         let request = CutRequest {
-            id: question.id.clone(),
+            id: inbound.id.clone(),
             digest: *digest,
         };
         check::note_cut(node, server, request);
@@ -228,8 +228,8 @@
 }
 
 /// Whether servers crash under the request, once running checks of servers have ended.
-async fn is_quarantined(node: &Node, question: &InboundRequest) -> bool {
-    let Some(digest) = question.digest.get() else {
+async fn is_quarantined(node: &Node, inbound: &InboundRequest) -> bool {
+    let Some(digest) = inbound.digest.get() else {
         return false;
     };
     crashes::wait_for_checks(node, *digest).await;
@@ -237,59 +237,59 @@
 }
 
 /// The refusal of a request under which servers crash.
-fn give_up_crashing(node: &Node, question: &InboundRequest, tries: &AttemptHistory) -> Refusal {
+fn give_up_crashing(node: &Node, inbound: &InboundRequest, tries: &AttemptHistory) -> Refusal {
     if tries.ends.are_all_not_run() {
         return Refusal::CrashesServers;
     }
-    give_up(node, question, tries)
+    give_up(node, inbound, tries)
 }
 
 /// Records the response time of a server. Only requests without a model are comparable between the
 /// servers of a service.
-fn note_answer_time(node: &Node, question: &InboundRequest, server: &Server, sent_ms: Millis) {
-    if question.model.is_none() {
+fn note_answer_time(node: &Node, inbound: &InboundRequest, server: &Server, sent_ms: Millis) {
+    if inbound.model.is_none() {
         let now_ms = node.now_ms();
         server.note_answer_time((now_ms - sent_ms) as f64, now_ms);
     }
 }
 
 /// Records the response time of a server relative to the objective.
-fn note_delay(node: &Node, question: &InboundRequest, server: &Server, sent_ms: Millis) {
+fn note_delay(node: &Node, inbound: &InboundRequest, server: &Server, sent_ms: Millis) {
     let now_ms = node.now_ms();
-    let objective_ms = question.route.objective_ms.max(1) as f64;
+    let objective_ms = inbound.route.objective_ms.max(1) as f64;
     server.note_delay((now_ms - sent_ms) as f64 / objective_ms, now_ms);
 }
 
 async fn try_server(
     node: &Node,
-    question: &InboundRequest,
+    inbound: &InboundRequest,
     tries: &AttemptHistory,
     body: RequestBody,
     server: &Rc<Server>,
     permit: Permit,
 ) -> AttemptResult {
     let now_ms = node.now_ms();
-    let sent = last_send(node, question, server, now_ms);
-    question.last_send.set(Some(sent));
-    let head_by_ms = question.time_up_ms.min(sent.time_up_ms + BEGIN_MARGIN_MS);
+    let sent = last_send(node, inbound, server, now_ms);
+    inbound.last_send.set(Some(sent));
+    let head_by_ms = inbound.time_up_ms.min(sent.time_up_ms + BEGIN_MARGIN_MS);
     let left_ms = head_by_ms.saturating_sub(now_ms);
-    let is_last = !may_run_again(question, tries);
-    let silent_after_ms = silent_after_ms(node, question, server);
+    let is_last = !may_run_again(inbound, tries);
+    let silent_after_ms = silent_after_ms(node, inbound, server);
     let record = server.record();
     let terms = AttemptTerms {
         server,
-        most_open: most_open(node, question),
+        most_open: most_open(node, inbound),
         trust: if is_last { Trust::RunsOnce } else { Trust::Any },
         headers: ServerHeaders {
             deadline_ms: sent.time_up_ms.saturating_sub(now_ms),
             server_id: &record.id,
-            priority: question.rank(),
+            priority: inbound.rank(),
             version: sent.expected_version,
-            account: question.client_account().map(|account| &*account.name),
+            account: inbound.client_account().map(|account| &*account.name),
             resumption: None,
         },
         permit,
-        reading_tokens: question.prompt.tokens,
+        reading_tokens: inbound.prompt.tokens,
         head_within: if is_last {
             Duration::from_millis(left_ms)
         } else {
@@ -297,7 +297,7 @@
         },
         silent_after: Duration::from_millis(silent_after_ms),
     };
-    attempt(node, question, body, terms).await
+    attempt(node, inbound, body, terms).await
 }
 
 /// Version and deadline of a request that is sent now.
@@ -306,26 +306,26 @@
 /// version has left, so that the server declines a request still queued by then. A limit on the
 /// send time alone let a request begin 6.2 s after its version was replaced, with 5 s allowed, on a
 /// server that had been stopped for a while.
-fn last_send(node: &Node, question: &InboundRequest, server: &Server, now_ms: Millis) -> LastSend {
-    let model = question.model.as_deref().unwrap_or_default();
-    let named_version = question.named_version(node);
-    let held_version = held_version(node, question, server);
+fn last_send(node: &Node, inbound: &InboundRequest, server: &Server, now_ms: Millis) -> LastSend {
+    let model = inbound.model.as_deref().unwrap_or_default();
+    let named_version = inbound.named_version(node);
+    let held_version = held_version(node, inbound, server);
     let known_version = held_version.filter(|version| *version > 0);
     let begin_by_ms = held_version.and_then(|version| node.begin_by_ms(model, version));
     let is_allowed = held_version.is_some_and(|version| node.may_serve_older(model, version));
     let (expected_version, time_up_ms) = match begin_by_ms {
         None => (
             known_version.and(named_version).and(known_version),
-            question.time_up_ms,
+            inbound.time_up_ms,
         ),
         Some(begin_by_ms) if is_allowed => {
             let begin_by_ms = begin_by_ms.saturating_sub(BEGIN_MARGIN_MS);
-            (known_version, question.time_up_ms.min(begin_by_ms))
+            (known_version, inbound.time_up_ms.min(begin_by_ms))
         }
-        Some(_) => (named_version, question.time_up_ms),
+        Some(_) => (named_version, inbound.time_up_ms),
     };
     LastSend {
-        after_ms: now_ms - question.arrived_ms,
+        after_ms: now_ms - inbound.arrived_ms,
         expected_version,
         time_up_ms,
         named_version,
@@ -335,31 +335,31 @@
 
 /// The version of the request's adapter that a server is believed to hold; 0 if the version is
 /// unknown.
-pub(super) fn held_version(node: &Node, question: &InboundRequest, server: &Server) -> Option<u64> {
-    let entry = node.entry(server, question.model_key?)?;
+pub(super) fn held_version(node: &Node, inbound: &InboundRequest, server: &Server) -> Option<u64> {
+    let entry = node.entry(server, inbound.model_key?)?;
     Some(entry.version)
 }
 
 /// Whether the request may be sent to another server if the next attempt gets no response.
-fn may_run_again(question: &InboundRequest, tries: &AttemptHistory) -> bool {
-    question.is_repeatable() && tries.runs + 1 < question.route.most_attempts
+fn may_run_again(inbound: &InboundRequest, tries: &AttemptHistory) -> bool {
+    inbound.is_repeatable() && tries.runs + 1 < inbound.route.most_attempts
 }
 
 /// Time without a response after which a server counts as silent.
-fn silent_after_ms(node: &Node, question: &InboundRequest, server: &Server) -> Millis {
-    let objective_ms = question.route.objective_ms as f64;
+fn silent_after_ms(node: &Node, inbound: &InboundRequest, server: &Server) -> Millis {
+    let objective_ms = inbound.route.objective_ms as f64;
     let usual_ms = server.delay(node.now_ms()) * objective_ms;
-    let reading_ms = node.reading_ms(&question.service, question.prompt.tokens);
+    let reading_ms = node.reading_ms(&inbound.service, inbound.prompt.tokens);
     let expected_ms = usual_ms.max(node.backlog_ms(server) + reading_ms);
     MIN_SILENCE_MS.max((expected_ms * SILENCE_FACTOR) as Millis)
 }
 
 /// Most connections of this box to one server: its share of those the server accepts.
-pub(super) fn most_open(node: &Node, question: &InboundRequest) -> usize {
+pub(super) fn most_open(node: &Node, inbound: &InboundRequest) -> usize {
     let accepted = node
         .in_force()
         .and_then(|in_force| {
-            let service = in_force.configuration.services.get(&question.service)?;
+            let service = in_force.configuration.services.get(&inbound.service)?;
             Some(service.most_connections)
         })
         .unwrap_or_default();
@@ -370,48 +370,48 @@
 /// the request now, and retry budget; otherwise the error is passed on to the caller.
 fn retries_failure(
     node: &Node,
-    question: &InboundRequest,
+    inbound: &InboundRequest,
     tries: &AttemptHistory,
     server: &Server,
     answer: &BegunAnswer,
 ) -> bool {
     let is_failure = answer.response.status().is_server_error();
-    if !is_failure || !may_run_again(question, tries) {
+    if !is_failure || !may_run_again(inbound, tries) {
         return false;
     }
     let mut tried = tries.tried.clone();
     tried.push(server.record().id.clone());
     let is_another = matches!(
-        choice::choose(node, question, &tried, &Asked::default()),
+        choice::choose(node, inbound, &tried, &Asked::default()),
         Choice::Send { .. }
     );
-    is_another && take_retry_budget(node, question)
+    is_another && take_retry_budget(node, inbound)
 }
 
 /// Whether another server may be tried, apart from the retry budget.
 fn may_try_another(
     node: &Node,
-    question: &InboundRequest,
+    inbound: &InboundRequest,
     tries: &AttemptHistory,
     end: AttemptEnd,
 ) -> bool {
     let case = RetryCase {
         end,
-        repeatable: question.is_repeatable() && tries.runs < question.route.most_attempts,
+        repeatable: inbound.is_repeatable() && tries.runs < inbound.route.most_attempts,
         answer_begun: false,
         now_ms: node.now_ms(),
-        deadline_ms: question.time_up_ms,
+        deadline_ms: inbound.time_up_ms,
     };
     may_retry(&case) && tries.tried.len() < MAX_ATTEMPTS
 }
 
 /// Takes a retry from the service's budget, if it has one left.
-fn take_retry_budget(node: &Node, question: &InboundRequest) -> bool {
+fn take_retry_budget(node: &Node, inbound: &InboundRequest) -> bool {
     let terms = node.settings.borrow().bounds.second_sends;
     let boxes = node.box_count.get();
     let now_ms = node.now_ms();
     let mut budgets = node.budgets.borrow_mut();
-    let budget = budgets.entry(question.service.clone()).or_default();
+    let budget = budgets.entry(inbound.service.clone()).or_default();
     let is_taken = budget.take_retry(&terms, boxes, now_ms);
     let outcome = if is_taken { "sent" } else { "no_budget" };
     node.metrics
@@ -422,9 +422,9 @@
 }
 
 /// The refusal after the last attempt: whether the request may have run, or certainly has not.
-fn give_up(node: &Node, question: &InboundRequest, tries: &AttemptHistory) -> Refusal {
+fn give_up(node: &Node, inbound: &InboundRequest, tries: &AttemptHistory) -> Refusal {
     if !tries.ends.are_all_not_run() {
-        return if node.now_ms() >= question.time_up_ms {
+        return if node.now_ms() >= inbound.time_up_ms {
             Refusal::TimeUp
         } else {
             Refusal::MayHaveRun
@@ -432,7 +432,7 @@
     }
     Refusal::NotRun {
         reason: NotRunReason::Declined,
-        retry_after_ms: permits::caller_retry_after_ms(node, &question.service)
+        retry_after_ms: permits::caller_retry_after_ms(node, &inbound.service)
             .unwrap_or(DEFAULT_RETRY_MS),
     }
 }
@@ -440,23 +440,23 @@
 /// Relays a server's answer, and hands its run over to another server where that is due.
 fn relay(
     node: &Rc<Node>,
-    question: &Rc<InboundRequest>,
+    inbound: &Rc<InboundRequest>,
     answer: BegunAnswer,
     body: Option<RequestBody>,
 ) -> Response<AnswerBody> {
     let server = answer.running.server();
     let (mut parts, incoming) = answer.response.into_parts();
     let running = Rc::new(RefCell::new(answer.running));
-    let successor = moving::successor(node, question, &parts, &running, body);
+    let successor = moving::successor(node, inbound, &parts, &running, body);
     let terms = RelayTerms {
         connection: answer.connection,
         pool: Rc::clone(&server.pool),
         rest: headers::keep_alive_timeout(&parts.headers),
         may_keep: headers::keeps_connection(&parts.headers),
-        time_up: node.clock.instant(question.time_up_ms),
+        time_up: node.clock.instant(inbound.time_up_ms),
         successor,
         clock: node.clock,
-        end: observe_end(node, question, running, parts.status.as_u16()),
+        end: observe_end(node, inbound, running, parts.status.as_u16()),
     };
     headers::drop_hop_headers(&mut parts.headers);
     let relay = Relay::new(incoming, terms);
@@ -466,30 +466,30 @@
 /// What to record when the relayed answer ends.
 fn observe_end(
     node: &Rc<Node>,
-    question: &Rc<InboundRequest>,
+    inbound: &Rc<InboundRequest>,
     running: Rc<RefCell<RunningRequest>>,
     status: u16,
 ) -> EndObserver {
     let node = Rc::clone(node);
-    let question = Rc::clone(question);
-    let head_ms = node.now_ms() - question.arrived_ms;
+    let inbound = Rc::clone(inbound);
+    let head_ms = node.now_ms() - inbound.arrived_ms;
     Box::new(move |end, sight| {
-        question.sight.set(sight);
+        inbound.sight.set(sight);
         let ending = match end {
             Ok(()) => Ending::Whole,
             Err(error) => Ending::Cut(error),
         };
         let server = running.borrow().server();
-        moving::note_stream(&node, &question, sight, end);
-        match (end, question.digest.get()) {
-            (Err(BodyError::ServerBrokeOff), _) => note_cut(&node, &question, &server),
+        moving::note_stream(&node, &inbound, sight, end);
+        match (end, inbound.digest.get()) {
+            (Err(BodyError::ServerBrokeOff), _) => note_cut(&node, &inbound, &server),
             (Ok(()), Some(digest)) if is_success(status) => crashes::note_proven(&node, *digest),
             _ => {}
         }
         let server = server.record().id.clone();
         log_end(
             &node,
-            &question,
+            &inbound,
             Some(&server),
             status,
             Some(head_ms),
--- a/crates/tinbay-gateway/src/front/filters/account_key.rs
+++ b/crates/tinbay-gateway/src/front/filters/account_key.rs
@@ -5,7 +5,7 @@
 use tinbay_core::accounts::key_check::{KeyDecision, check};
 
 use super::{Exchange, Filter, FilterFuture, Step};
-use crate::front::question::{InboundRequest, ShownAccount};
+use crate::front::inbound::{InboundRequest, ShownAccount};
 use crate::front::refusal::Refusal;
 use crate::node::Node;
 
@@ -14,20 +14,20 @@
 
 impl Filter for AccountKey {
     fn apply<'a>(&'a self, node: &'a Rc<Node>, exchange: &'a mut Exchange) -> FilterFuture<'a> {
-        Box::pin(async move { decide(node, &exchange.question) })
+        Box::pin(async move { decide(node, &exchange.inbound) })
     }
 }
 
 /// Checks the key against the newest configuration, which may be newer than the one that gave the
 /// route: `configuration_age_ms` is the age of the newest.
-fn decide(node: &Node, question: &InboundRequest) -> Result<Step, Refusal> {
+fn decide(node: &Node, inbound: &InboundRequest) -> Result<Step, Refusal> {
     let in_force = node.in_force().ok_or(Refusal::NoConfiguration)?;
     let proof_age_ms = node.configuration_age_ms();
     let terms = node.settings.borrow().bounds.keys;
     let decision = check(
         &in_force.configuration.accounts,
-        question.route.is_public,
-        question.key,
+        inbound.route.is_public,
+        inbound.key,
         proof_age_ms,
         &terms,
     );
@@ -41,6 +41,6 @@
         account,
         proof_age_ms,
     };
-    let _ = question.account.set(shown);
+    let _ = inbound.account.set(shown);
     result
 }
--- a/crates/tinbay-gateway/src/front/filters/account_limit.rs
+++ b/crates/tinbay-gateway/src/front/filters/account_limit.rs
@@ -7,7 +7,7 @@
 use tinbay_core::serving::prompt::TokenCount;
 
 use super::{Exchange, Filter, FilterFuture, Step};
-use crate::front::question::{AdmittedUnits, InboundRequest};
+use crate::front::inbound::{AdmittedUnits, InboundRequest};
 use crate::front::refusal::Refusal;
 use crate::limits::{self, limited::Limited};
 use crate::node::Node;
@@ -18,15 +18,15 @@
 impl Filter for AccountLimit {
     fn apply<'a>(&'a self, node: &'a Rc<Node>, exchange: &'a mut Exchange) -> FilterFuture<'a> {
         Box::pin(async move {
-            admit(node, &exchange.question).await?;
+            admit(node, &exchange.inbound).await?;
             Ok(Step::Next)
         })
     }
 
     /// Returns the units of the request to the account's limit.
-    fn roll_back(&self, node: &Rc<Node>, question: &InboundRequest) {
-        let admitted = question.admitted.take();
-        let account = question.client_account();
+    fn roll_back(&self, node: &Rc<Node>, inbound: &InboundRequest) {
+        let admitted = inbound.admitted.take();
+        let account = inbound.client_account();
         let limited = account.and_then(|account| Limited::of_account(node, account));
         if let (Some(admitted), Some(limited)) = (admitted, limited) {
             limits::give_back(node, &limited, admitted.units);
@@ -34,23 +34,23 @@
     }
 }
 
-async fn admit(node: &Node, question: &InboundRequest) -> Result<(), Refusal> {
-    let Some(account) = question.client_account() else {
+async fn admit(node: &Node, inbound: &InboundRequest) -> Result<(), Refusal> {
+    let Some(account) = inbound.client_account() else {
         return Ok(());
     };
     let Some(limited) = Limited::of_account(node, account) else {
         return Ok(());
     };
-    let units = units(account, question.prompt.count)?;
-    let of = question.digest.get().map(|digest| CallerTry {
+    let units = units(account, inbound.prompt.count)?;
+    let of = inbound.digest.get().map(|digest| CallerTry {
         digest: digest.short(),
-        objective_ms: question.route.objective_ms,
+        objective_ms: inbound.route.objective_ms,
     });
     let admitted = limits::admit(node, &limited, units, of).await;
     let by = admitted.map_or("refused", |by| by.name());
     node.metrics.count_limit(&account.name, by);
     let by = admitted.map_err(|retry_after_ms| Refusal::LimitReached { retry_after_ms })?;
-    question.admitted.set(Some(AdmittedUnits { units, by }));
+    inbound.admitted.set(Some(AdmittedUnits { units, by }));
     Ok(())
 }
 
--- a/crates/tinbay-gateway/src/front/filters/body.rs
+++ b/crates/tinbay-gateway/src/front/filters/body.rs
@@ -26,7 +26,7 @@
                 BodyError::TooLong => Refusal::BodyTooLong,
                 _ => Refusal::CallerBrokeOff,
             })?;
-            exchange.question.note_body(body.first());
+            exchange.inbound.note_body(body.first());
             exchange.body = Some(body.held_by(exchange.held.take()));
             Ok(Step::Next)
         })
--- a/crates/tinbay-gateway/src/front/filters/delivery.rs
+++ b/crates/tinbay-gateway/src/front/filters/delivery.rs
@@ -4,7 +4,7 @@
 
 use super::{Exchange, Filter, FilterFuture, Step};
 use crate::front::deliver;
-use crate::front::question::InboundRequest;
+use crate::front::inbound::InboundRequest;
 use crate::front::refusal::Refusal;
 use crate::node::Node;
 
@@ -15,17 +15,17 @@
     fn apply<'a>(&'a self, node: &'a Rc<Node>, exchange: &'a mut Exchange) -> FilterFuture<'a> {
         Box::pin(async move {
             let body = exchange.body.take().ok_or(Refusal::CallerBrokeOff)?;
-            note_first_send(node, &exchange.question);
-            let answer = deliver::deliver(node, &exchange.question, body).await?;
+            note_first_send(node, &exchange.inbound);
+            let answer = deliver::deliver(node, &exchange.inbound, body).await?;
             Ok(Step::Answer(answer))
         })
     }
 }
 
 /// Adds to the retry budget, which is proportional to the number of first sends.
-fn note_first_send(node: &Node, question: &InboundRequest) {
+fn note_first_send(node: &Node, inbound: &InboundRequest) {
     let now_ms = node.now_ms();
     let mut budgets = node.budgets.borrow_mut();
-    let budget = budgets.entry(question.service.clone()).or_default();
+    let budget = budgets.entry(inbound.service.clone()).or_default();
     budget.note_first_attempt(now_ms);
 }
--- a/crates/tinbay-gateway/src/front/filters/memory.rs
+++ b/crates/tinbay-gateway/src/front/filters/memory.rs
@@ -24,7 +24,7 @@
 
 fn admit(node: &Node, exchange: &mut Exchange) -> Result<Step, Refusal> {
     let bytes = exchange.incoming.as_ref().map_or(0, kept_bytes);
-    match node.memory.admit(exchange.question.holder(), bytes) {
+    match node.memory.admit(exchange.inbound.holder(), bytes) {
         Ok(held) => {
             exchange.held = Some(held);
             Ok(Step::Next)
--- a/crates/tinbay-gateway/src/front/filters/mod.rs
+++ b/crates/tinbay-gateway/src/front/filters/mod.rs
@@ -13,7 +13,7 @@
 use hyper::Response;
 use hyper::body::Incoming;
 
-use super::question::InboundRequest;
+use super::inbound::InboundRequest;
 use super::refusal::Refusal;
 use crate::http::body::{AnswerBody, RequestBody};
 use crate::memory::Hold;
@@ -22,7 +22,7 @@
 /// A routed request on its way through the filters.
 pub struct Exchange {
     /// The request's head, route and the decisions made so far.
-    pub question: Rc<InboundRequest>,
+    pub inbound: Rc<InboundRequest>,
     /// The unread body; `None` once a filter has read it.
     pub incoming: Option<Incoming>,
     /// Memory accounted to the body while it is read.
@@ -68,11 +68,11 @@
 /// When a filter refuses the request or delivery fails.
 pub async fn pass(
     node: &Rc<Node>,
-    question: &Rc<InboundRequest>,
+    inbound: &Rc<InboundRequest>,
     incoming: Incoming,
 ) -> Result<Response<AnswerBody>, Refusal> {
     let mut exchange = Exchange {
-        question: Rc::clone(question),
+        inbound: Rc::clone(inbound),
         incoming: Some(incoming),
         held: None,
         body: None,
@@ -83,7 +83,7 @@
             Ok(Step::Answer(response)) => return Ok(response),
             Err(refusal) => {
                 if refusal.says_not_run() {
-                    roll_back(node, question);
+                    roll_back(node, inbound);
                 }
                 return Err(refusal);
             }
@@ -94,8 +94,8 @@
     })
 }
 
-fn roll_back(node: &Rc<Node>, question: &InboundRequest) {
+fn roll_back(node: &Rc<Node>, inbound: &InboundRequest) {
     for filter in FILTERS {
-        filter.roll_back(node, question);
+        filter.roll_back(node, inbound);
     }
 }
--- a/crates/tinbay-gateway/src/front/filters/quarantine.rs
+++ b/crates/tinbay-gateway/src/front/filters/quarantine.rs
@@ -14,7 +14,7 @@
 impl Filter for Quarantine {
     fn apply<'a>(&'a self, node: &'a Rc<Node>, exchange: &'a mut Exchange) -> FilterFuture<'a> {
         Box::pin(async move {
-            match exchange.question.digest.get() {
+            match exchange.inbound.digest.get() {
                 Some(digest) if crashes::is_refused(node, *digest) => Err(Refusal::CrashesServers),
                 _ => Ok(Step::Next),
             }
--- a/crates/tinbay-gateway/src/front/hedge.rs
+++ b/crates/tinbay-gateway/src/front/hedge.rs
@@ -14,7 +14,7 @@
 
 use super::attempt::AttemptResult;
 use super::choice::{self, Asked, Choice};
-use super::question::InboundRequest;
+use super::inbound::InboundRequest;
 use crate::events::{self, part};
 use crate::http::body::RequestBody;
 use crate::limits::permits::{self, Permit};
@@ -150,13 +150,13 @@
 /// `send_to` is given the number of sends already in flight.
 pub async fn send(
     node: &Node,
-    question: &InboundRequest,
+    inbound: &InboundRequest,
     terms: HedgeTerms<'_>,
     first: Outgoing,
     send_to: impl AsyncFn(Outgoing, u32) -> AttemptResult,
 ) -> Sent {
     let spare = first.body.repeat();
-    let after_ms = after_ms(node, question, &terms, &first.server);
+    let after_ms = after_ms(node, inbound, &terms, &first.server);
     let server = Rc::clone(&first.server);
     let mut sending = pin!(end_of(node, first, 0, &send_to));
     let Some((after_ms, body)) = after_ms.zip(spare) else {
@@ -166,7 +166,7 @@
     if let Ok(ended) = tokio::time::timeout(wait, &mut sending).await {
         return ended.alone();
     }
-    let second = match second_send(node, question, &terms, &server, body).await {
+    let second = match second_send(node, inbound, &terms, &server, body).await {
         Ok(second) => second,
         Err(outcome) => {
             count(node, outcome);
@@ -183,7 +183,7 @@
     }
     count(node, outcome);
     let event = HedgeEvent {
-        request: &question.id,
+        request: &inbound.id,
         first: &server.record().id,
         second: &second_server.record().id,
         after_ms,
@@ -237,16 +237,16 @@
 /// hedged.
 fn after_ms(
     node: &Node,
-    question: &InboundRequest,
+    inbound: &InboundRequest,
     terms: &HedgeTerms<'_>,
     first: &Server,
 ) -> Option<Millis> {
     let case = HedgeCase {
         // Resumable streams may be repeated, but are relayed from one server at a time.
-        is_repeatable: question.route.kind == RouteKind::Safe,
-        is_plain: question.model.is_none(),
+        is_repeatable: inbound.route.kind == RouteKind::Safe,
+        is_plain: inbound.model.is_none(),
         sends_left: terms.sends_left,
-        left_ms: question.time_up_ms.saturating_sub(node.now_ms()),
+        left_ms: inbound.time_up_ms.saturating_sub(node.now_ms()),
     };
     if first.limit_per_s().is_some() {
         return None;
@@ -257,20 +257,20 @@
 /// Prepares the second send, if a server can take it and the retry budget allows it.
 async fn second_send(
     node: &Node,
-    question: &InboundRequest,
+    inbound: &InboundRequest,
     terms: &HedgeTerms<'_>,
     first: &Server,
     body: RequestBody,
 ) -> Result<Outgoing, HedgeOutcome> {
     let mut tried = terms.tried.to_vec();
     tried.push(first.record().id.clone());
-    let server = match choice::choose(node, question, &tried, &Asked::default()) {
+    let server = match choice::choose(node, inbound, &tried, &Asked::default()) {
         Choice::Send { server, .. } if server.limit_per_s().is_none() => server,
         _ => return Err(HedgeOutcome::NoServer),
     };
     let permit = permits::take(node, &server).await;
     let permit = permit.ok_or(HedgeOutcome::NoServer)?;
-    if !takes_budget(node, question) {
+    if !takes_budget(node, inbound) {
         return Err(HedgeOutcome::NoBudget);
     }
     Ok(Outgoing {
@@ -280,10 +280,10 @@
     })
 }
 
-fn takes_budget(node: &Node, question: &InboundRequest) -> bool {
+fn takes_budget(node: &Node, inbound: &InboundRequest) -> bool {
     let terms = node.settings.borrow().bounds.second_sends;
     let mut budgets = node.budgets.borrow_mut();
-    let budget = budgets.entry(question.service.clone()).or_default();
+    let budget = budgets.entry(inbound.service.clone()).or_default();
     budget.take_hedge(&terms, node.box_count.get(), node.now_ms())
 }
 
--- a/crates/tinbay-gateway/src/front/listener.rs
+++ b/crates/tinbay-gateway/src/front/listener.rs
@@ -18,7 +18,7 @@
 use tokio::net::{TcpListener, TcpStream};
 
 use super::filters;
-use super::question::InboundRequest;
+use super::inbound::InboundRequest;
 use super::refusal::{NotRunReason, Refusal};
 use super::request_log::{self, Ending};
 use crate::events::{self, part};
@@ -124,10 +124,10 @@
     let (parts, body) = request.into_parts();
     let draw = rand::rng().random_range(0.0..1.0);
     let mut response = match InboundRequest::read(&node, parts, arrived_ms, draw, caller.number) {
-        Ok(question) => {
-            let question = Rc::new(question);
-            let response = process(&node, Rc::clone(&question), body).await;
-            watch_reading(&node, question, &caller, response)
+        Ok(inbound) => {
+            let inbound = Rc::new(inbound);
+            let response = process(&node, Rc::clone(&inbound), body).await;
+            watch_reading(&node, inbound, &caller, response)
         }
         Err(refusal) => {
             log_refusal(refusal);
@@ -144,18 +144,18 @@
 /// Wraps a relayed answer so that it is cut off if its caller reads too slowly.
 fn watch_reading(
     node: &Node,
-    question: Rc<InboundRequest>,
+    inbound: Rc<InboundRequest>,
     caller: &CallerConnection,
     response: Response<AnswerBody>,
 ) -> Response<AnswerBody> {
     let reader = ReaderTerms {
-        unread_limit_ms: unread_limit_ms(&question.route),
-        time_up_ms: question.time_up_ms,
+        unread_limit_ms: unread_limit_ms(&inbound.route),
+        time_up_ms: inbound.time_up_ms,
     };
     response.map(|body| match body {
         AnswerBody::Relayed(relay) => {
             let terms = AnswerTerms {
-                asker: question,
+                asker: inbound,
                 reader,
                 connection: caller.number,
                 connection_end: Rc::clone(&caller.end),
@@ -169,14 +169,14 @@
 /// Processes a routed request within its deadline.
 async fn process(
     node: &Rc<Node>,
-    question: Rc<InboundRequest>,
+    inbound: Rc<InboundRequest>,
     body: Incoming,
 ) -> Response<AnswerBody> {
-    let left = Duration::from_millis(question.time_up_ms - question.arrived_ms);
-    let passing = filters::pass(node, &question, body);
+    let left = Duration::from_millis(inbound.time_up_ms - inbound.arrived_ms);
+    let passing = filters::pass(node, &inbound, body);
     let result = match tokio::time::timeout(left, passing).await {
         Ok(result) => result,
-        Err(_) if question.last_send.get().is_none() => Err(Refusal::NotRun {
+        Err(_) if inbound.last_send.get().is_none() => Err(Refusal::NotRun {
             reason: NotRunReason::TimeUp,
             retry_after_ms: RETRY_AFTER_TIME_UP_MS,
         }),
@@ -189,7 +189,7 @@
             let status = response.status().as_u16();
             request_log::log_end(
                 node,
-                &question,
+                &inbound,
                 None,
                 status,
                 None,
--- a/crates/tinbay-gateway/src/front/moving/mod.rs
+++ b/crates/tinbay-gateway/src/front/moving/mod.rs
@@ -22,7 +22,7 @@
 use super::adapters;
 use super::choice::Asked;
 use super::deliver::held_version;
-use super::question::{Handover, InboundRequest};
+use super::inbound::{Handover, InboundRequest};
 use crate::events::{self, part};
 use crate::http::body::{BodyError, RequestBody};
 use crate::http::relay::Successor;
@@ -33,42 +33,42 @@
 /// from a reader is handed over, and only if its length is not known in advance.
 pub fn successor(
     node: &Rc<Node>,
-    question: &Rc<InboundRequest>,
+    inbound: &Rc<InboundRequest>,
     head: &Parts,
     running: &Rc<RefCell<RunningRequest>>,
     body: Option<RequestBody>,
 ) -> Option<Box<dyn Successor>> {
-    let is_stream = question.route.kind == RouteKind::Streaming;
+    let is_stream = inbound.route.kind == RouteKind::Streaming;
     let is_whole_known = head.headers.contains_key(CONTENT_LENGTH);
     if !is_stream || is_whole_known || head.status != StatusCode::OK {
         return None;
     }
-    if !moves_runs(node, &question.service) {
+    if !moves_runs(node, &inbound.service) {
         return None;
     }
     let source = running.borrow().server();
     if !node.splits.is_reader(&node.servers, &source, node.now_ms()) {
         return None;
     }
-    let mover = NodeMover::new(node, question, running, body?);
+    let mover = NodeMover::new(node, inbound, running, body?);
     Some(Box::new(RunSuccessor::new(mover)))
 }
 
 /// Has the server that will continue a run load the adapter while the reader prefills the prompt.
-pub fn prepare(node: &Node, question: &InboundRequest, reader: &Server) {
+pub fn prepare(node: &Node, inbound: &InboundRequest, reader: &Server) {
     let is_reader = node.splits.is_reader(&node.servers, reader, node.now_ms());
-    if !is_reader || question.route.kind != RouteKind::Streaming {
+    if !is_reader || inbound.route.kind != RouteKind::Streaming {
         return;
     }
-    let version = held_version(node, question, reader).unwrap_or_default();
-    match target::choose(node, question, &Asked::default(), version) {
+    let version = held_version(node, inbound, reader).unwrap_or_default();
+    match target::choose(node, inbound, &Asked::default(), version) {
         Target::Later(home) => {
-            node.request_load(&home, adapters::want(node, question, false));
+            node.request_load(&home, adapters::want(node, inbound, false));
         }
         Target::At {
             copy: Some(copy), ..
         } => {
-            node.request_load(&copy, adapters::want(node, question, true));
+            node.request_load(&copy, adapters::want(node, inbound, true));
         }
         Target::At { .. } | Target::Nowhere => {}
     }
@@ -78,22 +78,22 @@
 /// readers and homes depends on how many streams paused for too long.
 pub fn note_stream(
     node: &Node,
-    question: &InboundRequest,
+    inbound: &InboundRequest,
     sight: StreamTiming,
     end: Result<(), BodyError>,
 ) {
-    let is_moved = question.handover.get() == Some(Handover::Moved);
-    let allowed_ms = question.route.objective_gap_ms;
+    let is_moved = inbound.handover.get() == Some(Handover::Moved);
+    let allowed_ms = inbound.route.objective_gap_ms;
     if end.is_err() || is_moved || sight.pieces() < 2 || allowed_ms.is_none() {
         return;
     }
-    if !moves_runs(node, &question.service) {
+    if !moves_runs(node, &inbound.service) {
         return;
     }
     let is_late = sight.has_long_pause(allowed_ms);
     let now_ms = node.now_ms();
-    if node.splits.note_stream(&question.service, is_late, now_ms) {
-        log_split(&question.service);
+    if node.splits.note_stream(&inbound.service, is_late, now_ms) {
+        log_split(&inbound.service);
     }
 }
 
--- a/crates/tinbay-gateway/src/front/moving/mover.rs
+++ b/crates/tinbay-gateway/src/front/moving/mover.rs
@@ -20,7 +20,7 @@
 use crate::front::choice::Asked;
 use crate::front::deliver::{held_version, most_open};
 use crate::front::headers::{self, Resumption, ServerHeaders};
-use crate::front::question::{Handover, InboundRequest};
+use crate::front::inbound::{Handover, InboundRequest};
 use crate::handover::drive::{LocalFuture, Outcome, Resumed, RunMover};
 use crate::http::body::RequestBody;
 use crate::http::call::{CallError, Reply};
@@ -49,7 +49,7 @@
 /// Hands over one run by calls to its servers.
 pub struct NodeMover {
     node: Rc<Node>,
-    question: Rc<InboundRequest>,
+    inbound: Rc<InboundRequest>,
     running: Rc<RefCell<RunningRequest>>,
     body: RequestBody,
     source: Rc<Server>,
@@ -63,15 +63,15 @@
     /// Creates a mover for the run of a request.
     pub fn new(
         node: &Rc<Node>,
-        question: &Rc<InboundRequest>,
+        inbound: &Rc<InboundRequest>,
         running: &Rc<RefCell<RunningRequest>>,
         body: RequestBody,
     ) -> Self {
         let source = running.borrow().server();
-        let version = held_version(node, question, &source).unwrap_or_default();
+        let version = held_version(node, inbound, &source).unwrap_or_default();
         Self {
             node: Rc::clone(node),
-            question: Rc::clone(question),
+            inbound: Rc::clone(inbound),
             running: Rc::clone(running),
             body,
             source,
@@ -85,7 +85,7 @@
         let end_ms = self.node.now_ms() + MAX_SEARCH_MS;
         let mut asked = Asked::default();
         while self.node.now_ms() < end_ms {
-            match target::choose(&self.node, &self.question, &asked, self.version) {
+            match target::choose(&self.node, &self.inbound, &asked, self.version) {
                 Target::At { server, .. }
                     if adapters::needs_status(&self.node, &server, &asked) =>
                 {
@@ -98,7 +98,7 @@
                 Target::Later(server) => {
                     adapters::wait_for_load(
                         &self.node,
-                        &self.question,
+                        &self.inbound,
                         &server,
                         LOOK_PAUSE,
                         &mut asked,
@@ -116,9 +116,9 @@
             return MoveAnswer::NotStopped;
         };
         self.begun_ms.set(self.node.now_ms());
-        self.question.handover.set(Some(Handover::Begun));
+        self.inbound.handover.set(Some(Handover::Begun));
         let dialect = &self.node.dialect;
-        let body = dialect.encode_move(&self.question.id, target.record().address);
+        let body = dialect.encode_move(&self.inbound.id, target.record().address);
         let request = call_to(
             &self.node,
             &self.source,
@@ -126,7 +126,7 @@
             dialect.move_path(),
             body,
         );
-        let most_open = most_open(&self.node, &self.question);
+        let most_open = most_open(&self.node, &self.inbound);
         let pool = Rc::clone(&self.source.pool);
         let node = Rc::clone(&self.node);
         let copies = self.source_copies();
@@ -150,7 +150,7 @@
     fn source_copies(&self) -> SourceCopies {
         SourceCopies {
             node: Rc::clone(&self.node),
-            question: Rc::clone(&self.question),
+            inbound: Rc::clone(&self.inbound),
             source: Rc::clone(&self.source),
         }
     }
@@ -170,17 +170,17 @@
         let copy_source = self.node.dialect.encode_copy_source(source, handle);
         let record = server.record();
         let now_ms = self.node.now_ms();
-        let left_ms = self.question.time_up_ms.saturating_sub(now_ms);
+        let left_ms = self.inbound.time_up_ms.saturating_sub(now_ms);
         let terms = AttemptTerms {
             server: &server,
-            most_open: most_open(&self.node, &self.question),
+            most_open: most_open(&self.node, &self.inbound),
             trust: Trust::RunsOnce,
             headers: ServerHeaders {
                 deadline_ms: left_ms,
                 server_id: &record.id,
-                priority: self.question.rank(),
+                priority: self.inbound.rank(),
                 version: Some(self.version).filter(|version| *version > 0),
-                account: self.question.client_account().map(|account| &*account.name),
+                account: self.inbound.client_account().map(|account| &*account.name),
                 resumption: Some(Resumption {
                     copy_source: &copy_source,
                     last_event_id: last_id,
@@ -191,7 +191,7 @@
             head_within: RESUME_WITHIN.min(Duration::from_millis(left_ms)),
             silent_after: RESUME_WITHIN,
         };
-        match attempt(&self.node, &self.question, body, terms).await {
+        match attempt(&self.node, &self.inbound, body, terms).await {
             AttemptResult::Begun(answer) if answer.response.status() == StatusCode::OK => {
                 *self.running.borrow_mut() = answer.running;
                 let (parts, incoming) = answer.response.into_parts();
@@ -221,7 +221,7 @@
             },
             Outcome::Lost => Handover::Lost,
         };
-        self.question.handover.set(Some(handover));
+        self.inbound.handover.set(Some(handover));
         let outcome = handover.name();
         let handovers = &self.node.metrics.handovers;
         handovers.with_label_values(&[outcome]).inc();
@@ -229,12 +229,12 @@
         let target = target.as_ref().map(|server| server.record());
         let now_ms = self.node.now_ms();
         let event = HandoverEvent {
-            request: &self.question.id,
+            request: &self.inbound.id,
             source: &self.source.record().id,
             target: target.as_ref().map(|record| record.id.as_str()),
             outcome,
             took_ms: target.as_ref().map(|_| now_ms - self.begun_ms.get()),
-            age_ms: now_ms - self.question.arrived_ms,
+            age_ms: now_ms - self.inbound.arrived_ms,
         };
         let level = match handover {
             Handover::Moved => Level::Debug,
@@ -282,7 +282,7 @@
 /// Frees copies on the server that made them.
 struct SourceCopies {
     node: Rc<Node>,
-    question: Rc<InboundRequest>,
+    inbound: Rc<InboundRequest>,
     source: Rc<Server>,
 }
 
@@ -297,7 +297,7 @@
             Bytes::new(),
         );
         let pool = Rc::clone(&self.source.pool);
-        let most_open = most_open(&self.node, &self.question);
+        let most_open = most_open(&self.node, &self.inbound);
         // If this call fails, the server frees the copy by itself after a while.
         tokio::task::spawn_local(async move {
             let _ = call_pooled(&pool, most_open, request, FREE_WITHIN).await;
--- a/crates/tinbay-gateway/src/front/moving/target.rs
+++ b/crates/tinbay-gateway/src/front/moving/target.rs
@@ -5,7 +5,7 @@
 use tinbay_core::serving::contents::{AdapterKey, HeldState};
 
 use crate::front::choice::{self, Asked, Choice, Survey};
-use crate::front::question::InboundRequest;
+use crate::front::inbound::InboundRequest;
 use crate::node::Node;
 use crate::servers::Server;
 
@@ -26,22 +26,22 @@
 
 /// Chooses the server that should continue a run; `version` is the adapter version on the source,
 /// which the target must hold too.
-pub fn choose(node: &Node, question: &InboundRequest, asked: &Asked, version: u64) -> Target {
+pub fn choose(node: &Node, inbound: &InboundRequest, asked: &Asked, version: u64) -> Target {
     let now_ms = node.now_ms();
-    let ready = node.servers.borrow().ready(&question.service);
+    let ready = node.servers.borrow().ready(&inbound.service);
     let split = node
         .splits
-        .split(&node.servers, &question.service, &ready, now_ms);
+        .split(&node.servers, &inbound.service, &ready, now_ms);
     let Some(split) = split else {
         return Target::Nowhere;
     };
-    if adapter_of(question).is_none() {
-        return choose_for_model(node, question, &split.homes);
+    if adapter_of(inbound).is_none() {
+        return choose_for_model(node, inbound, &split.homes);
     }
-    let homes = Survey::make(node, question, &split.homes, asked);
+    let homes = Survey::make(node, inbound, &split.homes, asked);
     match homes.to_choice(homes.pick()) {
         Choice::Send { server, copy } => {
-            let is_there = is_fit(node, &server) && holds(node, question, &server, version);
+            let is_there = is_fit(node, &server) && holds(node, inbound, &server, version);
             match copy {
                 _ if is_there => Target::At { server, copy },
                 Some(copy) => Target::Later(copy),
@@ -53,10 +53,10 @@
     }
 }
 
-fn choose_for_model(node: &Node, question: &InboundRequest, homes: &[Rc<Server>]) -> Target {
-    let model = question.model.as_deref().unwrap_or_default();
+fn choose_for_model(node: &Node, inbound: &InboundRequest, homes: &[Rc<Server>]) -> Target {
+    let model = inbound.model.as_deref().unwrap_or_default();
     let holding = choice::holding(model, homes);
-    let server = choice::least_loaded(node, &holding, question.route.objective_ms);
+    let server = choice::least_loaded(node, &holding, inbound.route.objective_ms);
     match server.filter(|server| is_fit(node, server)) {
         Some(server) => Target::At { server, copy: None },
         None => Target::Nowhere,
@@ -68,8 +68,8 @@
     server.limit_per_s().is_none() && node.running(server) < server.record().slots
 }
 
-fn holds(node: &Node, question: &InboundRequest, server: &Server, version: u64) -> bool {
-    let Some(key) = adapter_of(question) else {
+fn holds(node: &Node, inbound: &InboundRequest, server: &Server, version: u64) -> bool {
+    let Some(key) = adapter_of(inbound) else {
         return true;
     };
     node.entry(server, key)
@@ -77,7 +77,7 @@
 }
 
 /// The key of a request's adapter; `None` if the request names only a base model.
-pub fn adapter_of(question: &InboundRequest) -> Option<AdapterKey> {
-    let model = question.model.as_deref()?;
-    model.contains('/').then_some(question.model_key).flatten()
+pub fn adapter_of(inbound: &InboundRequest) -> Option<AdapterKey> {
+    let model = inbound.model.as_deref()?;
+    model.contains('/').then_some(inbound.model_key).flatten()
 }
--- a/crates/tinbay-gateway/src/front/reader_choice.rs
+++ b/crates/tinbay-gateway/src/front/reader_choice.rs
@@ -11,7 +11,7 @@
 
 use super::adapters::needs_status;
 use super::choice::{Asked, Choice, Survey};
-use super::question::InboundRequest;
+use super::inbound::InboundRequest;
 use crate::handover::split::Split;
 use crate::node::Node;
 use crate::servers::Server;
@@ -19,17 +19,17 @@
 /// Chooses the server for a request that names an adapter.
 pub fn choose_for_adapter(
     node: &Node,
-    question: &InboundRequest,
+    inbound: &InboundRequest,
     split: &Split,
     asked: &Asked,
 ) -> Choice {
-    if let Some(choice) = choose_home(node, question, split, asked) {
+    if let Some(choice) = choose_home(node, inbound, split, asked) {
         return choice;
     }
-    let readers = Survey::make(node, question, &split.readers, asked);
+    let readers = Survey::make(node, inbound, &split.readers, asked);
     match readers.pick() {
         Pick::Nowhere => {
-            let homes = Survey::make(node, question, &split.homes, asked);
+            let homes = Survey::make(node, inbound, &split.homes, asked);
             homes.to_choice(homes.pick())
         }
         pick => readers.to_choice(pick),
@@ -39,19 +39,19 @@
 /// The home of a request, if its prefill stalls no stream there.
 fn choose_home(
     node: &Node,
-    question: &InboundRequest,
+    inbound: &InboundRequest,
     split: &Split,
     asked: &Asked,
 ) -> Option<Choice> {
-    if !reads_beside_streams(node, question, 0.0) {
+    if !reads_beside_streams(node, inbound, 0.0) {
         return None;
     }
-    let homes = Survey::make(node, question, &split.homes, asked);
+    let homes = Survey::make(node, inbound, &split.homes, asked);
     let choice = homes.to_choice(homes.pick());
     let is_fine = match &choice {
         Choice::Send { server, .. } => {
             needs_status(node, server, asked)
-                || reads_beside_streams(node, question, node.backlog_ms(server))
+                || reads_beside_streams(node, inbound, node.backlog_ms(server))
         }
         Choice::Load(_) => true,
         Choice::Nowhere => false,
@@ -62,13 +62,13 @@
 /// Chooses between the least loaded home and reader for a request that names only a base model.
 pub fn choose_for_model(
     node: &Node,
-    question: &InboundRequest,
+    inbound: &InboundRequest,
     home: Option<Rc<Server>>,
     reader: Option<Rc<Server>>,
 ) -> Option<Rc<Server>> {
     match (home, reader) {
         (Some(home), Some(reader)) => {
-            let is_fine = reads_beside_streams(node, question, node.backlog_ms(&home));
+            let is_fine = reads_beside_streams(node, inbound, node.backlog_ms(&home));
             Some(if is_fine { home } else { reader })
         }
         (home, reader) => home.or(reader),
@@ -77,8 +77,8 @@
 
 /// Whether an engine with a prefill queue of `backlog_ms` can prefill the prompt as well without
 /// pausing its streams for too long.
-fn reads_beside_streams(node: &Node, question: &InboundRequest, backlog_ms: f64) -> bool {
-    let own_ms = node.reading_ms(&question.service, question.prompt.tokens);
-    let pause_ms = question.route.objective_gap_ms;
+fn reads_beside_streams(node: &Node, inbound: &InboundRequest, backlog_ms: f64) -> bool {
+    let own_ms = node.reading_ms(&inbound.service, inbound.prompt.tokens);
+    let pause_ms = inbound.route.objective_gap_ms;
     pause_ms.is_none_or(|pause_ms| can_prefill_beside_streams(backlog_ms + own_ms, pause_ms))
 }
--- a/crates/tinbay-gateway/src/front/request_log.rs
+++ b/crates/tinbay-gateway/src/front/request_log.rs
@@ -7,7 +7,7 @@
 
 use super::answer_timing::{AnswerEnd, AnswerTiming};
 use super::attempt::AttemptResult;
-use super::question::InboundRequest;
+use super::inbound::InboundRequest;
 use super::refusal::Refusal;
 use crate::events::{self, part};
 use crate::http::body::BodyError;
@@ -30,7 +30,7 @@
 }
 
 /// Logs an attempt.
-pub fn log_try(node: &Node, question: &InboundRequest, server: &Server, result: &AttemptResult) {
+pub fn log_try(node: &Node, inbound: &InboundRequest, server: &Server, result: &AttemptResult) {
     let cause = match result {
         AttemptResult::Unknown { cause } => Some(cause.name()),
         _ => None,
@@ -51,15 +51,15 @@
         AttemptResult::NotSent { .. } => ("not_sent", None, Level::Info),
         AttemptResult::Unknown { .. } => ("unknown", None, Level::Info),
     };
-    let sent = question.last_send.get();
+    let sent = inbound.last_send.get();
     let event = TryEvent {
-        request: &question.id,
+        request: &inbound.id,
         server: &server.record().id,
         outcome,
         cause,
         status,
         running: server.running(node.now_ms()),
-        age_ms: node.now_ms() - question.arrived_ms,
+        age_ms: node.now_ms() - inbound.arrived_ms,
         expected_version: sent.and_then(|sent| sent.expected_version),
         named_version: sent.and_then(|sent| sent.named_version),
         named_age_ms: sent.and_then(|sent| sent.named_age_ms),
@@ -127,7 +127,7 @@
 /// Logs the end of a request and records its metrics.
 pub fn log_end(
     node: &Node,
-    question: &InboundRequest,
+    inbound: &InboundRequest,
     server: Option<&str>,
     status: u16,
     head_ms: Option<Millis>,
@@ -139,25 +139,25 @@
         Ending::Cut(error) => ("cut", Some(error.to_string())),
         Ending::Refused(refusal) => (refusal.name(), Some(refusal.to_string())),
     };
-    let sent = question.last_send.get();
+    let sent = inbound.last_send.get();
     let now_ms = node.now_ms();
-    let timing = AnswerTiming::new(question, answer_end(status, ending), now_ms);
+    let timing = AnswerTiming::new(inbound, answer_end(status, ending), now_ms);
     let is_served = matches!(ending, Ending::Whole);
-    let digest = question.digest.get().filter(|_| !is_served);
+    let digest = inbound.digest.get().filter(|_| !is_served);
     let event = EndEvent {
-        request: &question.id,
-        route: &question.route.name,
-        service: &question.service,
-        configuration: question.in_force.configuration.version,
-        account: question.client_account().map(|account| &*account.name),
-        admitted_by: question.admitted.get().map(|admitted| admitted.by.name()),
-        units: question.admitted.get().map(|admitted| admitted.units),
-        handover: question.handover.get().map(|handover| handover.name()),
-        room: question.room.outcome().map(|outcome| outcome.name()),
-        room_wait_ms: question.room.wait_ms(),
-        at_limits: Some(question.at_limits.get()).filter(|count| *count > 0),
-        proof_age_ms: question.account.get().map(|shown| shown.proof_age_ms),
-        model: question.model.as_deref(),
+        request: &inbound.id,
+        route: &inbound.route.name,
+        service: &inbound.service,
+        configuration: inbound.in_force.configuration.version,
+        account: inbound.client_account().map(|account| &*account.name),
+        admitted_by: inbound.admitted.get().map(|admitted| admitted.by.name()),
+        units: inbound.admitted.get().map(|admitted| admitted.units),
+        handover: inbound.handover.get().map(|handover| handover.name()),
+        room: inbound.room.outcome().map(|outcome| outcome.name()),
+        room_wait_ms: inbound.room.wait_ms(),
+        at_limits: Some(inbound.at_limits.get()).filter(|count| *count > 0),
+        proof_age_ms: inbound.account.get().map(|shown| shown.proof_age_ms),
+        model: inbound.model.as_deref(),
         server,
         status,
         outcome,
@@ -169,32 +169,32 @@
         named_age_ms: sent.and_then(|sent| sent.named_age_ms),
         head_ms,
         timing,
-        total_ms: now_ms - question.arrived_ms,
+        total_ms: now_ms - inbound.arrived_ms,
     };
-    record_metrics(node, question, outcome, head_ms, &timing);
+    record_metrics(node, inbound, outcome, head_ms, &timing);
     events::emit(part::FRONT, Level::Info, "request", &event);
 }
 
 fn record_metrics(
     node: &Node,
-    question: &InboundRequest,
+    inbound: &InboundRequest,
     outcome: &str,
     head_ms: Option<Millis>,
     timing: &AnswerTiming,
 ) {
     let metrics = &node.metrics;
-    let kind = question.kind();
+    let kind = inbound.kind();
     let seconds = |time_ms: Millis| time_ms as f64 / MS_PER_SECOND as f64;
     metrics.requests.with_label_values(&[kind, outcome]).inc();
     if let Some(head_ms) = head_ms {
         let heads = metrics.head_seconds.with_label_values(&[kind]);
         heads.observe(seconds(head_ms));
     }
-    if let Some(sent) = question.last_send.get() {
+    if let Some(sent) = inbound.last_send.get() {
         let stalls = metrics.stall_seconds.with_label_values(&[kind]);
         stalls.observe(seconds(sent.after_ms));
     }
-    if let Some(answer) = timing.measured(question) {
+    if let Some(answer) = timing.measured(inbound) {
         metrics.count_answer(answer);
     }
 }
--- a/crates/tinbay-gateway/src/front/room.rs
+++ b/crates/tinbay-gateway/src/front/room.rs
@@ -6,7 +6,7 @@
 use tinbay_core::units::Millis;
 
 use super::choice::{self, Asked, Choice};
-use super::question::InboundRequest;
+use super::inbound::InboundRequest;
 use super::refusal::Refusal;
 use crate::members::box_fingerprint;
 use crate::node::Node;
@@ -34,27 +34,27 @@
 /// its account's turn is.
 pub async fn take(
     node: &Rc<Node>,
-    question: &InboundRequest,
+    inbound: &InboundRequest,
     server: &Rc<Server>,
     tried: &[String],
 ) -> Result<Room, Refusal> {
-    let Some(wish) = wish(node, question) else {
+    let Some(wish) = wish(node, inbound) else {
         return Ok(Room::Here);
     };
     let began_ms = node.now_ms();
     let Some(answered) = asking::ask(&**node, server, wish).await else {
         return Ok(Room::Here);
     };
-    question
+    inbound
         .room
         .note(answered.outcome, node.now_ms() - began_ms);
-    count(node, question, answered.outcome.name());
+    count(node, inbound, answered.outcome.name());
     let Some(retry_after_ms) = answered.retry_after_ms else {
         return Ok(Room::Here);
     };
-    question.room.note_full(server.key);
-    let may_ask_more = question.room.full_count() < MAX_ASKED;
-    if may_ask_more && has_other_room(node, question, tried) {
+    inbound.room.note_full(server.key);
+    let may_ask_more = inbound.room.full_count() < MAX_ASKED;
+    if may_ask_more && has_other_room(node, inbound, tried) {
         return Ok(Room::Elsewhere);
     }
     Err(Refusal::NoRoom { retry_after_ms })
@@ -62,42 +62,42 @@
 
 /// The room that a request needs. `None` for a request without client account or model: servers
 /// without models are not shared between accounts.
-fn wish(node: &Node, question: &InboundRequest) -> Option<RoomRequest> {
-    let account = question.client_account()?;
-    question.model_key?;
-    let units = match question.prompt.count {
+fn wish(node: &Node, inbound: &InboundRequest) -> Option<RoomRequest> {
+    let account = inbound.client_account()?;
+    inbound.model_key?;
+    let units = match inbound.prompt.count {
         TokenCount::Declared(tokens) => u32::try_from(tokens).unwrap_or(u32::MAX),
-        TokenCount::Undeclared | TokenCount::Unreadable => question.prompt.tokens,
+        TokenCount::Undeclared | TokenCount::Unreadable => inbound.prompt.tokens,
     };
-    let reading_ms = node.reading_ms(&question.service, question.prompt.tokens) as Millis;
+    let reading_ms = node.reading_ms(&inbound.service, inbound.prompt.tokens) as Millis;
     Some(RoomRequest {
         account: box_fingerprint(&account.name),
-        rank: question.rank(),
+        rank: inbound.rank(),
         units,
         reading_ms,
-        in_time_ms: in_time_ms(question, reading_ms, node.now_ms()),
-        digest: question.digest.get().map_or(0, |digest| digest.short()),
+        in_time_ms: in_time_ms(inbound, reading_ms, node.now_ms()),
+        digest: inbound.digest.get().map_or(0, |digest| digest.short()),
     })
 }
 
 /// Time within which a request must start for its first chunk to meet the objective, after
 /// deducting its own prefill.
-fn in_time_ms(question: &InboundRequest, reading_ms: Millis, now_ms: Millis) -> Millis {
-    let objective_ms = question.route.objective_ms;
-    let begin_by_ms = question.arrived_ms + objective_ms - reading_ms.min(objective_ms / 2);
+fn in_time_ms(inbound: &InboundRequest, reading_ms: Millis, now_ms: Millis) -> Millis {
+    let objective_ms = inbound.route.objective_ms;
+    let begin_by_ms = inbound.arrived_ms + objective_ms - reading_ms.min(objective_ms / 2);
     begin_by_ms.saturating_sub(now_ms)
 }
 
 /// Whether another server that is not overloaded, as far as this box knows, could take the request.
-fn has_other_room(node: &Node, question: &InboundRequest, tried: &[String]) -> bool {
-    match choice::choose(node, question, tried, &Asked::default()) {
+fn has_other_room(node: &Node, inbound: &InboundRequest, tried: &[String]) -> bool {
+    match choice::choose(node, inbound, tried, &Asked::default()) {
         Choice::Send { server, .. } | Choice::Load(server) => !node.is_scarce(&server),
         Choice::Nowhere => false,
     }
 }
 
-fn count(node: &Node, question: &InboundRequest, outcome: &str) {
-    if let Some(account) = question.client_account() {
+fn count(node: &Node, inbound: &InboundRequest, outcome: &str) {
+    if let Some(account) = inbound.client_account() {
         node.metrics.count_room(&account.name, outcome);
     }
 }
--- a/crates/tinbay-gateway/src/node.rs
+++ b/crates/tinbay-gateway/src/node.rs
@@ -25,7 +25,7 @@
 
 use crate::clock::Clock;
 use crate::crashes::Crashes;
-use crate::front::question::InboundRequest;
+use crate::front::inbound::InboundRequest;
 use crate::front::slow_callers::SlowCallers;
 use crate::handover::split::Splits;
 use crate::http::call::Caller;
@@ -587,10 +587,10 @@
     }
 
     /// Notes how long a request's first byte took at a server that had so much to read before.
-    pub fn note_reading(&self, question: &InboundRequest, backlog_ms: f64, took_ms: Millis) {
+    pub fn note_reading(&self, inbound: &InboundRequest, backlog_ms: f64, took_ms: Millis) {
         let mut paces = self.reading.borrow_mut();
-        let pace = paces.entry(question.service.clone()).or_default();
-        pace.note_answer(question.prompt.tokens, backlog_ms, took_ms as f64);
+        let pace = paces.entry(inbound.service.clone()).or_default();
+        pace.note_answer(inbound.prompt.tokens, backlog_ms, took_ms as f64);
     }
 
     /// Time in which an engine of a service reads so many tokens.
@@ -604,16 +604,16 @@
     pub fn begin_request(
         &self,
         server: &Rc<Server>,
-        question: &InboundRequest,
+        inbound: &InboundRequest,
         tokens: u32,
     ) -> RunningRequest {
-        if question.model_key.is_some() {
-            let reading_ms = self.reading_ms(&question.service, tokens);
+        if inbound.model_key.is_some() {
+            let reading_ms = self.reading_ms(&inbound.service, tokens);
             let mut view = server.view.borrow_mut();
             view.note_begun(reading_ms, self.now_ms());
             self.outbox.post_usage(server.key);
         }
-        server.begin_request(question.model_key, tokens)
+        server.begin_request(inbound.model_key, tokens)
     }
 
     /// The box that holds the claim on a server.
--- a/crates/tinbay-gateway/src/orders/holder.rs
+++ b/crates/tinbay-gateway/src/orders/holder.rs
@@ -20,7 +20,7 @@
 use super::held_server::HeldServer;
 use super::quota;
 use crate::events::{self, part};
-use crate::front::question::text;
+use crate::front::inbound::text;
 use crate::http::call::{Call, CallError, Caller, Reply};
 use crate::node::Node;
 use crate::port::dialect::{DecodeError, Order, OrderAction};
