--- a/crates/tinbay-gateway/src/front/adapters.rs
+++ b/crates/tinbay-gateway/src/front/adapters.rs
@@ -8,7 +8,7 @@
 use tinbay_core::serving::wanted_loads::WantedLoad;
 use tinbay_core::units::Millis;
 
-use super::choice::{self, Asked, Choice};
+use super::choice::{self, Choice, HolderRequests};
 use super::inbound::InboundRequest;
 use super::refusal::{NotRunReason, Refusal};
 use crate::events::{self, part};
@@ -35,7 +35,7 @@
     inbound: &InboundRequest,
     tried: &[String],
 ) -> Result<Rc<Server>, Refusal> {
-    let mut asked = Asked::default();
+    let mut asked = HolderRequests::default();
     loop {
         match choice::choose(node, inbound, tried, &asked) {
             Choice::Send { server, copy } => {
@@ -66,13 +66,13 @@
 
 /// Whether to ask the server's holder, the box that manages the server, for a current status before
 /// the request is sent. Asked at most once per request and server.
-pub(super) fn needs_status(node: &Node, server: &Server, asked: &Asked) -> bool {
+pub(super) fn needs_status(node: &Node, server: &Server, asked: &HolderRequests) -> bool {
     let is_refreshed = asked.status_requests.contains_key(&server.key);
     !is_refreshed && node.should_ask(server)
 }
 
 /// Requests the status of a server from its holder and waits up to `ANSWER_WAIT` for it.
-pub(super) async fn refresh_status(node: &Node, server: &Server, asked: &mut Asked) {
+pub(super) async fn refresh_status(node: &Node, server: &Server, asked: &mut HolderRequests) {
     let status_received = server.status_received.notified();
     node.request_status(server);
     asked.status_requests.insert(server.key, node.now_ms());
@@ -95,7 +95,7 @@
 /// Refuses a request early if its adapter will be loaded too late or the box is leaving.
 fn check_load_in_time(
     node: &Node,
-    asked: &mut Asked,
+    asked: &mut HolderRequests,
     server: &Server,
     last_send_ms: Millis,
 ) -> Result<(), Refusal> {
@@ -129,7 +129,7 @@
     inbound: &InboundRequest,
     server: &Server,
     pause: Duration,
-    asked: &mut Asked,
+    asked: &mut HolderRequests,
 ) {
     let adapter = node.waiters.join(inbound.model_key.unwrap_or_default());
     let adapter_ready = adapter.notified();
--- a/crates/tinbay-gateway/src/front/choice.rs
+++ b/crates/tinbay-gateway/src/front/choice.rs
@@ -74,7 +74,7 @@
 
 /// What one request has asked of servers' holders, the boxes that manage them.
 #[derive(Debug, Default)]
-pub struct Asked {
+pub struct HolderRequests {
     /// Load requests by server.
     pub loads: HashMap<ServerKey, LoadRequestTimes>,
     /// Times of the status requests by server.
@@ -92,7 +92,7 @@
     pub expected_ms: Option<Millis>,
 }
 
-impl Asked {
+impl HolderRequests {
     /// Records how long a load takes on a server, if one was requested. The first estimate counts:
     /// later ones are for loads requested then.
     pub fn note_wait(&mut self, server: ServerKey, wait_ms: f64) {
@@ -137,7 +137,12 @@
 }
 
 /// Chooses where a request should run among the servers not in `tried`.
-pub fn choose(node: &Node, inbound: &InboundRequest, tried: &[String], asked: &Asked) -> Choice {
+pub fn choose(
+    node: &Node,
+    inbound: &InboundRequest,
+    tried: &[String],
+    asked: &HolderRequests,
+) -> Choice {
     let mut ready = node.servers.borrow().ready(&inbound.service);
     let is_asked_enough = inbound.at_limits.get() >= MAX_AT_LIMITS;
     ready.retain(|server| {
@@ -239,7 +244,7 @@
         node: &Node,
         inbound: &InboundRequest,
         ready: &[Rc<Server>],
-        asked: &Asked,
+        asked: &HolderRequests,
     ) -> Self {
         let adapter = inbound.model.as_deref().unwrap_or_default();
         let mut survey = Self {
@@ -300,7 +305,7 @@
 
     /// While a load that the request asked for is expected, lets no other server load the adapter
     /// for the same request.
-    fn restrict_loads_to_asked(&mut self, asked: &Asked, now_ms: Millis) {
+    fn restrict_loads_to_asked(&mut self, asked: &HolderRequests, now_ms: Millis) {
         let is_asked = |server: &Rc<Server>| asked.is_coming(server.key, now_ms);
         let is_coming = self
             .servers
@@ -323,7 +328,7 @@
         inbound: &InboundRequest,
         server: &Rc<Server>,
         entry: Option<ViewEntry>,
-        asked: &Asked,
+        asked: &HolderRequests,
     ) {
         let adapter = inbound.model.as_deref().unwrap_or_default();
         let version = node.named_version(adapter).unwrap_or(0);
@@ -357,7 +362,7 @@
     /// The presumed state of the adapter on a server not known to hold it. A server that was asked
     /// to load it will do so. A server other than the first of the order whose status is unknown is
     /// presumed to hold it, as its holder is asked before anything is sent.
-    fn presumed_presence(&self, node: &Node, server: &Server, asked: &Asked) -> Presence {
+    fn presumed_presence(&self, node: &Node, server: &Server, asked: &HolderRequests) -> Presence {
         if asked.is_coming(server.key, node.now_ms()) {
             return Presence::Loading;
         }
--- a/crates/tinbay-gateway/src/front/deliver.rs
+++ b/crates/tinbay-gateway/src/front/deliver.rs
@@ -11,7 +11,7 @@
 
 use super::adapters;
 use super::attempt::{AttemptResult, AttemptTerms, BegunAnswer, UnknownCause, attempt};
-use super::choice::{self, Asked, Choice};
+use super::choice::{self, Choice, HolderRequests};
 use super::headers::{self, ServerHeaders};
 use super::hedge::{self, HedgeTerms, Outgoing};
 use super::inbound::{InboundRequest, LastSend};
@@ -382,7 +382,7 @@
     let mut tried = tries.tried.clone();
     tried.push(server.record().id.clone());
     let is_another = matches!(
-        choice::choose(node, inbound, &tried, &Asked::default()),
+        choice::choose(node, inbound, &tried, &HolderRequests::default()),
         Choice::Send { .. }
     );
     is_another && take_retry_budget(node, inbound)
--- a/crates/tinbay-gateway/src/front/hedge.rs
+++ b/crates/tinbay-gateway/src/front/hedge.rs
@@ -13,7 +13,7 @@
 use tinbay_core::units::Millis;
 
 use super::attempt::AttemptResult;
-use super::choice::{self, Asked, Choice};
+use super::choice::{self, Choice, HolderRequests};
 use super::inbound::InboundRequest;
 use crate::events::{self, part};
 use crate::http::body::RequestBody;
@@ -264,7 +264,7 @@
 ) -> Result<Outgoing, HedgeOutcome> {
     let mut tried = terms.tried.to_vec();
     tried.push(first.record().id.clone());
-    let server = match choice::choose(node, inbound, &tried, &Asked::default()) {
+    let server = match choice::choose(node, inbound, &tried, &HolderRequests::default()) {
         Choice::Send { server, .. } if server.limit_per_s().is_none() => server,
         _ => return Err(HedgeOutcome::NoServer),
     };
--- a/crates/tinbay-gateway/src/front/moving/mod.rs
+++ b/crates/tinbay-gateway/src/front/moving/mod.rs
@@ -20,7 +20,7 @@
 use self::successor::RunSuccessor;
 use self::target::Target;
 use super::adapters;
-use super::choice::Asked;
+use super::choice::HolderRequests;
 use super::deliver::held_version;
 use super::inbound::{Handover, InboundRequest};
 use crate::events::{self, part};
@@ -61,7 +61,7 @@
         return;
     }
     let version = held_version(node, inbound, reader).unwrap_or_default();
-    match target::choose(node, inbound, &Asked::default(), version) {
+    match target::choose(node, inbound, &HolderRequests::default(), version) {
         Target::Later(home) => {
             node.request_load(&home, adapters::want(node, inbound, false));
         }
--- a/crates/tinbay-gateway/src/front/moving/mover.rs
+++ b/crates/tinbay-gateway/src/front/moving/mover.rs
@@ -17,7 +17,7 @@
 use crate::events::{self, part};
 use crate::front::adapters;
 use crate::front::attempt::{AttemptResult, AttemptTerms, attempt};
-use crate::front::choice::Asked;
+use crate::front::choice::HolderRequests;
 use crate::front::deliver::{held_version, most_open};
 use crate::front::headers::{self, Resumption, ServerHeaders};
 use crate::front::inbound::{Handover, InboundRequest};
@@ -83,7 +83,7 @@
 
     async fn search(&self) -> bool {
         let end_ms = self.node.now_ms() + MAX_SEARCH_MS;
-        let mut asked = Asked::default();
+        let mut asked = HolderRequests::default();
         while self.node.now_ms() < end_ms {
             match target::choose(&self.node, &self.inbound, &asked, self.version) {
                 Target::At { server, .. }
--- a/crates/tinbay-gateway/src/front/moving/target.rs
+++ b/crates/tinbay-gateway/src/front/moving/target.rs
@@ -4,7 +4,7 @@
 
 use tinbay_core::serving::contents::{AdapterKey, HeldState};
 
-use crate::front::choice::{self, Asked, Choice, Survey};
+use crate::front::choice::{self, Choice, HolderRequests, Survey};
 use crate::front::inbound::InboundRequest;
 use crate::node::Node;
 use crate::servers::Server;
@@ -26,7 +26,12 @@
 
 /// Chooses the server that should continue a run; `version` is the adapter version on the source,
 /// which the target must hold too.
-pub fn choose(node: &Node, inbound: &InboundRequest, asked: &Asked, version: u64) -> Target {
+pub fn choose(
+    node: &Node,
+    inbound: &InboundRequest,
+    asked: &HolderRequests,
+    version: u64,
+) -> Target {
     let now_ms = node.now_ms();
     let ready = node.servers.borrow().ready(&inbound.service);
     let split = node
--- a/crates/tinbay-gateway/src/front/reader_choice.rs
+++ b/crates/tinbay-gateway/src/front/reader_choice.rs
@@ -10,7 +10,7 @@
 use tinbay_core::serving::placement::Pick;
 
 use super::adapters::needs_status;
-use super::choice::{Asked, Choice, Survey};
+use super::choice::{Choice, HolderRequests, Survey};
 use super::inbound::InboundRequest;
 use crate::handover::split::Split;
 use crate::node::Node;
@@ -21,7 +21,7 @@
     node: &Node,
     inbound: &InboundRequest,
     split: &Split,
-    asked: &Asked,
+    asked: &HolderRequests,
 ) -> Choice {
     if let Some(choice) = choose_home(node, inbound, split, asked) {
         return choice;
@@ -41,7 +41,7 @@
     node: &Node,
     inbound: &InboundRequest,
     split: &Split,
-    asked: &Asked,
+    asked: &HolderRequests,
 ) -> Option<Choice> {
     if !reads_beside_streams(node, inbound, 0.0) {
         return None;
--- a/crates/tinbay-gateway/src/front/room.rs
+++ b/crates/tinbay-gateway/src/front/room.rs
@@ -5,7 +5,7 @@
 use tinbay_core::serving::prompt::TokenCount;
 use tinbay_core::units::Millis;
 
-use super::choice::{self, Asked, Choice};
+use super::choice::{self, Choice, HolderRequests};
 use super::inbound::InboundRequest;
 use super::refusal::Refusal;
 use crate::members::box_fingerprint;
@@ -90,7 +90,7 @@
 
 /// Whether another server that is not overloaded, as far as this box knows, could take the request.
 fn has_other_room(node: &Node, inbound: &InboundRequest, tried: &[String]) -> bool {
-    match choice::choose(node, inbound, tried, &Asked::default()) {
+    match choice::choose(node, inbound, tried, &HolderRequests::default()) {
         Choice::Send { server, .. } | Choice::Load(server) => !node.is_scarce(&server),
         Choice::Nowhere => false,
     }
--- a/crates/tinbay-gateway/tests/asking_test.rs
+++ b/crates/tinbay-gateway/tests/asking_test.rs
@@ -1,7 +1,7 @@
 //! When a box requests loads from holders, and when it reads the store itself while relays don't
 //! answer.
 
-use tinbay_gateway::front::choice::Asked;
+use tinbay_gateway::front::choice::HolderRequests;
 use tinbay_gateway::port::store::StoreError;
 use tinbay_gateway::watch::WatchPace;
 use tinbay_gateway::watch::source::{StoreTurn, StoreTurns};
@@ -10,7 +10,7 @@
 
 #[test]
 fn takes_load_request_first_and_after_a_pause() {
-    let mut asked = Asked::default();
+    let mut asked = HolderRequests::default();
     assert!(asked.takes_load_request(SERVER, 1_000));
     assert!(!asked.takes_load_request(SERVER, 1_000));
     assert!(!asked.takes_load_request(SERVER, 1_199));
@@ -20,7 +20,7 @@
 
 #[test]
 fn is_coming_until_the_load_is_overdue() {
-    let mut asked = Asked::default();
+    let mut asked = HolderRequests::default();
     assert!(!asked.is_coming(SERVER, 1_000));
     asked.takes_load_request(SERVER, 1_000);
     assert!(asked.is_coming(SERVER, 1_299) && !asked.is_coming(SERVER, 1_300));
@@ -32,7 +32,7 @@
 /// requested at that time.
 #[test]
 fn note_wait_first_answer_counts() {
-    let mut asked = Asked::default();
+    let mut asked = HolderRequests::default();
     asked.note_wait(SERVER, 250.0);
     assert_eq!(asked.expected_ms(SERVER), None);
     asked.takes_load_request(SERVER, 1_000);
