--- a/crates/tinbay-core/src/sharing/room.rs
+++ b/crates/tinbay-core/src/sharing/room.rs
@@ -49,7 +49,7 @@
 
 /// A request for admission to a server.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct RoomAsk {
+pub struct AdmissionRequest {
     /// The same each time that the box repeats the request for admission.
     pub id: AskId,
     /// Client account of the caller.
@@ -157,7 +157,7 @@
     }
 
     /// Handles a request for admission, new or repeated.
-    pub fn ask(&mut self, ask: RoomAsk, now_ms: Millis) {
+    pub fn ask(&mut self, ask: AdmissionRequest, now_ms: Millis) {
         if let Some(waiting) = self.waiting.iter_mut().find(|of| of.id == ask.id) {
             waiting.last_asked_ms = now_ms;
             return;
--- a/crates/tinbay-core/tests/sharing_test.rs
+++ b/crates/tinbay-core/tests/sharing_test.rs
@@ -7,7 +7,7 @@
 use tinbay_core::accounts::account::{Account, LimitUnit};
 use tinbay_core::limits::terms::Limit;
 use tinbay_core::serving::servers::Fingerprint;
-use tinbay_core::sharing::room::{AskId, Decision, RoomAnswer, RoomAsk, ServerRoom};
+use tinbay_core::sharing::room::{AdmissionRequest, AskId, Decision, RoomAnswer, ServerRoom};
 use tinbay_core::sharing::scarcity::{Fullness, Scarcity};
 use tinbay_core::sharing::weights::AccountWeights;
 use tinbay_core::units::Millis;
@@ -123,8 +123,8 @@
         self.decide();
     }
 
-    fn ask_of(&self, number: u32, request: &Request) -> RoomAsk {
-        RoomAsk {
+    fn ask_of(&self, number: u32, request: &Request) -> AdmissionRequest {
+        AdmissionRequest {
             id: AskId {
                 box_key: number % BOXES,
                 number,
@@ -614,8 +614,8 @@
     }
 }
 
-fn ask(account: Fingerprint, number: u32, rank: u8) -> RoomAsk {
-    RoomAsk {
+fn ask(account: Fingerprint, number: u32, rank: u8) -> AdmissionRequest {
+    AdmissionRequest {
         id: AskId { box_key: 1, number },
         account,
         rank,
@@ -754,7 +754,7 @@
 fn much_to_read_holds_back_who_had_more_than_its_part() {
     let mut room = ServerRoom::default();
     let weights = AccountWeights::default();
-    let reading = |account, number| RoomAsk {
+    let reading = |account, number| AdmissionRequest {
         reading_ms: 60.0,
         ..ask(account, number, 0)
     };
@@ -815,7 +815,7 @@
         let running = usize::from(running) % (2 * SLOTS);
         let mut room = ServerRoom::default();
         for (number, (account, rank, units, in_time_ms)) in asks.iter().enumerate() {
-            let ask = RoomAsk {
+            let ask = AdmissionRequest {
                 account: u32::from(account % 5),
                 rank: rank % 10,
                 units: f64::from(*units),
--- a/crates/tinbay-gateway/src/sharing/messages.rs
+++ b/crates/tinbay-gateway/src/sharing/messages.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 use tinbay_core::serving::servers::Fingerprint;
-use tinbay_core::sharing::room::{AskId, RoomAnswer, RoomAsk};
+use tinbay_core::sharing::room::{AdmissionRequest, AskId, RoomAnswer};
 use tinbay_core::units::Millis;
 
 /// Request for capacity at a server that the receiver holds.
@@ -28,9 +28,9 @@
 
 impl RoomRequestPart {
     /// Converts the message into a request of the box `box_key`.
-    pub fn to_ask(self, box_key: Fingerprint) -> RoomAsk {
+    pub fn to_ask(self, box_key: Fingerprint) -> AdmissionRequest {
         let number = self.number;
-        RoomAsk {
+        AdmissionRequest {
             id: AskId { box_key, number },
             account: self.account,
             rank: self.rank,
