--- a/crates/tinbay-core/benches/decisions.rs
+++ b/crates/tinbay-core/benches/decisions.rs
@@ -13,7 +13,7 @@
 use tinbay_core::loads::{Allowance, LoadArbiter, LoadWish};
 use tinbay_core::policy::{Policy, PolicyRequest, Treatment};
 use tinbay_core::route::Router;
-use tinbay_core::sharing::room::{AdmissionRequest, AskId, ServerRoom};
+use tinbay_core::sharing::room::{AdmissionId, AdmissionRequest, ServerRoom};
 use tinbay_core::sharing::scarcity::Fullness;
 use tinbay_core::sharing::weights::AccountWeights;
 use tinbay_core::view::{BoxRecord, BoxState, View};
@@ -248,7 +248,7 @@
         objective_ms: 800,
     };
     let ask = |number: u32| AdmissionRequest {
-        id: AskId { box_key: 1, number },
+        id: AdmissionId { box_key: 1, number },
         account: number % 16,
         rank: (number % 3) as u8,
         units: 1_600.0,
--- a/crates/tinbay-core/src/sharing/room.rs
+++ b/crates/tinbay-core/src/sharing/room.rs
@@ -40,7 +40,7 @@
 
 /// Identifies a request for admission.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub struct AskId {
+pub struct AdmissionId {
     /// The box that sent it.
     pub box_key: Fingerprint,
     /// Unique among the requests of that box.
@@ -51,7 +51,7 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct AdmissionRequest {
     /// The same each time that the box repeats the request for admission.
-    pub id: AskId,
+    pub id: AdmissionId,
     /// Client account of the caller.
     pub account: Fingerprint,
     /// Priority; 0 goes first.
@@ -82,7 +82,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Decision {
     /// The request for admission.
-    pub id: AskId,
+    pub id: AdmissionId,
     /// Whether it is admitted.
     pub answer: RoomAnswer,
 }
@@ -90,7 +90,7 @@
 /// A request that waits for admission.
 #[derive(Debug, Clone, Copy)]
 struct Waiting {
-    id: AskId,
+    id: AdmissionId,
     entry: QueueEntry,
     reading_ms: f64,
     begin_by_ms: Millis,
@@ -101,7 +101,7 @@
 /// An admitted request.
 #[derive(Debug, Clone, Copy)]
 struct Admitted {
-    id: AskId,
+    id: AdmissionId,
     reading_ms: f64,
     at_ms: Millis,
 }
@@ -140,7 +140,7 @@
     }
 
     /// Whether a request for admission is still undecided.
-    pub fn is_waiting(&self, id: AskId) -> bool {
+    pub fn is_waiting(&self, id: AdmissionId) -> bool {
         self.waiting.iter().any(|of| of.id == id)
     }
 
--- a/crates/tinbay-core/tests/sharing_test.rs
+++ b/crates/tinbay-core/tests/sharing_test.rs
@@ -7,7 +7,7 @@
 use tinbay_core::accounts::account::{Account, LimitUnit};
 use tinbay_core::limits::terms::Limit;
 use tinbay_core::serving::servers::Fingerprint;
-use tinbay_core::sharing::room::{AdmissionRequest, AskId, Decision, RoomAnswer, ServerRoom};
+use tinbay_core::sharing::room::{AdmissionId, AdmissionRequest, Decision, RoomAnswer, ServerRoom};
 use tinbay_core::sharing::scarcity::{Fullness, Scarcity};
 use tinbay_core::sharing::weights::AccountWeights;
 use tinbay_core::units::Millis;
@@ -125,7 +125,7 @@
 
     fn ask_of(&self, number: u32, request: &Request) -> AdmissionRequest {
         AdmissionRequest {
-            id: AskId {
+            id: AdmissionId {
                 box_key: number % BOXES,
                 number,
             },
@@ -616,7 +616,7 @@
 
 fn ask(account: Fingerprint, number: u32, rank: u8) -> AdmissionRequest {
     AdmissionRequest {
-        id: AskId { box_key: 1, number },
+        id: AdmissionId { box_key: 1, number },
         account,
         rank,
         units: UNITS,
--- a/crates/tinbay-gateway/src/sharing/messages.rs
+++ b/crates/tinbay-gateway/src/sharing/messages.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 use tinbay_core::serving::servers::Fingerprint;
-use tinbay_core::sharing::room::{AdmissionRequest, AskId, RoomAnswer};
+use tinbay_core::sharing::room::{AdmissionId, AdmissionRequest, RoomAnswer};
 use tinbay_core::units::Millis;
 
 /// Request for capacity at a server that the receiver holds.
@@ -31,7 +31,7 @@
     pub fn to_ask(self, box_key: Fingerprint) -> AdmissionRequest {
         let number = self.number;
         AdmissionRequest {
-            id: AskId { box_key, number },
+            id: AdmissionId { box_key, number },
             account: self.account,
             rank: self.rank,
             units: f64::from(self.units),
