--- a/crates/tinbay-core/src/sharing/room.rs
+++ b/crates/tinbay-core/src/sharing/room.rs
@@ -68,7 +68,7 @@
 
 /// Answer to a request for admission.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum RoomAnswer {
+pub enum AdmissionAnswer {
     /// The request may be sent to the server.
     LetIn,
     /// The request can't start in time and must not be sent.
@@ -84,7 +84,7 @@
     /// The request for admission.
     pub id: AdmissionId,
     /// Whether it is admitted.
-    pub answer: RoomAnswer,
+    pub answer: AdmissionAnswer,
 }
 
 /// A request that waits for admission.
@@ -163,7 +163,7 @@
             return;
         }
         if self.admitted.iter().any(|of| of.id == ask.id) {
-            let (id, answer) = (ask.id, RoomAnswer::LetIn);
+            let (id, answer) = (ask.id, AdmissionAnswer::LetIn);
             self.repeated.push(Decision { id, answer });
             return;
         }
@@ -306,7 +306,7 @@
         });
         Decision {
             id: waiting.id,
-            answer: RoomAnswer::LetIn,
+            answer: AdmissionAnswer::LetIn,
         }
     }
 
@@ -333,7 +333,7 @@
         }
         Decision {
             id: waiting.id,
-            answer: RoomAnswer::TurnedAway { turn_in_ms },
+            answer: AdmissionAnswer::TurnedAway { turn_in_ms },
         }
     }
 }
--- a/crates/tinbay-core/tests/sharing_test.rs
+++ b/crates/tinbay-core/tests/sharing_test.rs
@@ -7,7 +7,9 @@
 use tinbay_core::accounts::account::{Account, LimitUnit};
 use tinbay_core::limits::terms::Limit;
 use tinbay_core::serving::servers::Fingerprint;
-use tinbay_core::sharing::room::{AdmissionId, AdmissionRequest, Decision, RoomAnswer, ServerRoom};
+use tinbay_core::sharing::room::{
+    AdmissionAnswer, AdmissionId, AdmissionRequest, Decision, ServerRoom,
+};
 use tinbay_core::sharing::scarcity::{Fullness, Scarcity};
 use tinbay_core::sharing::weights::AccountWeights;
 use tinbay_core::units::Millis;
@@ -196,8 +198,10 @@
     fn take(&mut self, decision: Decision) {
         let request = self.waiting.remove(&decision.id.number).expect("known");
         match decision.answer {
-            RoomAnswer::LetIn => self.send(request, decision.id.box_key),
-            RoomAnswer::TurnedAway { turn_in_ms } => self.note(&request, None, Some(turn_in_ms)),
+            AdmissionAnswer::LetIn => self.send(request, decision.id.box_key),
+            AdmissionAnswer::TurnedAway { turn_in_ms } => {
+                self.note(&request, None, Some(turn_in_ms))
+            }
         }
     }
 
@@ -602,7 +606,7 @@
 }
 
 fn is_admitted(decision: &&Decision) -> bool {
-    decision.answer == RoomAnswer::LetIn
+    decision.answer == AdmissionAnswer::LetIn
 }
 
 fn full(running: usize) -> Fullness {
--- a/crates/tinbay-gateway/src/sharing/messages.rs
+++ b/crates/tinbay-gateway/src/sharing/messages.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 use tinbay_core::serving::servers::Fingerprint;
-use tinbay_core::sharing::room::{AdmissionId, AdmissionRequest, RoomAnswer};
+use tinbay_core::sharing::room::{AdmissionAnswer, AdmissionId, AdmissionRequest};
 use tinbay_core::units::Millis;
 
 /// Request for capacity at a server that the receiver holds.
@@ -67,11 +67,11 @@
     NotHolder,
 }
 
-impl From<RoomAnswer> for RoomReply {
-    fn from(answer: RoomAnswer) -> Self {
+impl From<AdmissionAnswer> for RoomReply {
+    fn from(answer: AdmissionAnswer) -> Self {
         match answer {
-            RoomAnswer::LetIn => RoomReply::Admitted,
-            RoomAnswer::TurnedAway { turn_in_ms } => RoomReply::Rejected {
+            AdmissionAnswer::LetIn => RoomReply::Admitted,
+            AdmissionAnswer::TurnedAway { turn_in_ms } => RoomReply::Rejected {
                 retry_after_ms: u16::try_from(turn_in_ms).unwrap_or(u16::MAX),
             },
         }
