--- a/crates/tinbay-core/benches/decisions.rs
+++ b/crates/tinbay-core/benches/decisions.rs
@@ -13,7 +13,7 @@
 use tinbay_core::loads::{Allowance, LoadArbiter, LoadWish};
 use tinbay_core::policy::{Policy, PolicyRequest, Treatment};
 use tinbay_core::route::Router;
-use tinbay_core::sharing::room::{AdmissionId, AdmissionRequest, ServerRoom};
+use tinbay_core::sharing::room::{AdmissionId, AdmissionQueue, AdmissionRequest};
 use tinbay_core::sharing::scarcity::Fullness;
 use tinbay_core::sharing::weights::AccountWeights;
 use tinbay_core::view::{BoxRecord, BoxState, View};
@@ -257,7 +257,7 @@
         digest: u64::from(number),
     };
     for waiting in [4, 16, 64] {
-        let mut room = ServerRoom::default();
+        let mut room = AdmissionQueue::default();
         for number in 0..waiting {
             room.ask(ask(number), 1_000);
         }
--- a/crates/tinbay-core/src/sharing/room.rs
+++ b/crates/tinbay-core/src/sharing/room.rs
@@ -116,7 +116,7 @@
 
 /// Admission queue of one server.
 #[derive(Debug, Clone, Default)]
-pub struct ServerRoom {
+pub struct AdmissionQueue {
     scarcity: Scarcity,
     waiting: Vec<Waiting>,
     /// Admitted requests whose boxes have not yet reported their start.
@@ -128,7 +128,7 @@
     retries: ScheduledRetries,
 }
 
-impl ServerRoom {
+impl AdmissionQueue {
     /// Whether requests need admission.
     pub fn is_scarce(&self) -> bool {
         self.scarcity.is_scarce()
--- a/crates/tinbay-core/tests/sharing_test.rs
+++ b/crates/tinbay-core/tests/sharing_test.rs
@@ -8,7 +8,7 @@
 use tinbay_core::limits::terms::Limit;
 use tinbay_core::serving::servers::Fingerprint;
 use tinbay_core::sharing::room::{
-    AdmissionAnswer, AdmissionId, AdmissionRequest, Decision, ServerRoom,
+    AdmissionAnswer, AdmissionId, AdmissionQueue, AdmissionRequest, Decision,
 };
 use tinbay_core::sharing::scarcity::{Fullness, Scarcity};
 use tinbay_core::sharing::weights::AccountWeights;
@@ -29,7 +29,7 @@
 /// A server that runs some requests concurrently and queues the others by rank and arrival, with or
 /// without admission control.
 struct World {
-    room: Option<ServerRoom>,
+    room: Option<AdmissionQueue>,
     weights: AccountWeights,
     now_ms: Millis,
     /// Requests at the server: running ones, and those in its own queue.
@@ -83,7 +83,7 @@
 
     fn with_seed(is_shared: bool, seed: u64) -> Self {
         Self {
-            room: is_shared.then(ServerRoom::default),
+            room: is_shared.then(AdmissionQueue::default),
             weights: AccountWeights::default(),
             now_ms: 10_000,
             running: Vec::new(),
@@ -112,7 +112,7 @@
     fn arrive(&mut self, request: Request) {
         self.next_number += 1;
         let number = self.next_number;
-        let is_scarce = self.room.as_ref().is_some_and(ServerRoom::is_scarce);
+        let is_scarce = self.room.as_ref().is_some_and(AdmissionQueue::is_scarce);
         if !is_scarce {
             self.send(request, number % BOXES);
             return;
@@ -211,7 +211,7 @@
         let now_ms = self.now_ms;
         self.running.retain(|request| request.ends_ms > now_ms);
         self.begin_next();
-        let is_scarce = self.room.as_ref().is_some_and(ServerRoom::is_scarce);
+        let is_scarce = self.room.as_ref().is_some_and(AdmissionQueue::is_scarce);
         let report_ms = if is_scarce {
             REPORT_SCARCE_MS
         } else {
@@ -393,7 +393,7 @@
     let mut world = World::new(true);
     let half: Vec<_> = usual().into_iter().take(6).collect();
     world.play(&half, 10_000);
-    assert!(!world.room.as_ref().is_some_and(ServerRoom::is_scarce));
+    assert!(!world.room.as_ref().is_some_and(AdmissionQueue::is_scarce));
     assert!(world.results.iter().all(|of| of.waited_ms == Some(0)));
     world.play(&usual(), 10_000);
     assert!(world.results.iter().all(Outcome::is_in_time));
@@ -579,7 +579,7 @@
 fn holder_new_gives_no_more_than_places() {
     let load = |world: &mut World| {
         world.play(&surge(&[3]), 2_000);
-        world.room = Some(ServerRoom::default());
+        world.room = Some(AdmissionQueue::default());
         world.waiting.clear();
         world.decide();
         world.play(&surge(&[3]), 6_000);
@@ -592,7 +592,7 @@
 /// Two holders that each hear of half of the requests send the server at most twice its capacity.
 #[test]
 fn two_holders_give_at_most_twice() {
-    let mut rooms = [ServerRoom::default(), ServerRoom::default()];
+    let mut rooms = [AdmissionQueue::default(), AdmissionQueue::default()];
     let weights = AccountWeights::default();
     let mut admitted = 0;
     for room in &mut rooms {
@@ -634,7 +634,7 @@
 /// after a while.
 #[test]
 fn room_of_a_frozen_box_is_given_on() {
-    let mut room = ServerRoom::default();
+    let mut room = AdmissionQueue::default();
     let weights = AccountWeights::default();
     for number in 0..15 {
         room.ask(ask(1, number, 0), 1_000);
@@ -651,7 +651,7 @@
 /// A repeated request for admission counts once; one that is no longer repeated is dropped.
 #[test]
 fn question_repeated_is_one_and_silent_is_forgotten() {
-    let mut room = ServerRoom::default();
+    let mut room = AdmissionQueue::default();
     for now_ms in [1_000, 1_100, 1_200] {
         room.ask(ask(1, 7, 0), now_ms);
     }
@@ -663,7 +663,7 @@
 /// After a lost decision, the repeated request gets the same decision and counts once.
 #[test]
 fn question_again_after_a_lost_word_is_let_in_once() {
-    let mut room = ServerRoom::default();
+    let mut room = AdmissionQueue::default();
     let weights = AccountWeights::default();
     room.ask(ask(1, 7, 0), 1_000);
     let first = room.decide(full(SLOTS + 2), &weights, 1_000);
@@ -756,7 +756,7 @@
 /// share wait, and those of others go first.
 #[test]
 fn much_to_read_holds_back_who_had_more_than_its_part() {
-    let mut room = ServerRoom::default();
+    let mut room = AdmissionQueue::default();
     let weights = AccountWeights::default();
     let reading = |account, number| AdmissionRequest {
         reading_ms: 60.0,
@@ -790,7 +790,7 @@
 /// While slots are free, nothing is rejected, even if the estimated prefill backlog is far too high.
 #[test]
 fn much_to_read_turns_nobody_away_while_places_are_free() {
-    let mut room = ServerRoom::default();
+    let mut room = AdmissionQueue::default();
     let weights = AccountWeights::default();
     let wrong = Fullness {
         backlog_ms: 60_000.0,
@@ -817,7 +817,7 @@
 fn decide_keeps_its_bounds_whatever_is_asked() {
     fn property(asks: Vec<(u8, u8, u16, u16)>, running: u8) -> bool {
         let running = usize::from(running) % (2 * SLOTS);
-        let mut room = ServerRoom::default();
+        let mut room = AdmissionQueue::default();
         for (number, (account, rank, units, in_time_ms)) in asks.iter().enumerate() {
             let ask = AdmissionRequest {
                 account: u32::from(account % 5),
--- a/crates/tinbay-gateway/src/orders/held_server.rs
+++ b/crates/tinbay-gateway/src/orders/held_server.rs
@@ -9,7 +9,7 @@
 use tinbay_core::serving::spread::Spreads;
 use tinbay_core::serving::subscribers::{ContentsChange, MOST_MISTRUST, Subscribers};
 use tinbay_core::serving::wanted_loads::{WantedLoad, WantedLoads};
-use tinbay_core::sharing::room::ServerRoom;
+use tinbay_core::sharing::room::AdmissionQueue;
 use tinbay_core::units::Millis;
 
 use crate::limits::notices;
@@ -49,7 +49,7 @@
     /// Load requests that are not fulfilled yet.
     pub wants: RefCell<WantedLoads>,
     /// Allocation of the server's capacity to boxes while it is scarce.
-    pub room: RefCell<ServerRoom>,
+    pub room: RefCell<AdmissionQueue>,
     /// Set when the server refused a request for an adapter that it should hold.
     pub restart_check_due: Cell<bool>,
     /// Set when the server's limit changed and its users have not been told yet.
