--- a/crates/tinbay-core/benches/decisions.rs
+++ b/crates/tinbay-core/benches/decisions.rs
@@ -14,7 +14,7 @@
 use tinbay_core::policy::{Policy, PolicyRequest, Treatment};
 use tinbay_core::route::Router;
 use tinbay_core::sharing::room::{AdmissionId, AdmissionQueue, AdmissionRequest};
-use tinbay_core::sharing::scarcity::Fullness;
+use tinbay_core::sharing::scarcity::ServerLoad;
 use tinbay_core::sharing::weights::AccountWeights;
 use tinbay_core::view::{BoxRecord, BoxState, View};
 
@@ -241,7 +241,7 @@
 fn bench_sharing(c: &mut Criterion) {
     let mut group = c.benchmark_group("sharing_ask_and_decide");
     let weights = AccountWeights::default();
-    let full = Fullness {
+    let full = ServerLoad {
         running: 15,
         slots: 12,
         backlog_ms: 0.0,
--- a/crates/tinbay-core/src/sharing/room.rs
+++ b/crates/tinbay-core/src/sharing/room.rs
@@ -8,7 +8,7 @@
 use super::order::{QueueEntry, order};
 use super::places::SlotTimes;
 use super::returns::ScheduledRetries;
-use super::scarcity::{Fullness, Scarcity};
+use super::scarcity::{Scarcity, ServerLoad};
 use super::weights::AccountWeights;
 use crate::serving::servers::Fingerprint;
 use crate::units::Millis;
@@ -187,7 +187,7 @@
     /// Decides which requests are admitted or rejected now. `fullness` holds what the boxes reported.
     pub fn decide(
         &mut self,
-        fullness: Fullness,
+        fullness: ServerLoad,
         weights: &AccountWeights,
         now_ms: Millis,
     ) -> Vec<Decision> {
@@ -195,7 +195,7 @@
         self.slot_times.note_running(fullness.running, now_ms);
         let mut decisions = std::mem::take(&mut self.repeated);
         decisions.extend(self.decide_waiting(fullness, weights, now_ms));
-        let fullness = Fullness {
+        let fullness = ServerLoad {
             running: fullness.running + self.admitted.len(),
             ..fullness
         };
@@ -216,7 +216,7 @@
 
     fn decide_waiting(
         &mut self,
-        fullness: Fullness,
+        fullness: ServerLoad,
         weights: &AccountWeights,
         now_ms: Millis,
     ) -> Vec<Decision> {
@@ -272,7 +272,7 @@
         &self,
         waiting: &Waiting,
         ahead: &Ahead,
-        fullness: Fullness,
+        fullness: ServerLoad,
         terms: &PassTerms<'_>,
     ) -> bool {
         ahead.reading_ms <= fullness.most_backlog_ms()
--- a/crates/tinbay-core/src/sharing/scarcity.rs
+++ b/crates/tinbay-core/src/sharing/scarcity.rs
@@ -16,7 +16,7 @@
 
 /// Load of a server.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Fullness {
+pub struct ServerLoad {
     /// Requests running or admitted.
     pub running: usize,
     /// Requests that the server runs concurrently.
@@ -27,7 +27,7 @@
     pub objective_ms: Millis,
 }
 
-impl Fullness {
+impl ServerLoad {
     fn is_full(&self) -> bool {
         self.running >= self.slots.max(1) || self.backlog_ms > self.most_backlog_ms()
     }
@@ -55,7 +55,7 @@
 
 impl Scarcity {
     /// Updates the state with the server's load. Waiting requests keep the server scarce.
-    pub fn note(&mut self, fullness: Fullness, has_waiting: bool, now_ms: Millis) {
+    pub fn note(&mut self, fullness: ServerLoad, has_waiting: bool, now_ms: Millis) {
         if fullness.is_full() || has_waiting {
             self.is_scarce = true;
         }
--- a/crates/tinbay-core/tests/sharing_test.rs
+++ b/crates/tinbay-core/tests/sharing_test.rs
@@ -10,7 +10,7 @@
 use tinbay_core::sharing::room::{
     AdmissionAnswer, AdmissionId, AdmissionQueue, AdmissionRequest, Decision,
 };
-use tinbay_core::sharing::scarcity::{Fullness, Scarcity};
+use tinbay_core::sharing::scarcity::{Scarcity, ServerLoad};
 use tinbay_core::sharing::weights::AccountWeights;
 use tinbay_core::units::Millis;
 
@@ -175,8 +175,8 @@
         });
     }
 
-    fn fullness(&self) -> Fullness {
-        Fullness {
+    fn fullness(&self) -> ServerLoad {
+        ServerLoad {
             running: self.reported,
             slots: SLOTS,
             backlog_ms: 0.0,
@@ -609,8 +609,8 @@
     decision.answer == AdmissionAnswer::LetIn
 }
 
-fn full(running: usize) -> Fullness {
-    Fullness {
+fn full(running: usize) -> ServerLoad {
+    ServerLoad {
         running,
         slots: SLOTS,
         backlog_ms: 0.0,
@@ -715,7 +715,7 @@
 #[test]
 fn scarcity_begins_with_much_to_read() {
     let mut scarcity = Scarcity::default();
-    let much = Fullness {
+    let much = ServerLoad {
         backlog_ms: OBJECTIVE_MS as f64 * 0.75,
         ..full(1)
     };
@@ -769,7 +769,7 @@
     let first = room.decide(full(0), &weights, 1_000);
     assert_eq!(first.iter().filter(is_admitted).count(), 9);
     room.note_begun(1, 9, 1_010);
-    let much = |backlog_ms| Fullness {
+    let much = |backlog_ms| ServerLoad {
         backlog_ms,
         ..full(9)
     };
@@ -792,7 +792,7 @@
 fn much_to_read_turns_nobody_away_while_places_are_free() {
     let mut room = AdmissionQueue::default();
     let weights = AccountWeights::default();
-    let wrong = Fullness {
+    let wrong = ServerLoad {
         backlog_ms: 60_000.0,
         ..full(1)
     };
--- a/crates/tinbay-gateway/src/sharing/holder.rs
+++ b/crates/tinbay-gateway/src/sharing/holder.rs
@@ -6,7 +6,7 @@
 use serde::Serialize;
 use tinbay_core::serving::servers::Fingerprint;
 use tinbay_core::sharing::room::Decision;
-use tinbay_core::sharing::scarcity::Fullness;
+use tinbay_core::sharing::scarcity::ServerLoad;
 use tinbay_core::units::Millis;
 
 use super::messages::{RoomReply, RoomReplyPart, RoomRequestPart};
@@ -117,10 +117,10 @@
     (scarce, waiting)
 }
 
-fn fullness(in_force: &InForce, server: &Server, held: &HeldServer, now_ms: Millis) -> Fullness {
+fn fullness(in_force: &InForce, server: &Server, held: &HeldServer, now_ms: Millis) -> ServerLoad {
     let record = server.record();
     let objective_ms = in_force.shortest_objective_ms(&record.service);
-    Fullness {
+    ServerLoad {
         running: held.running(now_ms),
         slots: record.slots,
         backlog_ms: held.backlog_ms(now_ms),
@@ -152,7 +152,7 @@
     box_fingerprint(&node.settings.borrow().box_id)
 }
 
-fn log_change(server: &Server, fullness: Fullness, is_scarce: bool) {
+fn log_change(server: &Server, fullness: ServerLoad, is_scarce: bool) {
     let event = ScarcityEvent {
         server: &server.record().id,
         is_scarce,
