--- a/crates/tinbay-core/src/limits/home.rs
+++ b/crates/tinbay-core/src/limits/home.rs
@@ -13,7 +13,7 @@
 use super::bucket::{Bucket, Refill};
 use super::denied::{CallerTry, DeniedRequests};
 use super::terms::LimitTerms;
-use super::turns::Turns;
+use super::turns::RetryTimes;
 
 /// Fraction of the bucket reserved for requests that wait. Only units above it are granted ahead of
 /// demand.
@@ -57,7 +57,7 @@
 pub struct LimitHome {
     bucket: Bucket,
     /// Spaces the retry times of rejected requests.
-    turns: Turns,
+    turns: RetryTimes,
     /// Rejected requests. Those that are late get only units that new ones leave.
     denied: DeniedRequests,
     /// When units were last requested.
@@ -70,7 +70,7 @@
     pub fn new(now_ms: Millis) -> Self {
         Self {
             bucket: Bucket::empty(now_ms),
-            turns: Turns::default(),
+            turns: RetryTimes::default(),
             denied: DeniedRequests::default(),
             last_request_ms: now_ms,
         }
--- a/crates/tinbay-core/src/limits/turns.rs
+++ b/crates/tinbay-core/src/limits/turns.rs
@@ -4,12 +4,12 @@
 
 /// Retry times given to rejected requests, one after the other.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Turns {
+pub struct RetryTimes {
     /// The latest retry time given so far.
     last_retry_ms: Millis,
 }
 
-impl Turns {
+impl RetryTimes {
     /// Time until the next retry: not before `first_ms`, and `gap_ms` after the previous one, but at
     /// most `longest_ms`.
     pub fn next_ms(
--- a/crates/tinbay-core/src/sharing/accounts.rs
+++ b/crates/tinbay-core/src/sharing/accounts.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 
 use super::weights::AccountWeights;
-use crate::limits::turns::Turns;
+use crate::limits::turns::RetryTimes;
 use crate::serving::decay::DecayingValue;
 use crate::serving::servers::Fingerprint;
 use crate::units::Millis;
@@ -24,7 +24,7 @@
 #[derive(Debug, Clone, Copy, Default)]
 struct Usage {
     used: DecayingValue,
-    turns: Turns,
+    turns: RetryTimes,
 }
 
 /// Recent use of a server by client account, in tokens.
@@ -70,7 +70,7 @@
     }
 
     /// Retry times given to an account's rejected requests.
-    pub fn turns(&mut self, account: Fingerprint) -> &mut Turns {
+    pub fn turns(&mut self, account: Fingerprint) -> &mut RetryTimes {
         &mut self.by_account.entry(account).or_default().turns
     }
 
--- a/crates/tinbay-gateway/src/limits/mod.rs
+++ b/crates/tinbay-gateway/src/limits/mod.rs
@@ -20,7 +20,7 @@
 use tinbay_core::limits::denied::CallerTry;
 use tinbay_core::limits::home::{LimitHome, UnitGrant, UnitRequest};
 use tinbay_core::limits::share::{LimitShare, ShareTerms};
-use tinbay_core::limits::turns::Turns;
+use tinbay_core::limits::turns::RetryTimes;
 use tinbay_core::serving::servers::Fingerprint;
 use tinbay_core::units::Millis;
 use tokio::sync::oneshot;
@@ -84,7 +84,7 @@
     prefetched_ms: RefCell<HashMap<LimitKey, Millis>>,
     /// Retry slots of callers rejected while all servers of a service are at their limits, by
     /// service.
-    retry_slots: RefCell<HashMap<String, Turns>>,
+    retry_slots: RefCell<HashMap<String, RetryTimes>>,
     waiting: RefCell<HashMap<u32, oneshot::Sender<Answer>>>,
     last_number: Cell<u32>,
     /// Cached view of the fleet and its expiry.
