--- a/crates/tinbay-core/src/memory/cuts.rs
+++ b/crates/tinbay-core/src/memory/cuts.rs
@@ -2,14 +2,14 @@
 
 use std::collections::HashMap;
 
-use super::ledger::AccountPrint;
+use super::ledger::AccountHash;
 use crate::units::{MS_PER_SECOND, Millis};
 
 /// An answer that is buffered for a slow caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct UnreadAnswer {
     /// Client account of the caller; callers without one count as a single account.
-    pub account: Option<AccountPrint>,
+    pub account: Option<AccountHash>,
     /// Buffered bytes.
     pub held_bytes: u64,
     /// Average read rate of the caller.
@@ -43,8 +43,8 @@
         .map(|(index, _)| index)
 }
 
-fn heaviest_account(answers: &[UnreadAnswer]) -> Option<Option<AccountPrint>> {
-    let mut held: HashMap<Option<AccountPrint>, u64> = HashMap::new();
+fn heaviest_account(answers: &[UnreadAnswer]) -> Option<Option<AccountHash>> {
+    let mut held: HashMap<Option<AccountHash>, u64> = HashMap::new();
     for answer in answers {
         *held.entry(answer.account).or_default() += answer.held_bytes;
     }
--- a/crates/tinbay-core/src/memory/ledger.rs
+++ b/crates/tinbay-core/src/memory/ledger.rs
@@ -6,7 +6,7 @@
 use super::terms::MemoryTerms;
 
 /// Hash of a client account's name.
-pub type AccountPrint = u32;
+pub type AccountHash = u32;
 
 /// Identifies a caller's connection.
 pub type ConnectionNumber = u64;
@@ -15,7 +15,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Holder {
     /// Client account; absent where requests need no key.
-    pub account: Option<AccountPrint>,
+    pub account: Option<AccountHash>,
     /// Connection of the caller.
     pub connection: ConnectionNumber,
 }
@@ -45,7 +45,7 @@
 #[derive(Debug, Default)]
 pub struct Ledger {
     total_bytes: u64,
-    by_account: HashMap<AccountPrint, u64>,
+    by_account: HashMap<AccountHash, u64>,
     by_connection: HashMap<ConnectionNumber, u64>,
 }
 
@@ -74,7 +74,7 @@
     }
 
     /// Bytes held for a client account.
-    pub fn account_bytes(&self, account: AccountPrint) -> u64 {
+    pub fn account_bytes(&self, account: AccountHash) -> u64 {
         self.by_account.get(&account).copied().unwrap_or_default()
     }
 
--- a/crates/tinbay-gateway/src/front/inbound.rs
+++ b/crates/tinbay-gateway/src/front/inbound.rs
@@ -9,7 +9,7 @@
 use tinbay_core::accounts::key::KeyDigest;
 use tinbay_core::accounts::key_check::ShownKey;
 use tinbay_core::crashes::digest::RequestDigest;
-use tinbay_core::memory::ledger::{AccountPrint, ConnectionNumber, Holder};
+use tinbay_core::memory::ledger::{AccountHash, ConnectionNumber, Holder};
 use tinbay_core::serving::configuration::{Route, RouteKind};
 use tinbay_core::serving::contents::{AdapterKey, adapter_key};
 use tinbay_core::serving::prompt::Prompt;
@@ -261,7 +261,7 @@
         &self.id
     }
 
-    fn account(&self) -> Option<AccountPrint> {
+    fn account(&self) -> Option<AccountHash> {
         self.holder().account
     }
 }
--- a/crates/tinbay-gateway/src/http/pump/watch.rs
+++ b/crates/tinbay-gateway/src/http/pump/watch.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use tinbay_core::memory::cuts;
-use tinbay_core::memory::ledger::{AccountPrint, ConnectionNumber};
+use tinbay_core::memory::ledger::{AccountHash, ConnectionNumber};
 use tinbay_core::memory::reader::{BEHIND_AFTER_MS, CutCause, ReaderTerms};
 use tinbay_core::units::Millis;
 use tokio::sync::Notify;
@@ -25,7 +25,7 @@
     fn id(&self) -> &str;
 
     /// Its client account, if it has one.
-    fn account(&self) -> Option<AccountPrint>;
+    fn account(&self) -> Option<AccountHash>;
 }
 
 /// What binds one answer, and whose it is.
