--- a/crates/tinbay-core/src/memory/reader.rs
+++ b/crates/tinbay-core/src/memory/reader.rs
@@ -64,15 +64,15 @@
     pub waits: bool,
 }
 
-/// Read progress of a caller over time, sampled by [`ReaderSight::look`].
+/// Read progress of a caller over time, sampled by [`ReadTracker::look`].
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct ReaderSight {
+pub struct ReadTracker {
     taken_bytes: u64,
     began_ms: Millis,
     progress_ms: Millis,
 }
 
-impl ReaderSight {
+impl ReadTracker {
     /// Starts tracking a caller whose answer begins now.
     pub fn begin(now_ms: Millis) -> Self {
         Self {
--- a/crates/tinbay-core/tests/memory_test.rs
+++ b/crates/tinbay-core/tests/memory_test.rs
@@ -4,7 +4,7 @@
 use tinbay_core::memory::cuts::{UnreadAnswer, first_to_cut, to_cut};
 use tinbay_core::memory::ledger::{Holder, Ledger, MemoryShort};
 use tinbay_core::memory::reader::{
-    BEHIND_AFTER_MS, CutCause, LATE_PATIENCE_MS, LONGEST_LATE_MS, ReaderSight, ReaderTerms, Taken,
+    BEHIND_AFTER_MS, CutCause, LATE_PATIENCE_MS, LONGEST_LATE_MS, ReadTracker, ReaderTerms, Taken,
     unread_limit_ms,
 };
 use tinbay_core::memory::terms::MemoryTerms;
@@ -191,7 +191,7 @@
 
 #[test]
 fn is_behind_reader_that_waits_for_more() {
-    let mut sight = ReaderSight::begin(0);
+    let mut sight = ReadTracker::begin(0);
     let waits = true;
     sight.look(Taken { bytes: 10, waits }, 1_000);
     sight.look(Taken { bytes: 10, waits }, 60_000);
@@ -200,7 +200,7 @@
 
 #[test]
 fn is_behind_reader_that_takes_nothing() {
-    let mut sight = ReaderSight::begin(0);
+    let mut sight = ReadTracker::begin(0);
     sight.look(taken(10), 50);
     sight.look(taken(10), 50 + BEHIND_AFTER_MS - 1);
     assert!(!sight.is_behind(50 + BEHIND_AFTER_MS - 1));
@@ -209,7 +209,7 @@
 
 #[test]
 fn judge_nothing_read_for_as_long_as_the_route_allows() {
-    let sight = ReaderSight::begin(0);
+    let sight = ReadTracker::begin(0);
     assert_eq!(sight.judge(&READER, false, 1_999), None);
     assert_eq!(sight.judge(&READER, false, 2_000), Some(CutCause::Unread));
 }
@@ -217,7 +217,7 @@
 /// The answer of a caller that reads 100 bytes per second is aborted exactly at the deadline.
 #[test]
 fn judge_slow_trickle_reader() {
-    let mut sight = ReaderSight::begin(0);
+    let mut sight = ReadTracker::begin(0);
     let mut cut = None;
     for step in 1..600 {
         let now_ms: Millis = step * 100;
@@ -233,14 +233,14 @@
 
 #[test]
 fn judge_whole_answer_waits_for_its_caller_until_its_time() {
-    let sight = ReaderSight::begin(0);
+    let sight = ReadTracker::begin(0);
     assert_eq!(sight.judge(&READER, true, 4_999), None);
     assert_eq!(sight.judge(&READER, true, 5_000), Some(CutCause::Unread));
 }
 
 #[test]
 fn judge_whole_answer_is_delivered_late() {
-    let mut sight = ReaderSight::begin(0);
+    let mut sight = ReadTracker::begin(0);
     for step in 1..=60 {
         let now_ms: Millis = step * 100;
         sight.look(taken(now_ms), now_ms);
@@ -250,7 +250,7 @@
 
 #[test]
 fn judge_whole_answer_late_and_unread() {
-    let mut sight = ReaderSight::begin(0);
+    let mut sight = ReadTracker::begin(0);
     sight.look(taken(1), 5_000);
     assert_eq!(sight.judge(&READER, true, 5_000), None);
     let end_ms = 5_000 + LATE_PATIENCE_MS;
@@ -259,7 +259,7 @@
 
 #[test]
 fn judge_whole_answer_trickled_for_too_long() {
-    let mut sight = ReaderSight::begin(0);
+    let mut sight = ReadTracker::begin(0);
     let end_ms = READER.time_up_ms + LONGEST_LATE_MS;
     sight.look(taken(1), end_ms - 1);
     assert_eq!(sight.judge(&READER, true, end_ms - 1), None);
@@ -270,7 +270,7 @@
 /// The answer of a caller that never stops reading is aborted as well.
 #[test]
 fn is_overdue_steady_reader() {
-    let mut sight = ReaderSight::begin(0);
+    let mut sight = ReadTracker::begin(0);
     let end_ms = READER.time_up_ms + LONGEST_LATE_MS;
     for now_ms in (0..end_ms).step_by(50) {
         sight.look(taken(now_ms), now_ms);
--- a/crates/tinbay-gateway/src/http/pump/answer.rs
+++ b/crates/tinbay-gateway/src/http/pump/answer.rs
@@ -9,7 +9,7 @@
 use hyper::body::{Body, Frame, SizeHint};
 use tinbay_core::memory::cuts::UnreadAnswer;
 use tinbay_core::memory::ledger::Holder;
-use tinbay_core::memory::reader::{CutCause, ReaderSight, Taken};
+use tinbay_core::memory::reader::{CutCause, ReadTracker, Taken};
 use tinbay_core::units::Millis;
 
 use super::readahead::{ReadAhead, length};
@@ -33,7 +33,7 @@
     broken: Cell<Option<BodyError>>,
     taken_bytes: Cell<u64>,
     waits: Cell<bool>,
-    sight: Cell<ReaderSight>,
+    sight: Cell<ReadTracker>,
     terms: AnswerTerms,
     watch: Rc<AnswerWatch>,
 }
@@ -47,7 +47,7 @@
             broken: Cell::default(),
             taken_bytes: Cell::default(),
             waits: Cell::default(),
-            sight: Cell::new(ReaderSight::begin(watch.now_ms())),
+            sight: Cell::new(ReadTracker::begin(watch.now_ms())),
             terms,
             watch: Rc::clone(watch),
         });
