--- a/crates/tinbay-core/src/accounts/key_check.rs
+++ b/crates/tinbay-core/src/accounts/key_check.rs
@@ -52,7 +52,7 @@
 
 /// The key that a request carries.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum ShownKey {
+pub enum PresentedKey {
     /// No key, or a malformed one.
     None,
     /// A well-formed key, by its digest.
@@ -80,7 +80,7 @@
 pub fn check(
     accounts: &AccountTable,
     is_public: bool,
-    key: ShownKey,
+    key: PresentedKey,
     copy_age_ms: Millis,
     terms: &KeyTerms,
 ) -> KeyDecision {
@@ -97,11 +97,11 @@
 
 fn check_key(
     accounts: &AccountTable,
-    key: ShownKey,
+    key: PresentedKey,
     copy_age_ms: Millis,
     terms: &KeyTerms,
 ) -> KeyDecision {
-    let ShownKey::Digest(digest) = key else {
+    let PresentedKey::Digest(digest) = key else {
         return KeyDecision::NoKey;
     };
     match accounts.by_key(digest) {
--- a/crates/tinbay-core/tests/accounts_key_test.rs
+++ b/crates/tinbay-core/tests/accounts_key_test.rs
@@ -5,7 +5,7 @@
 use quickcheck::QuickCheck;
 use tinbay_core::accounts::account::{Account, LimitUnit};
 use tinbay_core::accounts::key::KeyDigest;
-use tinbay_core::accounts::key_check::{KeyDecision, KeyTerms, ShownKey, check};
+use tinbay_core::accounts::key_check::{KeyDecision, KeyTerms, PresentedKey, check};
 use tinbay_core::accounts::priority::PriorityRanks;
 use tinbay_core::accounts::table::{AccountError, AccountTable};
 use tinbay_core::limits::terms::Limit;
@@ -37,8 +37,8 @@
     AccountTable::new(accounts).expect("accounts")
 }
 
-fn shown(key: &str) -> ShownKey {
-    ShownKey::Digest(digest(key))
+fn shown(key: &str) -> PresentedKey {
+    PresentedKey::Digest(digest(key))
 }
 
 fn is_served(decision: &KeyDecision) -> bool {
@@ -83,7 +83,7 @@
 #[test]
 fn check_without_accounts_needs_no_key() {
     let none = AccountTable::default();
-    let decision = check(&none, false, ShownKey::None, 60_000, &TERMS);
+    let decision = check(&none, false, PresentedKey::None, 60_000, &TERMS);
     assert_eq!(decision, KeyDecision::Serve(None));
 }
 
@@ -91,8 +91,8 @@
 fn check_no_key_and_unknown_key() {
     let accounts = table(vec![account("one", &["k1"])]);
     let decide = |key, age_ms| check(&accounts, false, key, age_ms, &TERMS);
-    assert_eq!(decide(ShownKey::None, 0), KeyDecision::NoKey);
-    assert_eq!(decide(ShownKey::None, 60_000), KeyDecision::NoKey);
+    assert_eq!(decide(PresentedKey::None, 0), KeyDecision::NoKey);
+    assert_eq!(decide(PresentedKey::None, 60_000), KeyDecision::NoKey);
     assert_eq!(decide(shown("other"), 2_800), KeyDecision::Unknown);
     assert_eq!(decide(shown("other"), 2_801), KeyDecision::CopyTooOld);
     assert!(is_served(&decide(shown("k1"), 3_300)));
@@ -106,7 +106,7 @@
     assert!(is_served(&decide(shown("k1"), 0)));
     assert_eq!(decide(shown("k1"), 4_000), KeyDecision::Serve(None));
     assert_eq!(decide(shown("other"), 0), KeyDecision::Serve(None));
-    assert_eq!(decide(ShownKey::None, 0), KeyDecision::Serve(None));
+    assert_eq!(decide(PresentedKey::None, 0), KeyDecision::Serve(None));
 }
 
 /// When a box queried the store and how long the answers took, in raw units.
--- a/crates/tinbay-gateway/src/front/inbound.rs
+++ b/crates/tinbay-gateway/src/front/inbound.rs
@@ -7,7 +7,7 @@
 use hyper::http::request::Parts;
 use tinbay_core::accounts::account::Account;
 use tinbay_core::accounts::key::KeyDigest;
-use tinbay_core::accounts::key_check::ShownKey;
+use tinbay_core::accounts::key_check::PresentedKey;
 use tinbay_core::crashes::digest::RequestDigest;
 use tinbay_core::memory::ledger::{AccountHash, ConnectionNumber, Holder};
 use tinbay_core::serving::configuration::{Route, RouteKind};
@@ -97,7 +97,7 @@
     /// Digest by which identical requests are recognized; set once the body is read.
     pub digest: OnceCell<RequestDigest>,
     /// Digest of the API key.
-    pub key: ShownKey,
+    pub key: PresentedKey,
     /// The client account; set once the key is checked.
     pub account: OnceCell<ShownAccount>,
     /// Units consumed of the account's limit; absent if no limit applies.
@@ -268,14 +268,14 @@
 
 /// Removes the API key from the headers, so that it is neither kept nor forwarded, and returns its
 /// digest. A key that is given twice counts as none.
-fn take_key(headers: &mut HeaderMap, name: &HeaderName) -> ShownKey {
+fn take_key(headers: &mut HeaderMap, name: &HeaderName) -> PresentedKey {
     let given = headers.get_all(name).iter().count();
     let Some(key) = headers.remove(name) else {
-        return ShownKey::None;
+        return PresentedKey::None;
     };
     match KeyDigest::of(key.as_bytes()) {
-        Some(digest) if given == 1 => ShownKey::Digest(digest),
-        _ => ShownKey::None,
+        Some(digest) if given == 1 => PresentedKey::Digest(digest),
+        _ => PresentedKey::None,
     }
 }
 
