--- a/crates/tinbay-core/benches/decisions.rs
+++ b/crates/tinbay-core/benches/decisions.rs
@@ -10,7 +10,7 @@
 };
 use tinbay_core::ids::{BoxId, EngineId, ModelRef, RequestId, ZoneId};
 use tinbay_core::keys::{KeyTable, RequestKey};
-use tinbay_core::loads::{Allowance, LoadArbiter, LoadWish};
+use tinbay_core::loads::{Allowance, LoadArbiter, LoadRequest};
 use tinbay_core::policy::{Policy, PolicyRequest, Treatment};
 use tinbay_core::route::Router;
 use tinbay_core::sharing::room::{AdmissionId, AdmissionQueue, AdmissionRequest};
@@ -190,7 +190,7 @@
             loads_per_s: 0.001,
             at_once: 1,
         });
-        let request = |number: usize| LoadWish {
+        let request = |number: usize| LoadRequest {
             rank: (number % 3) as u8,
             since_ms: number as u64,
             engine: EngineId::new(format!("engine-{}", number % 100)),
--- a/crates/tinbay-core/src/loads.rs
+++ b/crates/tinbay-core/src/loads.rs
@@ -29,7 +29,7 @@
 
 /// A request to load a model into an engine.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct LoadWish {
+pub struct LoadRequest {
     /// Best rank among the requests that wait for the model; 0 goes first.
     pub rank: u8,
     /// When that request arrived.
@@ -46,8 +46,8 @@
     allowance: Allowance,
     tokens: f64,
     refilled_ms: Millis,
-    waiting: BTreeSet<LoadWish>,
-    by_target: HashMap<(EngineId, ModelRef), LoadWish>,
+    waiting: BTreeSet<LoadRequest>,
+    by_target: HashMap<(EngineId, ModelRef), LoadRequest>,
     running: BTreeMap<(EngineId, ModelRef), Millis>,
 }
 
@@ -70,7 +70,7 @@
     }
 
     /// Queues a request. Of several requests for the same target, the one with the better rank counts.
-    pub fn ask(&mut self, request: LoadWish) {
+    pub fn ask(&mut self, request: LoadRequest) {
         let target = (request.engine.clone(), request.model.clone());
         if self.running.contains_key(&target) {
             return;
@@ -103,7 +103,7 @@
     }
 
     /// Grants the loads that the allowance permits at `now_ms`.
-    pub fn grant(&mut self, now_ms: Millis) -> Vec<LoadWish> {
+    pub fn grant(&mut self, now_ms: Millis) -> Vec<LoadRequest> {
         self.refill(now_ms);
         self.running
             .retain(|_, since_ms| now_ms.saturating_sub(*since_ms) < PERMIT_LIFE_MS);
--- a/crates/tinbay-core/tests/loads_test.rs
+++ b/crates/tinbay-core/tests/loads_test.rs
@@ -1,10 +1,10 @@
 //! Tests of the distribution of the weight store's allowance.
 
 use tinbay_core::ids::{EngineId, ModelRef};
-use tinbay_core::loads::{Allowance, LoadArbiter, LoadWish};
+use tinbay_core::loads::{Allowance, LoadArbiter, LoadRequest};
 
-fn request(rank: u8, since_ms: u64, number: usize) -> LoadWish {
-    LoadWish {
+fn request(rank: u8, since_ms: u64, number: usize) -> LoadRequest {
+    LoadRequest {
         rank,
         since_ms,
         engine: EngineId::new(format!("engine-{number}")),
@@ -25,7 +25,7 @@
     arbiter.ask(request(50, 1, 1));
     arbiter.ask(request(50, 0, 2));
     arbiter.ask(request(0, 9, 3));
-    let granted: Vec<LoadWish> = (0..4).flat_map(|step| arbiter.grant(step * 100)).collect();
+    let granted: Vec<LoadRequest> = (0..4).flat_map(|step| arbiter.grant(step * 100)).collect();
     let order: Vec<u8> = granted.iter().map(|request| request.rank).collect();
     let ages: Vec<u64> = granted.iter().map(|request| request.since_ms).collect();
     assert_eq!(order, vec![0, 50, 50]);
--- a/crates/tinbay-experiment/src/run.rs
+++ b/crates/tinbay-experiment/src/run.rs
@@ -5,7 +5,7 @@
 
 use tinbay_core::engine::{Ask, Command, EngineContents, EngineShape, Event, Refusal, Scheduler};
 use tinbay_core::ids::{EngineId, ModelRef, RequestId};
-use tinbay_core::loads::{LoadArbiter, LoadWish};
+use tinbay_core::loads::{LoadArbiter, LoadRequest};
 use tinbay_core::policy::{Policy, PolicyRequest, Treatment};
 use tinbay_core::units::Millis;
 
@@ -394,7 +394,7 @@
             self.give(engine, Event::LoadGranted(model));
             return;
         }
-        self.arbiter.ask(LoadWish {
+        self.arbiter.ask(LoadRequest {
             rank,
             since_ms: self.now_ms,
             engine: engine_id(engine),
--- a/crates/tinbay-node/src/controllers/loads.rs
+++ b/crates/tinbay-node/src/controllers/loads.rs
@@ -9,7 +9,7 @@
 use futures_util::future::LocalBoxFuture;
 use tinbay_core::config::{ConfigKey, ConfigObject, Kind};
 use tinbay_core::ids::{EngineId, ModelRef};
-use tinbay_core::loads::{Allowance, LoadArbiter, LoadWish};
+use tinbay_core::loads::{Allowance, LoadArbiter, LoadRequest};
 use tinbay_core::view::BoxRecord;
 use tinbay_wire::control::{Message, Reply};
 use tokio::sync::oneshot;
@@ -50,7 +50,7 @@
 }
 
 impl GrantQueue {
-    fn enqueue(&mut self, wish: LoadWish) -> oneshot::Receiver<()> {
+    fn enqueue(&mut self, wish: LoadRequest) -> oneshot::Receiver<()> {
         let (sender, receiver) = oneshot::channel();
         let target = (wish.engine.clone(), wish.model.clone());
         self.waiting.entry(target).or_default().push(sender);
@@ -87,7 +87,7 @@
 
 impl LoadLimiter {
     /// Waits until a load is granted.
-    pub async fn ask(&self, node: &Node, wish: LoadWish) {
+    pub async fn ask(&self, node: &Node, wish: LoadRequest) {
         loop {
             let Some(arbiter) = find_arbiter(node) else {
                 return self.wait_for_local_grant(node, wish).await;
@@ -110,7 +110,7 @@
     }
 
     /// Waits for a grant from the region's queue while this box is the arbiter.
-    pub async fn wait_for_region_grant(&self, node: &Node, mut wish: LoadWish) {
+    pub async fn wait_for_region_grant(&self, node: &Node, mut wish: LoadRequest) {
         wish.since_ms = node.clock.now_ms();
         let granted = lock(&self.region).enqueue(wish);
         self.grant(node);
@@ -140,7 +140,7 @@
     }
 
     /// Waits for a grant from this box's share of the allowance, as there is no reachable arbiter.
-    async fn wait_for_local_grant(&self, node: &Node, mut wish: LoadWish) {
+    async fn wait_for_local_grant(&self, node: &Node, mut wish: LoadRequest) {
         log::debug!(target: part::LOADS, "no load arbiter for {} on {}, using the share of this box", wish.model, wish.engine);
         wish.since_ms = node.clock.now_ms();
         let granted = lock(&self.local).enqueue(wish);
--- a/crates/tinbay-node/src/owners/orders.rs
+++ b/crates/tinbay-node/src/owners/orders.rs
@@ -5,7 +5,7 @@
 use tinbay_core::config::{ConfigKey, ConfigObject};
 use tinbay_core::engine::{Command, Event};
 use tinbay_core::ids::ModelRef;
-use tinbay_core::loads::LoadWish;
+use tinbay_core::loads::LoadRequest;
 use tinbay_core::units::Millis;
 use tinbay_wire::engine::EngineRefusal;
 use tokio::sync::mpsc;
@@ -60,7 +60,7 @@
     rank: u8,
     since_ms: Millis,
 ) {
-    let wish = LoadWish {
+    let wish = LoadRequest {
         rank,
         since_ms,
         engine: engine.spec().name.clone(),
--- a/crates/tinbay-wire/src/control.rs
+++ b/crates/tinbay-wire/src/control.rs
@@ -5,7 +5,7 @@
 use tinbay_core::fence::MAX_SUCCESSION;
 use tinbay_core::ids::{BoxId, EngineId, Incarnation, ModelRef};
 use tinbay_core::keys::{Claim, RequestKey};
-use tinbay_core::loads::LoadWish;
+use tinbay_core::loads::LoadRequest;
 use tinbay_core::units::{Millis, Revision};
 use tinbay_core::view::{BoxRecord, BoxRun};
 
@@ -30,7 +30,7 @@
     /// A claimed request certainly did not run.
     ReleaseNotRun(RequestKey),
     /// Ask the load arbiter for permission; answered when granted.
-    AskLoad(LoadWish),
+    AskLoad(LoadRequest),
     /// A granted load has ended or is not needed any more.
     EndLoad {
         /// Where.
