--- a/crates/tinbay-core/benches/decisions.rs
+++ b/crates/tinbay-core/benches/decisions.rs
@@ -6,7 +6,7 @@
 use criterion::{BatchSize, BenchmarkId, Criterion, criterion_group, criterion_main};
 use tinbay_core::config::{Adapter, ConfigObject, ConfigStore};
 use tinbay_core::engine::{
-    Ask, EngineContents, EngineOwner, EngineShape, Event, OwnerSettings, Scheduler,
+    EngineContents, EngineOwner, EngineShape, Event, OwnerSettings, QueuedRequest, Scheduler,
 };
 use tinbay_core::ids::{BoxId, EngineId, ModelRef, RequestId, ZoneId};
 use tinbay_core::keys::{KeyTable, RequestKey};
@@ -22,8 +22,8 @@
     ModelRef::new(format!("adapter-{number}"), "v1")
 }
 
-fn ask(id: u64, number: usize) -> Ask {
-    Ask {
+fn ask(id: u64, number: usize) -> QueuedRequest {
+    QueuedRequest {
         id: RequestId(id),
         model: model(number),
         organisation: format!("organisation-{}", number % 500),
--- a/crates/tinbay-core/src/engine/mod.rs
+++ b/crates/tinbay-core/src/engine/mod.rs
@@ -33,7 +33,7 @@
 
 /// A request that waits for an engine.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Ask {
+pub struct QueuedRequest {
     /// Unique within this box.
     pub id: RequestId,
     /// Adapter and version to run.
@@ -63,7 +63,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Event {
     /// A request arrived.
-    Submit(Ask),
+    Submit(QueuedRequest),
     /// The caller of a queued request disconnected.
     Cancel(RequestId),
     /// A dispatched request has left the engine, with any outcome.
--- a/crates/tinbay-core/src/engine/owner.rs
+++ b/crates/tinbay-core/src/engine/owner.rs
@@ -8,7 +8,7 @@
 use super::queue::Queue;
 use super::settings::OwnerSettings;
 use super::slots::{Slot, SlotState, Slots};
-use super::{Ask, Command, EngineShape, Event, Refusal, Scheduler};
+use super::{Command, EngineShape, Event, QueuedRequest, Refusal, Scheduler};
 use crate::ids::{ModelRef, RequestId};
 use crate::rendezvous;
 use crate::units::Millis;
@@ -106,7 +106,7 @@
         self.learnt
     }
 
-    fn submit(&mut self, now_ms: Millis, ask: Ask, out: &mut Vec<Command>) {
+    fn submit(&mut self, now_ms: Millis, ask: QueuedRequest, out: &mut Vec<Command>) {
         if self.leaving {
             out.push(refuse(ask.id, Refusal::EngineLeaves, 0));
             return;
@@ -141,7 +141,7 @@
         failure.is_some_and(|failure| now_ms < failure.retry_ms)
     }
 
-    fn estimate_wait_ms(&self, now_ms: Millis, ask: &Ask) -> Millis {
+    fn estimate_wait_ms(&self, now_ms: Millis, ask: &QueuedRequest) -> Millis {
         let wait_ms = self.expected_wait_ms(now_ms, ask.rank);
         if self.slots.is_loaded(&ask.model) {
             return wait_ms;
--- a/crates/tinbay-core/src/engine/placement.rs
+++ b/crates/tinbay-core/src/engine/placement.rs
@@ -2,7 +2,7 @@
 
 use super::owner::EngineOwner;
 use super::slots::{Slot, SlotState};
-use super::{Ask, Command};
+use super::{Command, QueuedRequest};
 use crate::ids::ModelRef;
 use crate::units::Millis;
 
@@ -238,7 +238,7 @@
         self.queue.set_dispatchable(model, true);
     }
 
-    fn load_rank(&self, ask: &Ask, now_ms: Millis) -> u8 {
+    fn load_rank(&self, ask: &QueuedRequest, now_ms: Millis) -> u8 {
         let late = ask.start_by_ms < now_ms + self.settings.late_within_ms;
         if !ask.urgent && late {
             return ask.rank.min(LATE_RANK);
--- a/crates/tinbay-core/src/engine/queue.rs
+++ b/crates/tinbay-core/src/engine/queue.rs
@@ -6,7 +6,7 @@
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 
-use super::Ask;
+use super::QueuedRequest;
 use crate::ids::{ModelRef, RequestId};
 use crate::units::Millis;
 
@@ -26,7 +26,7 @@
 
 #[derive(Debug)]
 struct Waiting {
-    ask: Ask,
+    ask: QueuedRequest,
     key: QueueKey,
 }
 
@@ -51,7 +51,7 @@
     /// later.
     ///
     /// Related: Goyal, Vin and Cheng, "Start-time fair queueing", SIGCOMM 1996.
-    pub fn push(&mut self, ask: Ask, share_ms: Millis) {
+    pub fn push(&mut self, ask: QueuedRequest, share_ms: Millis) {
         let arrival_ms = self.virtual_arrival(&ask, share_ms);
         let patience_ms = ask.start_by_ms.saturating_sub(ask.arrived_ms);
         let key = QueueKey {
@@ -73,7 +73,7 @@
     }
 
     /// Removes a request.
-    pub fn remove(&mut self, id: RequestId) -> Option<Ask> {
+    pub fn remove(&mut self, id: RequestId) -> Option<QueuedRequest> {
         let Waiting { ask, key } = self.items.remove(&id)?;
         self.expiry.remove(&(ask.start_by_ms, id));
         if let Some(count) = self.per_rank.get_mut(&ask.rank) {
@@ -103,14 +103,14 @@
     }
 
     /// The first request of a dispatchable model.
-    pub fn first_dispatchable(&self) -> Option<&Ask> {
+    pub fn first_dispatchable(&self) -> Option<&QueuedRequest> {
         let (key, _) = self.dispatchable_heads.first()?;
         self.ask(key.id)
     }
 
     /// The first dispatchable request among the `depth` batch requests with the earliest start
     /// limits, if that limit is before `horizon_ms`.
-    pub fn late_dispatchable(&self, horizon_ms: Millis, depth: usize) -> Option<&Ask> {
+    pub fn late_dispatchable(&self, horizon_ms: Millis, depth: usize) -> Option<&QueuedRequest> {
         self.late_batch
             .iter()
             .take(depth)
@@ -120,7 +120,7 @@
     }
 
     /// The first request of each model that is not dispatchable, in queue order.
-    pub fn blocked_heads(&self) -> impl Iterator<Item = &Ask> {
+    pub fn blocked_heads(&self) -> impl Iterator<Item = &QueuedRequest> {
         self.blocked_heads
             .iter()
             .filter_map(|(key, _)| self.ask(key.id))
@@ -175,7 +175,7 @@
         ids
     }
 
-    fn ask(&self, id: RequestId) -> Option<&Ask> {
+    fn ask(&self, id: RequestId) -> Option<&QueuedRequest> {
         self.items.get(&id).map(|waiting| &waiting.ask)
     }
 
@@ -224,7 +224,7 @@
         }
     }
 
-    fn virtual_arrival(&mut self, ask: &Ask, share_ms: Millis) -> Millis {
+    fn virtual_arrival(&mut self, ask: &QueuedRequest, share_ms: Millis) -> Millis {
         if self.virtual_ms.len() > MAX_TRACKED_ORGANISATIONS {
             self.virtual_ms
                 .retain(|_, next_ms| *next_ms > ask.arrived_ms);
--- a/crates/tinbay-core/src/naive.rs
+++ b/crates/tinbay-core/src/naive.rs
@@ -5,7 +5,7 @@
 
 use std::collections::{HashMap, VecDeque};
 
-use crate::engine::{Ask, Command, EngineShape, Event, Refusal, Scheduler};
+use crate::engine::{Command, EngineShape, Event, QueuedRequest, Refusal, Scheduler};
 use crate::ids::{ModelRef, RequestId};
 use crate::units::Millis;
 
@@ -29,7 +29,7 @@
 #[derive(Debug)]
 pub struct NaiveScheduler {
     shape: EngineShape,
-    queue: VecDeque<Ask>,
+    queue: VecDeque<QueuedRequest>,
     slots: HashMap<ModelRef, Slot>,
     running: HashMap<RequestId, ModelRef>,
 }
@@ -131,7 +131,7 @@
     fn fail_load(&mut self, model: &ModelRef, out: &mut Vec<Command>) {
         self.slots.remove(model);
         out.push(Command::EndLoad(model.clone()));
-        let failed = |ask: &Ask| ask.model == *model;
+        let failed = |ask: &QueuedRequest| ask.model == *model;
         for ask in self.queue.iter().filter(|ask| failed(ask)) {
             out.push(Command::Refuse {
                 id: ask.id,
--- a/crates/tinbay-core/tests/common/mod.rs
+++ b/crates/tinbay-core/tests/common/mod.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use tinbay_core::engine::{Ask, Command, EngineContents, EngineShape, Event, Scheduler};
+use tinbay_core::engine::{Command, EngineContents, EngineShape, Event, QueuedRequest, Scheduler};
 use tinbay_core::ids::{ModelRef, RequestId};
 use tinbay_core::units::Millis;
 
@@ -17,8 +17,14 @@
 }
 
 /// A request that waits up to `wait_ms`.
-pub fn ask(id: u64, number: usize, urgent: bool, arrived_ms: Millis, wait_ms: Millis) -> Ask {
-    Ask {
+pub fn ask(
+    id: u64,
+    number: usize,
+    urgent: bool,
+    arrived_ms: Millis,
+    wait_ms: Millis,
+) -> QueuedRequest {
+    QueuedRequest {
         id: RequestId(id),
         model: model(number),
         organisation: format!("organisation-{number}"),
@@ -44,7 +50,7 @@
     /// Commands that no engine could carry out; each is a fault of the scheduler.
     pub faults: Vec<String>,
     pub unloads: Vec<ModelRef>,
-    asks: BTreeMap<RequestId, Ask>,
+    asks: BTreeMap<RequestId, QueuedRequest>,
     running: BTreeMap<RequestId, ModelRef>,
     due: BTreeMap<(Millis, u64), Event>,
     next: u64,
@@ -74,7 +80,7 @@
         bench
     }
 
-    pub fn submit(&mut self, ask: Ask) {
+    pub fn submit(&mut self, ask: QueuedRequest) {
         self.asks.insert(ask.id, ask.clone());
         self.give(Event::Submit(ask));
     }
--- a/crates/tinbay-experiment/src/run.rs
+++ b/crates/tinbay-experiment/src/run.rs
@@ -3,7 +3,9 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap};
 
-use tinbay_core::engine::{Ask, Command, EngineContents, EngineShape, Event, Refusal, Scheduler};
+use tinbay_core::engine::{
+    Command, EngineContents, EngineShape, Event, QueuedRequest, Refusal, Scheduler,
+};
 use tinbay_core::ids::{EngineId, ModelRef, RequestId};
 use tinbay_core::loads::{LoadArbiter, LoadRequest};
 use tinbay_core::policy::{Policy, PolicyRequest, Treatment};
@@ -271,7 +273,7 @@
             return;
         };
         let arrival = &self.arrivals[request.arrival];
-        let ask = Ask {
+        let ask = QueuedRequest {
             id,
             model: arrival.model.clone(),
             organisation: arrival.organisation.to_string(),
--- a/crates/tinbay-node/src/entry/local.rs
+++ b/crates/tinbay-node/src/entry/local.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use tinbay_core::engine::{Ask, Event, Refusal};
+use tinbay_core::engine::{Event, QueuedRequest, Refusal};
 use tinbay_core::ids::EngineId;
 use tinbay_core::units::Millis;
 use tinbay_core::vacancy::OwnerLoss;
@@ -122,7 +122,7 @@
     owned: &Arc<OwnedEngine>,
     call: &EngineRequest,
 ) -> Result<AnswerStream, SendError> {
-    let ask = Ask {
+    let ask = QueuedRequest {
         id: node.next_request_id(),
         model: job.model.clone(),
         organisation: job.organisation.clone(),
--- a/crates/tinbay-node/src/owners/owned.rs
+++ b/crates/tinbay-node/src/owners/owned.rs
@@ -5,8 +5,8 @@
 
 use tinbay_core::config::EngineSpec;
 use tinbay_core::engine::{
-    Ask, Command, EngineContents, EngineOwner, EngineShape, Event, OwnerSettings, Refusal,
-    Scheduler,
+    Command, EngineContents, EngineOwner, EngineShape, Event, OwnerSettings, QueuedRequest,
+    Refusal, Scheduler,
 };
 use tinbay_core::fence::{Fence, Order};
 use tinbay_core::ids::{BoxId, ModelRef, RequestId};
@@ -200,7 +200,7 @@
     }
 
     /// Queues a request and waits until it may run or is refused; `name` is its name at the engine.
-    pub async fn submit(self: &Arc<Self>, ask: Ask, name: &str) -> QueueOutcome {
+    pub async fn submit(self: &Arc<Self>, ask: QueuedRequest, name: &str) -> QueueOutcome {
         let refused = QueueOutcome::Refused {
             reason: Refusal::NotOwner,
             retry_after_ms: 0,
--- a/crates/tinbay-node/tests/owned_test.rs
+++ b/crates/tinbay-node/tests/owned_test.rs
@@ -7,7 +7,7 @@
 
 use futures_util::poll;
 use tinbay_core::config::EngineSpec;
-use tinbay_core::engine::{Ask, Command, Event, OwnerSettings};
+use tinbay_core::engine::{Command, Event, OwnerSettings, QueuedRequest};
 use tinbay_core::fence::{Fence, Order};
 use tinbay_core::ids::{EngineId, ModelRef, RequestId, ZoneId};
 use tinbay_node::owners::{OrderJob, OwnedEngine, QueueOutcome};
@@ -41,8 +41,8 @@
     ModelRef::new(format!("adapter-{number}"), "v1")
 }
 
-fn ask(owned: &OwnedEngine, id: u64, model: ModelRef) -> Ask {
-    Ask {
+fn ask(owned: &OwnedEngine, id: u64, model: ModelRef) -> QueuedRequest {
+    QueuedRequest {
         id: RequestId(id),
         model,
         organisation: String::new(),
