--- a/crates/tinbay-core/src/assemble.rs
+++ b/crates/tinbay-core/src/assemble.rs
@@ -47,7 +47,7 @@
         found: ModelRef,
     },
     /// A chunk is missing before this one.
-    #[error("gap in the answer: got chunk {found}, expected {wanted}")]
+    #[error("chunk {found} arrived where {wanted} was due")]
     Gap {
         /// The expected position.
         wanted: u64,
