--- a/crates/tinbay-core/tests/serving_contents_test.rs
+++ b/crates/tinbay-core/tests/serving_contents_test.rs
@@ -309,7 +309,7 @@
 /// A server that follows its orders, with arbitrary load requests and lost answers: the holder
 /// never orders more adapters than slots.
 #[test]
-fn next_action_never_exceeds_slots() {
+fn next_action_never_beyond_places() {
     fn property(steps: Vec<(u8, bool)>) -> bool {
         let slots = 3;
         let mut contents = known_contents(slots, &[]);
@@ -418,7 +418,7 @@
 /// duration of the load: it counted as a slow weight store, and callers were told to wait 8,769 ms
 /// in the median.
 #[test]
-fn note_answer_late_is_not_a_slow_load() {
+fn load_seen_late_is_no_slow_load() {
     let mut contents = known_contents(16, &[]);
     let mut now_ms = 0;
     for number in 0..10 {
--- a/crates/tinbay-core/tests/serving_late_orders_test.rs
+++ b/crates/tinbay-core/tests/serving_late_orders_test.rs
@@ -398,7 +398,7 @@
 /// All adapters are requested equally often; however many orders are lost, each one is loaded
 /// eventually.
 #[test]
-fn order_lost_does_not_keep_any_adapter_from_loading() {
+fn order_lost_lets_every_adapter_come_to_its_turn() {
     for seed in 0..SEEDS {
         let simulation = Simulation::new(seed).run_until(LONG_RUN_MS);
         assert_eq!(
--- a/crates/tinbay-core/tests/serving_notices_test.rs
+++ b/crates/tinbay-core/tests/serving_notices_test.rs
@@ -39,7 +39,7 @@
 
 /// Whatever answers arrive in whatever order, no answer withdraws what another one announced.
 #[test]
-fn note_any_answers_withdraws_nothing() {
+fn note_any_answers_keeps_all_that_was_said() {
     fn keeps(answers: Vec<(bool, Option<u16>, u8)>) -> bool {
         let mut said = Announced::default();
         let mut now_ms = 0;
--- a/crates/tinbay-core/tests/serving_placement_test.rs
+++ b/crates/tinbay-core/tests/serving_placement_test.rs
@@ -168,7 +168,7 @@
 }
 
 #[test]
-fn current_drops_expired_requests() {
+fn current_drops_what_is_asked_no_more() {
     let mut wants = WantedLoads::default();
     wants.ask(want("m/a", false), 0);
     wants.ask(want("m/b", false), 0);
--- a/crates/tinbay-core/tests/serving_server_limit_test.rs
+++ b/crates/tinbay-core/tests/serving_server_limit_test.rs
@@ -428,7 +428,7 @@
 /// Limits of 0.3 to 30 per second are lowered, raised, ended and begun; answers overtake each
 /// other; the fleet is partitioned, and the home is killed and replaced at once or seconds later.
 #[test]
-fn server_gets_no_more_than_its_limit_whatever_fails() {
+fn server_gets_no_more_than_it_names_whatever_happens_to_boxes() {
     fn property(seed: u64) -> bool {
         let mut fleet = Fleet::new(seed);
         fleet.play();
--- a/crates/tinbay-core/tests/serving_versions_test.rs
+++ b/crates/tinbay-core/tests/serving_versions_test.rs
@@ -56,7 +56,7 @@
     /// However versions are published, and however late each is learnt: the deadline for beginning
     /// a request is never later than the time allowed after any newer version was published, unless
     /// it has passed already.
-    fn begin_by_is_never_after_a_newer_version_allows(versions_published: Vec<(u8, u16, u16)>) -> bool {
+    fn begin_by_is_never_after_a_newer_name_allows(versions_published: Vec<(u8, u16, u16)>) -> bool {
         let mut versions = NamedVersions::default();
         let mut named_at: Vec<(u64, Millis)> = Vec::new();
         let (mut version, mut named_ms, mut learnt_ms) = (1, 0, 0);
