--- a/crates/tinbay-node/src/control/client.rs
+++ b/crates/tinbay-node/src/control/client.rs
@@ -1,4 +1,4 @@
-//! Asks other boxes.
+//! Client side of the control protocol: sends requests to other boxes and awaits their replies.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -11,87 +11,89 @@
     ZmqMessage,
 };
 
-/// How long connecting to a peer may take.
-const CONNECT_WITHIN: Duration = Duration::from_secs(1);
+/// Timeout for connecting to a peer.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// A peer's connection is dropped after so many questions without an answer in a row, since
-/// the socket does not say when the other side has gone.
-const SILENT_ASKS: u32 = 2;
+/// Consecutive requests without a reply after which a peer's connection is closed. The socket
+/// does not report that the other side has gone, so timeouts are the only sign.
+const MAX_CONSECUTIVE_TIMEOUTS: u32 = 2;
 
-/// Questions that may wait for a peer's connection.
+/// Capacity of a peer's request queue; requests beyond it fail as unreachable.
 const QUEUE_DEPTH: usize = 1_024;
 
-/// Why a box gave no answer.
+/// Why a control request got no reply.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum ControlError {
-    /// It cannot be reached.
+    /// The box could not be connected to, the connection was lost, or its request queue is full.
     #[error("box cannot be reached")]
     Unreachable,
-    /// It did not answer in time.
+    /// No reply arrived within the request's timeout; the box may still have handled it.
     #[error("box did not answer in time")]
     TimedOut,
 }
 
-struct Ask {
+struct Request {
     address: String,
     envelope: Envelope,
-    within: Duration,
+    timeout: Duration,
     answer: oneshot::Sender<Result<Reply, ControlError>>,
 }
 
-/// Asks other boxes, from any thread.
+/// Handle for sending control requests to other boxes from any thread.
 #[derive(Clone)]
 pub struct ControlClient {
-    asks: mpsc::UnboundedSender<Ask>,
+    requests: mpsc::UnboundedSender<Request>,
     traffic: Traffic,
 }
 
-/// The part of the client that runs on the control thread.
+/// Receiving end of a [`ControlClient`]'s queue, passed to [`run_client`] on the control thread.
 pub struct ControlClientTask {
-    asks: mpsc::UnboundedReceiver<Ask>,
+    requests: mpsc::UnboundedReceiver<Request>,
     traffic: Traffic,
 }
 
 impl ControlClient {
-    /// A client and its task.
+    /// Creates a client and the task that serves it.
     pub fn new() -> (Self, ControlClientTask) {
         let (sender, receiver) = mpsc::unbounded_channel();
         let traffic = Traffic::default();
         let task = ControlClientTask {
-            asks: receiver,
+            requests: receiver,
             traffic: traffic.clone(),
         };
         let client = Self {
-            asks: sender,
+            requests: sender,
             traffic,
         };
         (client, task)
     }
 
-    /// Counts the bytes of control messages; the server shares it.
+    /// The byte counter for control messages, which the control server shares.
     pub fn traffic(&self) -> &Traffic {
         &self.traffic
     }
 
-    /// Asks the box at a control address.
+    /// Sends a request to the box at a control address and waits for its reply.
     ///
     /// # Errors
-    /// [`ControlError`]; the question may have arrived all the same.
+    /// Returns a [`ControlError`] if no reply arrives; the box may have received the request anyway.
     pub async fn ask(
         &self,
         address: &str,
         envelope: Envelope,
-        within: Duration,
+        timeout: Duration,
     ) -> Result<Reply, ControlError> {
         let (answer, answered) = oneshot::channel();
-        let ask = Ask {
+        let request = Request {
             address: address.to_owned(),
             envelope,
-            within,
+            timeout,
             answer,
         };
-        self.asks.send(ask).map_err(|_| ControlError::Unreachable)?;
-        match tokio::time::timeout(within, answered).await {
+        self.requests
+            .send(request)
+            .map_err(|_| ControlError::Unreachable)?;
+        match tokio::time::timeout(timeout, answered).await {
             Ok(Ok(result)) => result,
             Ok(Err(_)) => Err(ControlError::Unreachable),
             Err(_) => Err(ControlError::TimedOut),
@@ -99,26 +101,30 @@
     }
 }
 
-/// Hands each question to the task of its peer; runs on the control thread.
+/// Dispatches each request to the task of its peer; runs on the control thread.
 pub async fn run_client(mut task: ControlClientTask) {
-    let mut peers: HashMap<String, mpsc::Sender<Ask>> = HashMap::new();
-    while let Some(ask) = task.asks.recv().await {
-        let ask = match peers.get(&ask.address) {
-            None => ask,
-            Some(peer) => match peer.try_send(ask) {
+    let mut peers: HashMap<String, mpsc::Sender<Request>> = HashMap::new();
+    while let Some(request) = task.requests.recv().await {
+        let request = match peers.get(&request.address) {
+            None => request,
+            Some(peer) => match peer.try_send(request) {
                 Ok(()) => continue,
-                Err(mpsc::error::TrySendError::Closed(ask)) => ask,
-                Err(mpsc::error::TrySendError::Full(ask)) => {
-                    let _ = ask.answer.send(Err(ControlError::Unreachable));
+                Err(mpsc::error::TrySendError::Closed(request)) => request,
+                Err(mpsc::error::TrySendError::Full(request)) => {
+                    let _ = request.answer.send(Err(ControlError::Unreachable));
                     continue;
                 }
             },
         };
-        start_peer(&mut peers, ask, &task.traffic);
+        start_peer(&mut peers, request, &task.traffic);
     }
 }
 
-fn start_peer(peers: &mut HashMap<String, mpsc::Sender<Ask>>, first: Ask, traffic: &Traffic) {
+fn start_peer(
+    peers: &mut HashMap<String, mpsc::Sender<Request>>,
+    first: Request,
+    traffic: &Traffic,
+) {
     let (sender, receiver) = mpsc::channel(QUEUE_DEPTH);
     let address = first.address.clone();
     let _ = sender.try_send(first);
@@ -129,18 +135,18 @@
 
 async fn connect(address: &str) -> Option<(DealerSendHalf, DealerRecvHalf)> {
     let mut options = SocketOptions::default();
-    options.connect_timeout(CONNECT_WITHIN);
+    options.connect_timeout(CONNECT_TIMEOUT);
     let mut socket = DealerSocket::with_options(options);
     socket.connect(&format!("tcp://{address}")).await.ok()?;
     Some(socket.split())
 }
 
-/// Questions to one peer that wait for an answer.
+/// Requests to one peer that have been sent and not yet answered.
 #[derive(Default)]
 struct Pending {
     next: u64,
     open: HashMap<u64, oneshot::Sender<Result<Reply, ControlError>>>,
-    silent: u32,
+    consecutive_timeouts: u32,
 }
 
 impl Pending {
@@ -154,18 +160,19 @@
         let Some((number, reply)) = decode_reply(message) else {
             return;
         };
-        self.silent = 0;
+        self.consecutive_timeouts = 0;
         if let Some(answer) = self.open.remove(&number) {
             let _ = answer.send(Ok(reply));
         }
     }
 
-    /// Forgets questions whose askers have given up; `false` when the peer seems gone.
+    /// Drops a request that has timed out; returns `false` once [`MAX_CONSECUTIVE_TIMEOUTS`] is
+    /// reached and the connection should be closed.
     fn expire(&mut self, number: u64) -> bool {
         if self.open.remove(&number).is_some() {
-            self.silent += 1;
+            self.consecutive_timeouts += 1;
         }
-        self.silent < SILENT_ASKS
+        self.consecutive_timeouts < MAX_CONSECUTIVE_TIMEOUTS
     }
 }
 
@@ -176,12 +183,13 @@
     Some((number, reply))
 }
 
-/// Connects to one peer and passes questions and answers until it seems gone.
-async fn run_peer(address: String, mut asks: mpsc::Receiver<Ask>, traffic: Traffic) {
+/// Connects to one peer and exchanges requests and replies until the connection fails or the
+/// peer stops replying.
+async fn run_peer(address: String, mut requests: mpsc::Receiver<Request>, traffic: Traffic) {
     let Some((mut send, mut receive)) = connect(&address).await else {
-        asks.close();
-        while let Some(ask) = asks.recv().await {
-            let _ = ask.answer.send(Err(ControlError::Unreachable));
+        requests.close();
+        while let Some(request) = requests.recv().await {
+            let _ = request.answer.send(Err(ControlError::Unreachable));
         }
         return;
     };
@@ -189,13 +197,13 @@
     let (expired_sender, mut expired) = mpsc::unbounded_channel();
     loop {
         tokio::select! {
-            ask = asks.recv() => {
-                let Some(ask) = ask else { return };
-                let within = ask.within;
-                let Some(number) = send_ask(&mut send, &mut pending, ask, &traffic).await else { return };
+            request = requests.recv() => {
+                let Some(request) = request else { return };
+                let timeout = request.timeout;
+                let Some(number) = send_request(&mut send, &mut pending, request, &traffic).await else { return };
                 let expired_sender = expired_sender.clone();
                 ntex::rt::spawn(async move {
-                    tokio::time::sleep(within).await;
+                    tokio::time::sleep(timeout).await;
                     let _ = expired_sender.send(number);
                 });
             }
@@ -215,18 +223,18 @@
     }
 }
 
-/// Sends a question; `None` when the connection is gone.
-async fn send_ask(
+/// Sends a request and returns its number; `None` if the connection has failed.
+async fn send_request(
     send: &mut DealerSendHalf,
     pending: &mut Pending,
-    ask: Ask,
+    request: Request,
     traffic: &Traffic,
 ) -> Option<u64> {
-    let Ok(body) = postcard::to_stdvec(&ask.envelope) else {
-        let _ = ask.answer.send(Err(ControlError::Unreachable));
+    let Ok(body) = postcard::to_stdvec(&request.envelope) else {
+        let _ = request.answer.send(Err(ControlError::Unreachable));
         return Some(0);
     };
-    let number = pending.add(ask.answer);
+    let number = pending.add(request.answer);
     let mut message = ZmqMessage::from(number.to_be_bytes().to_vec());
     message.push_back(body.into());
     traffic.add_message(&message);
--- a/crates/tinbay-node/src/control/mod.rs
+++ b/crates/tinbay-node/src/control/mod.rs
@@ -1,8 +1,8 @@
 //! Control messages between boxes, over zeromq with postcard.
 //!
-//! A box answers others on a ROUTER socket and asks them over a DEALER socket each, so
-//! several questions to one peer may be open at once. Both live on the control thread;
-//! other threads ask through a [`ControlClient`].
+//! A box serves requests on one ROUTER socket and sends its own over one DEALER socket per peer,
+//! so several requests to one peer may be in flight at once. All sockets live on the control
+//! thread; other threads send requests through a [`ControlClient`].
 
 mod client;
 mod server;
@@ -23,21 +23,21 @@
 }
 
 impl Traffic {
-    /// Counts a message as it travels.
+    /// Adds the length of all frames of a message.
     pub fn add_message(&self, message: &ZmqMessage) {
         self.add(message.iter().map(|frame| frame.len()).sum());
     }
 
-    /// Counts bytes.
+    /// Adds a number of bytes to the total.
     pub fn add(&self, bytes: usize) {
         self.bytes.fetch_add(bytes as u64, Ordering::Relaxed);
     }
 
-    /// Bytes so far.
+    /// Bytes counted since the process started.
     pub fn total(&self) -> u64 {
         self.bytes.load(Ordering::Relaxed)
     }
 }
 
-/// How long a question may take unless it waits for something by its nature.
+/// Default timeout of a control request; requests that wait for an event at the peer set their own.
 pub const ASK_WITHIN: Duration = Duration::from_millis(800);
--- a/crates/tinbay-node/src/control/server.rs
+++ b/crates/tinbay-node/src/control/server.rs
@@ -1,4 +1,4 @@
-//! Answers other boxes.
+//! Server side of the control protocol: answers requests from other boxes.
 
 use std::net::SocketAddr;
 
@@ -8,23 +8,23 @@
 use zeromq::util::PeerIdentity;
 use zeromq::{RouterSendHalf, RouterSocket, Socket, SocketRecv, SocketSend, ZmqError, ZmqMessage};
 
-/// Answers one question.
+/// Handler for control requests.
 pub trait Answer: 'static {
-    /// The reply to an envelope.
+    /// Handles one request and returns its reply.
     fn answer(&self, envelope: Envelope) -> LocalBoxFuture<'static, Reply>;
 }
 
-/// A bound socket that waits for questions.
+/// A bound ROUTER socket that receives control requests.
 pub struct ControlServer {
     socket: RouterSocket,
     address: SocketAddr,
 }
 
 impl ControlServer {
-    /// Binds an address, port 0 for any.
+    /// Binds an address; port 0 picks a free port.
     ///
     /// # Errors
-    /// As the socket library has it.
+    /// Returns the socket library's error if the address cannot be bound.
     pub async fn bind(address: SocketAddr) -> Result<Self, ZmqError> {
         let mut socket = RouterSocket::new();
         let endpoint = socket.bind(&format!("tcp://{address}")).await?;
@@ -34,39 +34,39 @@
         Ok(Self { socket, address })
     }
 
-    /// The address bound.
+    /// The bound address, with the actual port.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Answers questions until the socket ends.
+    /// Answers requests until the socket fails to receive.
     pub async fn run(self, answerer: impl Answer, traffic: Traffic) {
         let (send, mut receive) = self.socket.split();
         while let Ok(message) = receive.recv().await {
             traffic.add_message(&message);
-            let Some(question) = Question::decode(message) else {
+            let Some(request) = Request::decode(message) else {
                 continue;
             };
-            let reply = answerer.answer(question.envelope);
+            let reply = answerer.answer(request.envelope);
             let send = send.clone();
             let traffic = traffic.clone();
             ntex::rt::spawn(async move {
                 let reply = reply.await;
-                let sent = send_reply(send, question.peer, question.number, &reply).await;
+                let sent = send_reply(send, request.peer, request.number, &reply).await;
                 traffic.add(sent);
             });
         }
     }
 }
 
-struct Question {
+struct Request {
     peer: PeerIdentity,
     number: Vec<u8>,
     envelope: Envelope,
 }
 
-impl Question {
-    /// Reads `[identity, number, body]`; anything else is dropped.
+impl Request {
+    /// Decodes the frames `[identity, number, body]`; returns `None` for a malformed message.
     fn decode(message: ZmqMessage) -> Option<Self> {
         let mut frames = message.into_vec().into_iter();
         let peer = frames.next()?.try_into().ok()?;
@@ -80,7 +80,7 @@
     }
 }
 
-/// Sends a reply; gives its length.
+/// Sends a reply and returns the length of its body in bytes.
 async fn send_reply(
     mut send: RouterSendHalf,
     peer: PeerIdentity,
@@ -94,7 +94,7 @@
     let mut message = ZmqMessage::from(body);
     message.push_front(number.into());
     message.push_front(peer.into());
-    // A peer that has gone asks again over a new connection.
+    // A failed send is ignored: a peer that has lost its connection repeats the request on a new one.
     let _ = send.send(message).await;
     length
 }
