--- a/crates/tinbay-node/src/platform/box_list.rs
+++ b/crates/tinbay-node/src/platform/box_list.rs
@@ -1,4 +1,4 @@
-//! The platform's list of boxes over HTTP.
+//! HTTP client for the platform's list of boxes.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,16 +10,16 @@
 
 use super::{BoxListService, PlatformError};
 
-/// How long a read may take.
-const WITHIN: Duration = Duration::from_secs(1);
+/// Timeout for reading the list.
+const READ_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Reads `GET /v1/boxes`.
+/// Reads the list with `GET /v1/boxes`.
 pub struct HttpBoxList {
     url: String,
 }
 
 impl HttpBoxList {
-    /// The list at an address.
+    /// Creates a client of the list service at an address.
     pub fn new(address: SocketAddr) -> Self {
         Self {
             url: format!("http://{address}/v1/boxes"),
@@ -30,7 +30,7 @@
 impl BoxListService for HttpBoxList {
     fn read(&self) -> LocalBoxFuture<'_, Result<Vec<ListedBox>, PlatformError>> {
         async move {
-            let list: BoxList = get_json(&self.url, WITHIN)
+            let list: BoxList = get_json(&self.url, READ_TIMEOUT)
                 .await
                 .map_err(|_| PlatformError::Unreachable)?;
             Ok(list.boxes)
--- a/crates/tinbay-node/src/platform/etcd.rs
+++ b/crates/tinbay-node/src/platform/etcd.rs
@@ -1,4 +1,4 @@
-//! The key-value service over the published etcd v3 JSON interface.
+//! Key-value service client for etcd's v3 JSON (gRPC gateway) API.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -22,13 +22,14 @@
 };
 use crate::metrics::Metrics;
 
-/// How long a call may take; the service answers in milliseconds when it is well.
-const WITHIN: Duration = Duration::from_secs(2);
+/// Timeout of a call; a healthy service answers in milliseconds.
+const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Pairs read in one call; an answer stays well below the service's megabyte.
-const PAGE: i64 = 1_000;
+/// Key-value pairs per page of a listing, which keeps a response well below the service's limit
+/// of one megabyte.
+const PAGE_SIZE: i64 = 1_000;
 
-/// Kind of a call, as the measures show it.
+/// Kind of a call; a label value of the `kv_calls` metric.
 #[derive(Debug, Clone, Copy)]
 enum CallKind {
     Read,
@@ -45,7 +46,7 @@
         }
     }
 
-    /// What a call that broke off may have done.
+    /// Maps a failed call to an error that says whether a write may have taken effect.
     fn error(self, error: CallError) -> PlatformError {
         match (self, error) {
             (_, CallError::NotUnderstood) => PlatformError::NotUnderstood,
@@ -55,14 +56,14 @@
     }
 }
 
-/// Calls the service at one address.
+/// Client of the etcd service at one address.
 pub struct EtcdJson {
     base: String,
     metrics: Arc<Metrics>,
 }
 
 impl EtcdJson {
-    /// The service at an address.
+    /// Creates a client of the service at an address.
     pub fn new(address: SocketAddr, metrics: Arc<Metrics>) -> Self {
         Self {
             base: format!("http://{address}"),
@@ -77,7 +78,7 @@
         body: &B,
     ) -> Result<T, PlatformError> {
         let url = format!("{}{path}", self.base);
-        let answer = post_json(&url, body, WITHIN).await;
+        let answer = post_json(&url, body, CALL_TIMEOUT).await;
         self.count(kind, answer.is_ok());
         answer.map_err(|error| kind.error(error))
     }
@@ -96,13 +97,13 @@
         let mut request = RangeRequest {
             key: Bytes::text(prefix),
             range_end: prefix_end(prefix),
-            limit: Int64(PAGE),
+            limit: Int64(PAGE_SIZE),
             ..RangeRequest::default()
         };
         let mut pairs = Vec::new();
         loop {
             let page = self.range(&request).await?;
-            // Later pages are read at the first page's revision, so the listing is one state.
+            // Later pages are read at the first page's revision, so the listing is a consistent snapshot.
             if request.revision.0 == 0 {
                 request.revision = page.header.revision;
             }
@@ -133,7 +134,7 @@
         };
         let url = format!("{}/v3/watch", self.base);
         let call = pooled_client().await.post(url.as_str()).send_json(&request);
-        let response = await_head(call, WITHIN).await;
+        let response = await_head(call, CALL_TIMEOUT).await;
         self.count(CallKind::Watch, response.is_ok());
         let response = response.map_err(|error| CallKind::Watch.error(error))?;
         if !response.status().is_success() {
--- a/crates/tinbay-node/src/platform/mod.rs
+++ b/crates/tinbay-node/src/platform/mod.rs
@@ -1,4 +1,4 @@
-//! The borders to the platform: the key-value service and the list of boxes.
+//! Interfaces to the platform: the key-value service and the list of boxes.
 
 mod box_list;
 mod etcd;
@@ -10,21 +10,21 @@
 use tinbay_core::units::Revision;
 use tinbay_wire::box_list::ListedBox;
 
-/// Why the platform gave no answer.
+/// Why a call to a platform service failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum PlatformError {
-    /// The call had no effect.
+    /// The service could not be reached; the call had no effect.
     #[error("the service cannot be reached")]
     Unreachable,
-    /// A write may have taken effect.
+    /// The call was sent and no reply arrived; a write may have taken effect.
     #[error("the reply was lost")]
     ReplyLost,
-    /// The answer makes no sense.
+    /// The response could not be decoded.
     #[error("the answer is not understood")]
     NotUnderstood,
 }
 
-/// A stored pair.
+/// A stored key-value pair.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Pair {
     /// The key.
@@ -35,25 +35,25 @@
     pub revision: Revision,
 }
 
-/// Pairs and the store's revision when they were read.
+/// A consistent snapshot of the pairs under a prefix.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Listing {
-    /// The pairs, by key.
+    /// The pairs, ordered by key.
     pub pairs: Vec<Pair>,
-    /// The store's revision.
+    /// The store's revision at which the pairs were read.
     pub revision: Revision,
 }
 
 /// One write of a transaction.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Write {
-    /// Store a value, on a lease where one is given.
+    /// Store a value, attached to a lease if one is given.
     Put {
         /// The key.
         key: String,
         /// The value.
         value: Vec<u8>,
-        /// The lease.
+        /// Lease whose expiry deletes the key; without one the key stays until it is deleted.
         lease: Option<LeaseId>,
     },
     /// Delete a key.
@@ -63,12 +63,12 @@
     },
 }
 
-/// A condition of a transaction: the key's last write was at this revision, 0 for "none".
+/// A condition of a transaction: the key was last written at this revision.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Guard {
     /// The key.
     pub key: String,
-    /// Its revision.
+    /// Revision of the key's last write; 0 requires that the key does not exist.
     pub revision: Revision,
 }
 
@@ -77,7 +77,7 @@
 pub enum TxnEnd {
     /// The writes took effect at this revision.
     Done(Revision),
-    /// A guard did not hold.
+    /// A guard did not hold; nothing was written.
     GuardFailed,
 }
 
@@ -90,13 +90,13 @@
 pub struct WatchedChange {
     /// The key.
     pub key: String,
-    /// The value; none after a deletion.
+    /// The new value; `None` after a deletion.
     pub value: Option<Vec<u8>>,
-    /// The revision.
+    /// Store revision at which the change was made.
     pub revision: Revision,
 }
 
-/// Changes in the order of their revisions.
+/// A stream of changes in the order of their revisions.
 pub trait Watch {
     /// The next changes; an error ends the watch.
     fn next(&mut self) -> LocalBoxFuture<'_, Result<Vec<WatchedChange>, PlatformError>>;
@@ -110,30 +110,30 @@
     /// Reads every key with a prefix.
     fn list<'a>(&'a self, prefix: &'a str) -> LocalBoxFuture<'a, Result<Listing, PlatformError>>;
 
-    /// Writes if every guard holds.
+    /// Applies all writes atomically if every guard holds.
     fn txn<'a>(
         &'a self,
         guards: &'a [Guard],
         writes: &'a [Write],
     ) -> LocalBoxFuture<'a, Result<TxnEnd, PlatformError>>;
 
-    /// Watches a prefix from a revision on.
+    /// Watches the keys with a prefix, starting at a revision (inclusive).
     fn watch<'a>(
         &'a self,
         prefix: &'a str,
         from: Revision,
     ) -> LocalBoxFuture<'a, Result<Box<dyn Watch>, PlatformError>>;
 
-    /// Begins a lease.
+    /// Grants a lease with a time to live in seconds.
     fn grant_lease(&self, ttl_s: i64) -> LocalBoxFuture<'_, Result<LeaseId, PlatformError>>;
 
-    /// Renews a lease; `false` when it has lapsed.
+    /// Renews a lease; returns `false` if it has expired.
     fn keep_lease(&self, lease: LeaseId) -> LocalBoxFuture<'_, Result<bool, PlatformError>>;
 }
 
-/// The platform's lagging list of boxes.
+/// The platform's list of boxes, which lags behind the boxes' actual state.
 pub trait BoxListService: Send + Sync {
-    /// Reads the list.
+    /// Reads the whole list.
     fn read(&self) -> LocalBoxFuture<'_, Result<Vec<ListedBox>, PlatformError>>;
 }
 
@@ -142,29 +142,30 @@
     use tinbay_core::config::ConfigKey;
     use tinbay_core::ids::{BoxId, EngineId};
 
-    /// Prefix of the configuration's objects.
+    /// Prefix of the configuration objects.
     pub const CONFIG: &str = "/tinbay/config/";
-    /// Written with every change, so that one read tells the newest revision.
+    /// Written with every configuration change, so that reading this one key yields the newest
+    /// revision.
     pub const CONFIG_HEAD: &str = "/tinbay/config-head";
     /// Prefix of the audit trail.
     pub const AUDIT: &str = "/tinbay/audit/";
 
-    /// Key of an object.
+    /// Key of a configuration object.
     pub fn config(key: &ConfigKey) -> String {
         format!("{CONFIG}{key}")
     }
 
-    /// Key of an audited change.
+    /// Key of a change's entry in the audit trail.
     pub fn audit(change_id: &str) -> String {
         format!("{AUDIT}{change_id}")
     }
 
-    /// Key of an engine's ownership.
+    /// Key that records which box owns an engine.
     pub fn owner(engine: &EngineId) -> String {
         format!("/tinbay/owner/{engine}")
     }
 
-    /// Key that shows a box's lease to be alive.
+    /// Key attached to a box's lease; it exists as long as the lease is alive.
     pub fn lease(id: &BoxId) -> String {
         format!("/tinbay/lease/{id}")
     }
