--- a/crates/tinbay-node/src/engines/http.rs
+++ b/crates/tinbay-node/src/engines/http.rs
@@ -1,4 +1,4 @@
-//! Model engines over HTTP.
+//! HTTP client for model engines.
 
 use std::time::Duration;
 
@@ -15,22 +15,22 @@
 
 use super::{EngineApi, EngineError};
 
-/// How long an order that changes little may take.
-const ORDER_WITHIN: Duration = Duration::from_secs(2);
+/// Timeout of every call except loads and completions.
+const ORDER_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// How long a load may take.
-const LOAD_WITHIN: Duration = Duration::from_secs(30);
+/// Timeout for loading an adapter.
+const LOAD_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Status of a refusal; the engine did nothing.
-const REFUSED: u16 = 409;
+/// HTTP status (409 Conflict) with which an engine refuses an order without acting on it.
+const REFUSAL_STATUS: u16 = 409;
 
-/// An engine at one address.
+/// Client of the engine at one address.
 pub struct HttpEngine {
     base: String,
 }
 
 impl HttpEngine {
-    /// The engine at `ip:port`.
+    /// Creates a client of the engine at `ip:port`.
     pub fn new(address: &str) -> Self {
         Self {
             base: format!("http://{address}"),
@@ -42,20 +42,20 @@
         path: &str,
         order: Order,
         body: &B,
-        within: Duration,
+        timeout: Duration,
     ) -> Result<ClientResponse, EngineError> {
         let url = format!("{}{path}", self.base);
         let request = pooled_client()
             .await
             .post(url.as_str())
             .set_header(headers::FENCE, order.to_string());
-        let response = await_head(request.send_json(body), within)
+        let response = await_head(request.send_json(body), timeout)
             .await
             .map_err(to_engine_error)?;
         if response.status().is_success() {
             return Ok(response);
         }
-        if response.status().as_u16() != REFUSED {
+        if response.status().as_u16() != REFUSAL_STATUS {
             return Err(EngineError::NoAnswer);
         }
         let refusal: EngineRefusalBody = read_any(&response).await.map_err(to_engine_error)?;
@@ -67,9 +67,9 @@
         path: &str,
         order: Order,
         body: &B,
-        within: Duration,
+        timeout: Duration,
     ) -> Result<EngineState, EngineError> {
-        let response = self.post(path, order, body, within).await?;
+        let response = self.post(path, order, body, timeout).await?;
         read_answer(&response).await.map_err(to_engine_error)
     }
 }
@@ -86,10 +86,10 @@
         &'a self,
         order: Order,
         call: &'a EngineRequest,
-        within: Duration,
+        timeout: Duration,
     ) -> LocalBoxFuture<'a, Result<LineReader, EngineError>> {
         async move {
-            let response = self.post("/v1/completions", order, call, within).await?;
+            let response = self.post("/v1/completions", order, call, timeout).await?;
             Ok(LineReader::new(response.take_payload()))
         }
         .boxed_local()
@@ -106,7 +106,7 @@
                 lora_name: model.clone(),
                 lora_path: weights.to_owned(),
             };
-            self.order("/v1/load_lora_adapter", order, &body, LOAD_WITHIN)
+            self.order("/v1/load_lora_adapter", order, &body, LOAD_TIMEOUT)
                 .await
         }
         .boxed_local()
@@ -122,20 +122,20 @@
                 lora_name: model.clone(),
                 lora_path: String::new(),
             };
-            self.order("/v1/unload_lora_adapter", order, &body, ORDER_WITHIN)
+            self.order("/v1/unload_lora_adapter", order, &body, ORDER_TIMEOUT)
                 .await
         }
         .boxed_local()
     }
 
     fn fence(&self, order: Order) -> LocalBoxFuture<'_, Result<EngineState, EngineError>> {
-        async move { self.order("/v1/fence", order, &(), ORDER_WITHIN).await }.boxed_local()
+        async move { self.order("/v1/fence", order, &(), ORDER_TIMEOUT).await }.boxed_local()
     }
 
     fn state(&self) -> LocalBoxFuture<'_, Result<EngineState, EngineError>> {
         async move {
             let url = format!("{}/v1/state", self.base);
-            get_json(&url, ORDER_WITHIN).await.map_err(to_engine_error)
+            get_json(&url, ORDER_TIMEOUT).await.map_err(to_engine_error)
         }
         .boxed_local()
     }
