--- a/crates/tinbay-node/src/state.rs
+++ b/crates/tinbay-node/src/state.rs
@@ -1,4 +1,4 @@
-//! What the parts of one box share.
+//! State shared by the components of one box.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicBool, AtomicI64, AtomicU64, Ordering};
@@ -27,87 +27,87 @@
 use crate::util::clock::{Clock, wall_ms};
 use crate::util::sync::{lock, read, write};
 
-/// Shards of the routers' rankings and hints.
+/// Number of router shards; a model's hash picks its shard, which limits lock contention.
 const ROUTER_SHARDS: usize = 16;
 
-/// A box that has heard nobody for at least this long asks before it serves; it may have been
-/// frozen.
-const LEAST_FRESH_MS: Millis = 3_000;
+/// Minimum time without contact after which a box refreshes its configuration before it serves a
+/// request, as its process may have been suspended.
+const MIN_FRESHNESS_MS: Millis = 3_000;
 
-/// Longest wait for newer configuration before a request is answered.
-const CATCH_UP_WITHIN: Duration = Duration::from_secs(1);
+/// Longest wait of a request for newer contact or configuration.
+const CATCH_UP_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// How often a waiting request looks whether the configuration has arrived.
-const CATCH_UP_POLL: Duration = Duration::from_millis(10);
+/// Interval at which a waiting request checks its condition.
+const CATCH_UP_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Everything the parts of one box share.
+/// State shared by the components of one box.
 pub struct Node {
-    /// The settings.
+    /// The settings that the box was started with.
     pub options: Options,
-    /// Monotonic time.
+    /// Monotonic clock.
     pub clock: Clock,
-    /// This run of the process.
+    /// Identifies this run of the process.
     pub incarnation: Incarnation,
-    /// The configuration served from.
+    /// The configuration in force at this box.
     pub config: ConfigStore,
-    /// The other boxes.
+    /// The boxes known, this one included.
     pub members: RwLock<Members>,
-    /// The engines owned.
+    /// The engines that this box owns.
     pub owners: OwnedEngines,
-    /// Successions told by owners, for takeovers while the key-value service is out.
+    /// Successions received from owners, for takeovers while the key-value service is unavailable.
     pub successions: Mutex<HashMap<EngineId, Succession>>,
     /// Engines found without an owner.
     pub vacancies: Mutex<Vacancies>,
-    /// The keys of which this box is the home.
+    /// The request keys whose home is this box.
     pub keys: Mutex<KeyTable>,
-    /// The shared allowance of the weight store.
+    /// Limits adapter loads to this box's share of the weight store's allowance.
     pub loads: LoadLimiter,
-    /// The lease under which orders go to engines that do not check them.
+    /// The lease that permits orders to engines that do not check fences.
     pub lease: BoxLease,
-    /// Compiled policies.
+    /// Cache of compiled policies.
     pub policies: PolicyCache,
     /// Retry budgets by class.
     pub budgets: Mutex<HashMap<String, RetryBudget>>,
-    /// What is measured.
+    /// Metrics of this box.
     pub metrics: Arc<Metrics>,
     /// The key-value service.
     pub kv: Box<dyn KvService>,
     /// The list of boxes.
     pub box_list: Box<dyn BoxListService>,
-    /// Asks other boxes.
+    /// Client for control requests to other boxes.
     pub control: ControlClient,
-    /// Commands for the control thread.
+    /// Queue of engine orders for the control thread.
     pub jobs: mpsc::UnboundedSender<OrderJob>,
     /// Wakes the controller that catches up with the configuration.
     pub catch_up: Notify,
     routers: Vec<Mutex<Router>>,
     me: RwLock<BoxRecord>,
     next_request: AtomicU64,
-    contact_ms: AtomicU64,
+    last_contact_ms: AtomicU64,
     wanted_revision: AtomicI64,
     ready: AtomicBool,
 }
 
-/// What [`Node::new`] is made of.
+/// Arguments of [`Node::new`].
 pub struct Parts {
-    /// The settings.
+    /// The settings that the box was started with.
     pub options: Options,
     /// This box as others see it.
     pub me: BoxRecord,
-    /// What is measured.
+    /// Metrics of this box.
     pub metrics: Arc<Metrics>,
     /// The key-value service.
     pub kv: Box<dyn KvService>,
     /// The list of boxes.
     pub box_list: Box<dyn BoxListService>,
-    /// Asks other boxes.
+    /// Client for control requests to other boxes.
     pub control: ControlClient,
-    /// Commands for the control thread.
+    /// Queue of engine orders for the control thread.
     pub jobs: mpsc::UnboundedSender<OrderJob>,
 }
 
 impl Node {
-    /// A box that knows only itself.
+    /// Creates the state of a starting box that knows no other boxes.
     pub fn new(parts: Parts) -> Arc<Self> {
         let clock = Clock::start();
         let me = parts.me;
@@ -133,7 +133,7 @@
             routers: (0..ROUTER_SHARDS).map(|_| Mutex::default()).collect(),
             me: RwLock::new(me),
             next_request: AtomicU64::new(1),
-            contact_ms: AtomicU64::new(0),
+            last_contact_ms: AtomicU64::new(0),
             wanted_revision: AtomicI64::new(0),
             ready: AtomicBool::new(false),
             options: parts.options,
@@ -145,7 +145,7 @@
         read(&self.me).clone()
     }
 
-    /// This box's name.
+    /// This box's name, as its settings give it.
     pub fn id(&self) -> &BoxId {
         &self.options.box_id
     }
@@ -155,31 +155,32 @@
         read(&self.me).state == BoxState::Leaving
     }
 
-    /// Begins to leave: other boxes are told with the next heartbeats.
+    /// Starts a planned stop; other boxes learn of it from the next heartbeats.
     pub fn leave(&self) {
         if self.enter(BoxState::Leaving) {
-            log::info!(target: part::NODE, "leaving, no new work is taken");
+            log::info!(target: part::NODE, "leaving, accepts no new requests");
         }
     }
 
-    /// Whether this box has not taken work yet.
+    /// Whether this box is still starting and has not accepted requests yet.
     pub fn is_starting(&self) -> bool {
         read(&self.me).state == BoxState::Starting
     }
 
-    /// Whether this box has met the others and serves the newest configuration that it has heard of.
+    /// Whether this box has joined the fleet and has the newest configuration that it knows of in
+    /// force.
     pub fn is_current(&self) -> bool {
         self.has_joined() && self.config.in_force() >= self.wanted_revision()
     }
 
-    /// Takes work from now on.
+    /// Starts to accept requests and to take over engines.
     pub fn go_live(&self) {
         if self.enter(BoxState::Live) {
-            log::info!(target: part::NODE, "live, takes engines over");
+            log::info!(target: part::NODE, "live, takes over engines");
         }
     }
 
-    /// Enters a later state; `false` if this box is past it.
+    /// Advances to a later state; returns `false` if this box has reached or passed it already.
     fn enter(&self, state: BoxState) -> bool {
         let record = {
             let mut me = write(&self.me);
@@ -193,22 +194,22 @@
         true
     }
 
-    /// Whether the box has its configuration and has met the others.
+    /// Whether the box has been declared ready and is not leaving.
     pub fn is_ready(&self) -> bool {
         self.ready.load(Ordering::Acquire) && !self.is_leaving()
     }
 
-    /// Declares the box ready; `true` the first time.
+    /// Declares the box ready; returns `true` the first time.
     pub fn set_ready(&self) -> bool {
         !self.ready.swap(true, Ordering::AcqRel)
     }
 
-    /// Whether the box has met the others or found that there are none.
+    /// Whether the box has contacted another box or found that there are none.
     pub fn has_joined(&self) -> bool {
         read(&self.members).has_joined()
     }
 
-    /// Notes that the box has met the others or found that there are none.
+    /// Records that the box has contacted another box or found that there are none.
     pub fn note_joined(&self) {
         write(&self.members).set_joined();
         self.catch_up.notify_one();
@@ -219,12 +220,12 @@
         read(&self.members).is_keeper(&self.options.zone)
     }
 
-    /// A new number for a request.
+    /// Allocates a request id, unique within this run of the process.
     pub fn next_request_id(&self) -> RequestId {
         RequestId(self.next_request.fetch_add(1, Ordering::Relaxed))
     }
 
-    /// Mints a key whose home is a box known here.
+    /// Creates a new request key whose home is the given box.
     pub fn mint_key(&self, home: &BoxRecord) -> RequestKey {
         RequestKey {
             home: home.id.clone(),
@@ -234,25 +235,25 @@
         }
     }
 
-    /// The router of a model.
+    /// The router shard that holds a model.
     pub fn router(&self, model: &ModelRef) -> &Mutex<Router> {
         let hash = rendezvous::score(model.adapter(), model.version()) as usize;
         &self.routers[hash % ROUTER_SHARDS]
     }
 
-    /// Notes that another box or the key-value service was heard.
+    /// Records contact with another box or the key-value service.
     pub fn note_contact(&self) {
-        self.contact_ms
+        self.last_contact_ms
             .fetch_max(self.clock.now_ms(), Ordering::AcqRel);
     }
 
-    /// Since when nothing was heard from anyone.
+    /// Time since the last contact with another box or the key-value service.
     pub fn silent_ms(&self) -> Millis {
         let now_ms = self.clock.now_ms();
-        now_ms.saturating_sub(self.contact_ms.load(Ordering::Acquire))
+        now_ms.saturating_sub(self.last_contact_ms.load(Ordering::Acquire))
     }
 
-    /// Notes that a revision exists; the box will catch up with it.
+    /// Records that a revision exists and wakes the controller that fetches it.
     pub fn want_revision(&self, revision: Revision) {
         if revision > self.config.in_force() {
             self.wanted_revision.fetch_max(revision, Ordering::AcqRel);
@@ -260,65 +261,67 @@
         }
     }
 
-    /// The highest revision heard of.
+    /// The highest revision that this box knows to exist, or 0.
     pub fn wanted_revision(&self) -> Revision {
         self.wanted_revision.load(Ordering::Acquire)
     }
 
-    /// Waits until a revision is in force; `false` when it does not arrive in time.
+    /// Waits until a revision is in force; returns `false` on time-out.
     pub async fn reach_revision(&self, revision: Revision) -> bool {
         self.want_revision(revision);
         self.poll_until(|| self.config.in_force() >= revision).await
     }
 
-    /// After a silence in which the box may have been frozen, waits to hear from someone.
-    /// In an outage of everything it goes on with what it has: nobody can have changed it.
+    /// After a period without contact, in which the process may have been suspended, waits for
+    /// contact and for the newest configuration. On time-out the box continues with what it has: if
+    /// everything else is down, nobody can have changed the configuration.
     pub async fn refresh_after_silence(&self) {
-        if self.silent_ms() < LEAST_FRESH_MS {
+        if self.silent_ms() < MIN_FRESHNESS_MS {
             return;
         }
-        let fresh_for_ms = self.fresh_for_ms();
-        if self.silent_ms() < fresh_for_ms {
+        let freshness_limit_ms = self.freshness_limit_ms();
+        if self.silent_ms() < freshness_limit_ms {
             return;
         }
         self.catch_up.notify_one();
-        self.poll_until(|| self.silent_ms() < fresh_for_ms).await;
+        self.poll_until(|| self.silent_ms() < freshness_limit_ms)
+            .await;
         let wanted = self.wanted_revision();
         self.poll_until(|| self.config.in_force() >= wanted).await;
     }
 
-    /// Twice the time between heartbeats, which grows with the zone.
-    fn fresh_for_ms(&self) -> Millis {
+    /// Twice the heartbeat period, which grows with the number of boxes in the zone.
+    fn freshness_limit_ms(&self) -> Millis {
         let boxes = read(&self.members).view().count_in(&self.options.zone);
-        LEAST_FRESH_MS.max(2 * heartbeat_period_ms(boxes))
+        MIN_FRESHNESS_MS.max(2 * heartbeat_period_ms(boxes))
     }
 
     async fn poll_until(&self, met: impl Fn() -> bool) -> bool {
         let polled = async {
             while !met() {
-                tokio::time::sleep(CATCH_UP_POLL).await;
+                tokio::time::sleep(CATCH_UP_POLL_INTERVAL).await;
             }
         };
-        tokio::time::timeout(CATCH_UP_WITHIN, polled).await.is_ok()
+        tokio::time::timeout(CATCH_UP_TIMEOUT, polled).await.is_ok()
     }
 
-    /// Whether an order to an engine may go out now. Engines that check fences judge for
-    /// themselves; for others the lease is read against the monotonic clock right here.
+    /// Whether an order may be sent to an engine now. Engines that check fences reject stale orders
+    /// themselves; for others this box must hold its lease by the monotonic clock.
     pub fn may_order(&self, engine: &EngineSpec) -> bool {
         engine.checks_orders || self.lease.is_certainly_held(self.clock.now_ms())
     }
 
-    /// Gives an engine up after another box has taken it.
+    /// Releases an engine after another box has taken it over.
     pub fn give_up(&self, engine: &EngineId) {
         if let Some(owned) = self.owners.remove(engine) {
             owned.release();
         }
     }
 
-    /// Asks the box at a control address.
+    /// Sends a control request to the box at an address and waits for the reply.
     ///
     /// # Errors
-    /// [`ControlError`] when there is no answer.
+    /// Returns a [`ControlError`] if no reply arrives.
     pub async fn ask(
         &self,
         address: &str,
@@ -333,15 +336,15 @@
         self.control.ask(address, envelope, within).await
     }
 
-    /// Asks a box with the usual patience.
+    /// Sends a control request with the default timeout.
     ///
     /// # Errors
-    /// [`ControlError`] when there is no answer.
+    /// Returns a [`ControlError`] if no reply arrives.
     pub async fn ask_soon(&self, address: &str, message: Message) -> Result<Reply, ControlError> {
         self.ask(address, message, ASK_WITHIN).await
     }
 
-    /// Notes a first attempt of a class for its retry budget.
+    /// Credits a class's retry budget for a first attempt.
     pub fn earn_retry(&self, class: &str) {
         let mut budgets = lock(&self.budgets);
         match budgets.get_mut(class) {
@@ -350,13 +353,13 @@
         }
     }
 
-    /// Retries that a class may make now.
+    /// The number of retries that a class's budget allows now.
     pub fn retry_balance(&self, class: &str) -> f64 {
         let mut budgets = lock(&self.budgets);
         budgets.entry(class.to_owned()).or_default().balance()
     }
 
-    /// Takes a retry out of a class's budget, if there is one.
+    /// Takes one retry from a class's budget; returns `false` if the budget is exhausted.
     pub fn spend_retry(&self, class: &str) -> bool {
         let mut budgets = lock(&self.budgets);
         let allowed = budgets.entry(class.to_owned()).or_default().spend();
