--- a/crates/tinbay-node/src/node.rs
+++ b/crates/tinbay-node/src/node.rs
@@ -26,13 +26,13 @@
 use crate::util::clock::wall_ms;
 use crate::util::sync::read;
 
-/// How often a leaving box looks whether its last request has ended.
-const LEAVING_POLL: Duration = Duration::from_millis(20);
+/// Interval at which a leaving box checks whether its last request has ended.
+const LEAVING_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// After callers' locate answers have run out, time for requests already on their way.
-const LEAVING_MARGIN: Duration = Duration::from_millis(500);
+/// Extra wait after callers' locate answers have expired, for requests already in transit.
+const IN_TRANSIT_MARGIN: Duration = Duration::from_millis(500);
 
-/// A running box.
+/// Handle of a running box.
 pub struct NodeHandle {
     node: Arc<Node>,
     server: ServerHandle,
@@ -41,13 +41,13 @@
     control_thread: Option<JoinHandle<()>>,
 }
 
-/// What the control thread tells once it has bound its socket.
-type Bound = Result<(Arc<Node>, SocketAddr), NodeError>;
+/// What the control thread reports after it has tried to bind its socket.
+type StartResult = Result<(Arc<Node>, SocketAddr), NodeError>;
 
 /// Starts a box.
 ///
 /// # Errors
-/// [`NodeError`] when an address cannot be listened on or a thread cannot start.
+/// Returns a [`NodeError`] if an address cannot be listened on or a thread cannot start.
 pub fn start(options: Options) -> Result<NodeHandle, NodeError> {
     let listener = TcpListener::bind(options.listen).map_err(|source| NodeError::Listen {
         address: options.listen.to_string(),
@@ -56,7 +56,7 @@
     let address = listener.local_addr().map_err(NodeError::Server)?;
     let workers = options.workers;
     let stop = Arc::new(Notify::new());
-    let (ready, started) = std_mpsc::channel::<Bound>();
+    let (ready, started) = std_mpsc::channel::<StartResult>();
     let thread_stop = Arc::clone(&stop);
     let control_thread = std::thread::Builder::new()
         .name("control".to_owned())
@@ -64,7 +64,7 @@
         .map_err(NodeError::Server)?;
     let (node, control_address) = started
         .recv()
-        .map_err(|_| NodeError::Control("it ended".to_owned()))??;
+        .map_err(|_| NodeError::Control("the thread ended during start-up".to_owned()))??;
     let app_node = Arc::clone(&node);
     let server = start_server("tinbay", listener, workers, move |app| {
         configure(app, &app_node);
@@ -92,7 +92,7 @@
     options: Options,
     address: SocketAddr,
     stop: &Arc<Notify>,
-    ready: &std_mpsc::Sender<Bound>,
+    ready: &std_mpsc::Sender<StartResult>,
 ) {
     let stop = Arc::clone(stop);
     let ready = ready.clone();
@@ -163,27 +163,27 @@
 }
 
 impl NodeHandle {
-    /// Where callers reach it.
+    /// HTTP address, for callers and other boxes.
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// Where boxes reach it.
+    /// Address for control messages of other boxes.
     pub fn control_address(&self) -> SocketAddr {
         self.control_address
     }
 
-    /// How many boxes it knows, itself included.
+    /// Number of boxes that this box knows, itself included.
     pub fn boxes_known(&self) -> usize {
         read(&self.node.members).view().boxes().count()
     }
 
-    /// Whether it takes new work.
+    /// Whether this box accepts new requests.
     pub fn is_ready(&self) -> bool {
         self.node.is_ready()
     }
 
-    /// Runs until the process is told to stop, then leaves without cutting a request off.
+    /// Runs until SIGTERM or SIGINT arrives, then stops as [`NodeHandle::stop`] does.
     pub fn run_until_signal(self) {
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_all()
@@ -194,7 +194,8 @@
         self.stop();
     }
 
-    /// Leaves: new work goes elsewhere, requests in progress end, then the threads do.
+    /// Stops the box gracefully: declares it leaving, waits for requests in progress up to the
+    /// `stop-within-ms` setting, then ends the threads.
     pub fn stop(mut self) {
         if !self.node.is_leaving() {
             self.node.leave();
@@ -208,12 +209,13 @@
         }
     }
 
-    /// Waits until no caller can still hold this box's address and nothing is in progress.
+    /// Waits until callers' locate answers with this box's address have expired and no request is in
+    /// progress, or until `stop-within-ms` has passed.
     fn await_requests(&self) {
         let options = &self.node.options;
         let began_ms = self.node.clock.now_ms();
         let located = Duration::from_millis(options.locate_valid_ms);
-        std::thread::sleep(located + LEAVING_MARGIN);
+        std::thread::sleep(located + IN_TRANSIT_MARGIN);
         loop {
             let running = self.node.metrics.in_progress.get();
             let leaving_ms = self.node.clock.now_ms().saturating_sub(began_ms);
@@ -221,10 +223,10 @@
                 return;
             }
             if leaving_ms >= options.stop_within_ms {
-                log::warn!(target: part::NODE, "{running} requests are cut off after {leaving_ms} ms");
+                log::warn!(target: part::NODE, "{running} requests cut off after {leaving_ms} ms");
                 return;
             }
-            std::thread::sleep(LEAVING_POLL);
+            std::thread::sleep(LEAVING_POLL_INTERVAL);
         }
     }
 }
