--- a/crates/tinbay-node/src/admin/changes.rs
+++ b/crates/tinbay-node/src/admin/changes.rs
@@ -1,9 +1,9 @@
-//! Changes of the configuration.
+//! Configuration changes.
 //!
-//! A change is checked in full, then written in one transaction together with its audit
-//! record. Each object is guarded by the revision it was checked against, so of two
-//! operators who race one gets a conflict. A lost reply is settled by reading the audit
-//! record: the change is made once and reported as what it was.
+//! A change is validated in full, then written in one transaction together with its audit record.
+//! Each object is guarded by the revision it was validated against, so of two concurrent changes to
+//! it one gets a conflict. If the reply to the transaction is lost, the audit record shows whether
+//! it took effect, so a change is applied once and its outcome is reported correctly.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -22,20 +22,20 @@
 use crate::state::Node;
 use crate::util::clock::wall_ms;
 
-/// Objects a change may have; the service takes 128 operations in a transaction.
+/// Maximum objects in a change; the key-value service takes 128 operations in a transaction.
 const MAX_ITEMS: usize = 100;
 
-/// Longest change id.
+/// Maximum length of a change id in bytes.
 const MAX_CHANGE_ID: usize = 128;
 
-/// Tries to find out what became of a change whose reply was lost.
-const SETTLE_TRIES: u32 = 3;
+/// Attempts to read the outcome of a change whose reply was lost.
+const OUTCOME_ATTEMPTS: u32 = 3;
 
-/// Time between those tries.
-const SETTLE_PAUSE: Duration = Duration::from_millis(150);
+/// Pause after each such attempt.
+const OUTCOME_RETRY_PAUSE: Duration = Duration::from_millis(150);
 
-/// Tries of a change while others are accepted in between.
-const GUARD_TRIES: u32 = 8;
+/// Attempts to write a change when concurrent changes fail its guards.
+const WRITE_ATTEMPTS: u32 = 8;
 
 /// Answers `POST /admin/v1/changes`.
 pub async fn change(
@@ -56,8 +56,8 @@
 ) -> Result<ChangeAccepted, Failure> {
     authorise(node, request)?;
     let change: ChangeRequest = read_json(payload.into_inner(), MAX_BODY_BYTES).await?;
-    check_shape(&change)?;
-    let outcome = make(node, &change).await;
+    check_format(&change)?;
+    let outcome = make_change(node, &change).await;
     match &outcome {
         Ok(accepted) => {
             log::info!(target: part::ADMIN, "change {} of {} accepted at revision {}", change.change_id, change.operator, accepted.revision);
@@ -70,7 +70,7 @@
     outcome
 }
 
-fn check_shape(change: &ChangeRequest) -> Result<(), Failure> {
+fn check_format(change: &ChangeRequest) -> Result<(), Failure> {
     let id = &change.change_id;
     let plain = |c: char| c.is_ascii_alphanumeric() || matches!(c, '.' | '_' | '-');
     if id.is_empty() || id.len() > MAX_CHANGE_ID || !id.chars().all(plain) {
@@ -84,13 +84,14 @@
     Ok(())
 }
 
-async fn make(node: &Arc<Node>, change: &ChangeRequest) -> Result<ChangeAccepted, Failure> {
-    if let Some(done) = find_done(node, &change.change_id).await? {
+async fn make_change(node: &Arc<Node>, change: &ChangeRequest) -> Result<ChangeAccepted, Failure> {
+    if let Some(done) = find_accepted(node, &change.change_id).await? {
         return Ok(done);
     }
-    for _ in 0..GUARD_TRIES {
+    for _ in 0..WRITE_ATTEMPTS {
         let head = stored_revision(node, keys::CONFIG_HEAD).await?;
-        // Checked against all that is accepted; without it the guards still protect each object.
+        // The change is validated against every accepted change. If the wait times out, the guards
+        // still protect each object.
         let caught_up = node.reach_revision(head).await;
         let current = read_current(node, change).await?;
         check(node, change, &current)?;
@@ -98,19 +99,19 @@
             Ok(TxnEnd::Done(revision)) => {
                 let accepted = finish(node, change, revision);
                 if caught_up {
-                    // Nothing lies between the head and this change: the guard saw to that.
-                    // So other boxes can learn it here, even if the service goes out now.
+                    // The guard on the head ensures that no change lies between it and this one, so this
+                    // box can pass the new revision on even if the service fails now.
                     node.config.advance(revision);
                 }
                 return Ok(accepted);
             }
             Ok(TxnEnd::GuardFailed) => {
-                // Either another operator was first, or an earlier ask with this id was.
-                if let Some(done) = find_done(node, &change.change_id).await? {
+                // Another change was accepted first, or an earlier request with this id was.
+                if let Some(done) = find_accepted(node, &change.change_id).await? {
                     return Ok(done);
                 }
             }
-            Err(PlatformError::ReplyLost) => return settle(node, change).await,
+            Err(PlatformError::ReplyLost) => return read_outcome(node, change).await,
             Err(_) => return Err(Failure::PlatformUnavailable),
         }
     }
@@ -123,8 +124,8 @@
     }
 }
 
-/// The accepted change of this id, if it was made already.
-async fn find_done(node: &Node, change_id: &str) -> Result<Option<ChangeAccepted>, Failure> {
+/// Returns the change with this id if it has been accepted already.
+async fn find_accepted(node: &Node, change_id: &str) -> Result<Option<ChangeAccepted>, Failure> {
     let pair = node
         .kv
         .get(&keys::audit(change_id))
@@ -141,12 +142,12 @@
     }))
 }
 
-/// The revision each object has now, 0 where it does not exist.
+/// Returns the current revision of each object, 0 for an object that does not exist.
 async fn read_current(node: &Node, change: &ChangeRequest) -> Result<Vec<Revision>, Failure> {
     let mut current = Vec::with_capacity(change.items.len());
     for item in &change.items {
         let key = item.key();
-        // What is in force here may be a moment old; the guard catches that.
+        // The configuration in force here may be slightly stale; the guard detects that.
         let revision = match node.config.get(&key) {
             Some(entry) if change.items.len() > 1 => entry.revision,
             None if change.items.len() > 1 => 0,
@@ -272,7 +273,7 @@
     }
 }
 
-/// Puts an accepted change in force here at once; other boxes hear of the revision.
+/// Applies an accepted change at this box at once; other boxes learn of its revision.
 fn finish(node: &Node, change: &ChangeRequest, revision: Revision) -> ChangeAccepted {
     for item in &change.items {
         let object = match item {
@@ -288,19 +289,20 @@
     }
 }
 
-/// Finds out what became of a change whose reply was lost.
-async fn settle(node: &Node, change: &ChangeRequest) -> Result<ChangeAccepted, Failure> {
-    for _ in 0..SETTLE_TRIES {
-        if let Ok(Some(done)) = find_done(node, &change.change_id).await {
+/// Determines the outcome of a change whose reply was lost.
+async fn read_outcome(node: &Node, change: &ChangeRequest) -> Result<ChangeAccepted, Failure> {
+    for _ in 0..OUTCOME_ATTEMPTS {
+        if let Ok(Some(done)) = find_accepted(node, &change.change_id).await {
             return Ok(finish(node, change, done.revision));
         }
-        // The write may still be on its way, so its absence proves nothing yet.
-        tokio::time::sleep(SETTLE_PAUSE).await;
+        // The write may still be in transit, so a missing record does not prove failure yet.
+        tokio::time::sleep(OUTCOME_RETRY_PAUSE).await;
     }
     Err(Failure::ChangeUnknown(change.change_id.clone()))
 }
 
-/// Notes a refused change; best effort, since it may be the service that is out.
+/// Writes an audit record of a refused change. Best effort: refusals caused by the key-value
+/// service itself are not recorded, and a failed write is ignored.
 async fn audit_refusal(node: &Node, change: &ChangeRequest, failure: &Failure) {
     if matches!(
         failure,
--- a/crates/tinbay-node/src/admin/drain.rs
+++ b/crates/tinbay-node/src/admin/drain.rs
@@ -1,4 +1,4 @@
-//! Makes this box leave: it takes no new work, and ends what it has.
+//! Drains this box: it accepts no new requests and finishes those in progress.
 
 use std::sync::Arc;
 
--- a/crates/tinbay-node/src/admin/policies.rs
+++ b/crates/tinbay-node/src/admin/policies.rs
@@ -1,4 +1,4 @@
-//! Tries a policy without making it.
+//! Evaluates a policy program without storing it.
 
 use std::sync::Arc;
 
@@ -12,7 +12,7 @@
 use crate::filters::Failure;
 use crate::state::Node;
 
-/// Answers `POST /admin/v1/policies/try` with the settings the program chooses.
+/// Answers `POST /admin/v1/policies/try` with the settings that the program yields.
 pub async fn try_policy(
     node: State<Arc<Node>>,
     request: HttpRequest,
--- a/crates/tinbay-node/src/admin/status.rs
+++ b/crates/tinbay-node/src/admin/status.rs
@@ -1,4 +1,5 @@
-//! Tells operators which boxes there are, what each has in force and what this one owns.
+//! Status for operators: the known boxes, the configuration revision of each, and the engines that
+//! this box owns.
 
 use std::collections::{BTreeSet, HashMap};
 use std::sync::Arc;
@@ -30,8 +31,8 @@
         members.view().boxes().cloned().collect()
     };
     let zones: BTreeSet<ZoneId> = records.iter().map(|record| record.zone.clone()).collect();
-    let asks = zones.iter().map(|zone| ask_zone(node, zone));
-    let heard: HashMap<BoxId, HeardBox> = join_all(asks)
+    let requests = zones.iter().map(|zone| request_zone_status(node, zone));
+    let heard: HashMap<BoxId, HeardBox> = join_all(requests)
         .await
         .into_iter()
         .flatten()
@@ -63,8 +64,8 @@
     }
 }
 
-/// What the first keeper of a zone that answers has heard.
-async fn ask_zone(node: &Arc<Node>, zone: &ZoneId) -> Vec<HeardBox> {
+/// Heartbeat status of a zone's boxes, from the first of its keepers that replies; empty if none does.
+async fn request_zone_status(node: &Arc<Node>, zone: &ZoneId) -> Vec<HeardBox> {
     let keepers: Vec<BoxRecord> = {
         let members = read(&node.members);
         members.view().keepers(zone).into_iter().cloned().collect()
