--- a/crates/tinbay-node/src/cli.rs
+++ b/crates/tinbay-node/src/cli.rs
@@ -1,8 +1,9 @@
-//! The command line of `tinbay-node`.
+//! Command-line definition of `tinbay-node`.
 
 use clap::{Arg, ArgAction, Command};
 
-/// Builds the command line. Every flag has an environment variable of the same name.
+/// Builds the command line. Every setting can also be given as an environment variable: the flag's
+/// name in upper case with `TINBAY_` before it.
 pub fn build_cli() -> Command {
     Command::new("tinbay-node")
         .version(env!("CARGO_PKG_VERSION"))
--- a/crates/tinbay-node/src/lib.rs
+++ b/crates/tinbay-node/src/lib.rs
@@ -1,4 +1,4 @@
-//! One box of tinbay: it takes callers' requests, owns engines and keeps configuration.
+//! One box of tinbay: accepts callers' requests, owns engines and distributes configuration.
 //!
 //! Every box runs the same program. [`node::start`] starts one; the binary and
 //! `tinbay demo` both call it.
--- a/crates/tinbay-node/src/logging.rs
+++ b/crates/tinbay-node/src/logging.rs
@@ -1,4 +1,4 @@
-//! Log lines: one short sentence behind the fixed prefix of its part.
+//! Log output: each line names the component that wrote it.
 
 use std::fmt::Arguments;
 use std::io;
@@ -8,34 +8,34 @@
 use log::{LevelFilter, Record};
 use serde::Serialize;
 
-/// Prefixes of the parts; used as log targets.
+/// Names of the components, used as log targets.
 pub mod part {
     /// Start, stop and settings.
     pub const NODE: &str = "node";
-    /// Requests of callers.
+    /// Requests from callers.
     pub const ENTRY: &str = "entry";
-    /// Owners of engines.
+    /// Ownership of engines and orders to them.
     pub const OWNER: &str = "owner";
-    /// Boxes and their view of each other.
+    /// Membership: which boxes exist and which of them are alive.
     pub const MEMBER: &str = "member";
-    /// Configuration.
+    /// Distribution of the configuration.
     pub const CONFIG: &str = "config";
     /// The administration interface.
     pub const ADMIN: &str = "admin";
-    /// Sharing of the weight store's allowance.
+    /// Sharing of the weight store's load allowance among the boxes.
     pub const LOADS: &str = "loads";
 }
 
-/// Form of the log lines.
+/// Format of the log lines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LogFormat {
-    /// `time level [part] sentence`.
+    /// `time level [part] message`.
     Text,
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
-/// The text is neither `text` nor `json`.
+/// Error for a log format other than `text` or `json`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("neither text nor json")]
 pub struct LogFormatError;
@@ -60,10 +60,10 @@
     message: String,
 }
 
-/// Sends log lines to standard error.
+/// Sets up logging to standard error.
 ///
 /// # Errors
-/// When logging was set up before.
+/// Returns an error if a logger has been set already.
 pub fn set_up(level: LevelFilter, format: LogFormat) -> Result<(), log::SetLoggerError> {
     fern::Dispatch::new()
         .level(LevelFilter::Warn)
--- a/crates/tinbay-node/src/main.rs
+++ b/crates/tinbay-node/src/main.rs
@@ -28,7 +28,7 @@
     let options = Options::from_matches(&matches)?;
     logging::set_up(options.log_level, options.log_format)?;
     for name in unknown_variables(&build_cli()) {
-        log::warn!(target: part::NODE, "{name} is no setting and is ignored");
+        log::warn!(target: part::NODE, "{name} is not a setting and is ignored");
     }
     if matches.get_flag("check") {
         println!("settings are valid");
--- a/crates/tinbay-node/src/metrics.rs
+++ b/crates/tinbay-node/src/metrics.rs
@@ -1,16 +1,16 @@
-//! What a box measures, as `/metrics` shows it.
+//! Prometheus metrics of a box, served under `/metrics`.
 
 use prometheus::{
     Encoder, HistogramOpts, HistogramVec, IntCounter, IntCounterVec, IntGauge, Opts, Registry,
     TextEncoder,
 };
 
-/// Bounds in seconds for waits and latencies, around the promised 0.8 s to the first token.
-const SECONDS_BOUNDS: [f64; 12] = [
+/// Histogram buckets in seconds, with a bound at the promised 0.8 s to the first token.
+const SECONDS_BUCKETS: [f64; 12] = [
     0.002, 0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 5.0, 30.0,
 ];
 
-/// The measures of one box.
+/// The metrics of one box.
 pub struct Metrics {
     registry: Registry,
     /// Requests by class and outcome.
@@ -21,33 +21,33 @@
     pub queue_seconds: HistogramVec,
     /// Time to the first token, by class.
     pub first_token_seconds: HistogramVec,
-    /// Further attempts, by class.
+    /// Retries, by class.
     pub retries: IntCounterVec,
     /// Orders to engines, by kind and outcome.
     pub orders: IntCounterVec,
-    /// Calls on the key-value service, by kind and outcome.
+    /// Calls to the key-value service, by kind and outcome.
     pub kv_calls: IntCounterVec,
-    /// Policy programs that failed at run time, by policy.
+    /// Run-time failures of policy programs, by policy.
     pub policy_failures: IntCounterVec,
-    /// Requests taken from callers and from other boxes.
+    /// Requests accepted from callers and from other boxes.
     pub work: IntCounter,
     /// Requests in progress.
     pub in_progress: IntGauge,
-    /// Configuration revision in force.
+    /// Configuration revision in force at this box.
     pub config_revision: IntGauge,
     /// Bytes of control messages sent and received.
     pub control_bytes: IntGauge,
-    /// Boxes known.
+    /// Number of boxes known, this one included.
     pub boxes: IntGauge,
-    /// Engines owned.
+    /// Number of engines that this box owns.
     pub engines_owned: IntGauge,
 }
 
 impl Metrics {
-    /// New measures, all zero.
+    /// Registers all metrics, each at zero.
     ///
     /// # Errors
-    /// When two measures share a name; a mistake in this file.
+    /// Returns an error if two metrics share a name.
     pub fn new() -> Result<Self, prometheus::Error> {
         let registry = Registry::new();
         Ok(Self {
@@ -96,7 +96,7 @@
                 "Policies that failed when run",
                 &["policy"],
             )?,
-            work: plain_counter(
+            work: unlabelled_counter(
                 &registry,
                 "tinbay_work_total",
                 "Requests taken from callers and other boxes",
@@ -122,7 +122,7 @@
         })
     }
 
-    /// The measures in the text format.
+    /// Renders the metrics in the Prometheus text format; empty if they cannot be encoded.
     pub fn to_text(&self) -> String {
         let mut text = Vec::new();
         let families = self.registry.gather();
@@ -144,7 +144,7 @@
     Ok(counter)
 }
 
-fn plain_counter(
+fn unlabelled_counter(
     registry: &Registry,
     name: &str,
     help: &str,
@@ -159,7 +159,7 @@
     name: &str,
     help: &str,
 ) -> Result<HistogramVec, prometheus::Error> {
-    let options = HistogramOpts::new(name, help).buckets(SECONDS_BOUNDS.to_vec());
+    let options = HistogramOpts::new(name, help).buckets(SECONDS_BUCKETS.to_vec());
     let histogram = HistogramVec::new(options, &["class"])?;
     registry.register(Box::new(histogram.clone()))?;
     Ok(histogram)
--- a/crates/tinbay-node/src/options.rs
+++ b/crates/tinbay-node/src/options.rs
@@ -1,4 +1,4 @@
-//! The settings of a box, typed and checked.
+//! Typed and validated settings of a box.
 
 use std::net::SocketAddr;
 use std::str::FromStr;
@@ -10,82 +10,82 @@
 use crate::error::NodeError;
 use crate::logging::LogFormat;
 
-/// Prefix of the environment variables that are settings.
+/// Prefix of the environment variables for settings.
 const VARIABLE_PREFIX: &str = "TINBAY_";
 
-/// The settings of a box.
+/// The validated settings of a box.
 #[derive(Debug, Clone)]
 pub struct Options {
-    /// Name of the box.
+    /// Name of the box, unique in the fleet.
     pub box_id: BoxId,
-    /// Its availability zone.
+    /// Availability zone in which the box runs.
     pub zone: ZoneId,
-    /// Its region.
+    /// Region of the zone; engines and request keys are shared within a region.
     pub region: String,
-    /// Address for HTTP.
+    /// Address to listen on for HTTP.
     pub listen: SocketAddr,
-    /// Address for control messages.
+    /// Address to listen on for control messages.
     pub control_listen: SocketAddr,
-    /// Address others use for HTTP, where it differs.
+    /// Address that others use for HTTP; `None` if it is the one listened on.
     pub advertise: Option<SocketAddr>,
-    /// Address others use for control messages, where it differs.
+    /// Address that other boxes use for control messages; `None` if it is the one listened on.
     pub control_advertise: Option<SocketAddr>,
-    /// The key-value service.
+    /// Address of the key-value service.
     pub kv: SocketAddr,
-    /// The platform's list of boxes.
+    /// Address of the platform's list of boxes.
     pub box_list: SocketAddr,
-    /// Token operators must send.
+    /// Token that operators must send; without one the administration interface is open.
     pub admin_token: Option<String>,
-    /// Threads that serve requests.
+    /// Number of threads that serve requests.
     pub workers: usize,
-    /// How long callers may keep an answer of locate.
+    /// How long callers may cache a locate answer.
     pub locate_valid_ms: Millis,
-    /// Longest planned stop.
+    /// Maximum duration of a planned stop; requests still running then are cut off.
     pub stop_within_ms: Millis,
-    /// Longest request body.
+    /// Maximum size of a request body.
     pub max_body_bytes: usize,
-    /// Least urgent log lines shown.
+    /// Least severe level that is logged.
     pub log_level: log::LevelFilter,
-    /// Form of the log lines.
+    /// Format of the log lines.
     pub log_format: LogFormat,
-    /// Silence after which a box is held to be dead.
+    /// Time without heartbeats after which keepers declare a box dead.
     pub dead_after_ms: Millis,
 }
 
-/// One wrong setting.
+/// A missing or invalid setting.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum SettingError {
-    /// It must be given.
+    /// A required setting was not given.
     #[error("--{flag} is missing: {allowed}")]
     Missing {
-        /// The flag.
+        /// The flag without its dashes.
         flag: &'static str,
-        /// What may be given.
+        /// Hint that says which values are allowed.
         allowed: &'static str,
     },
-    /// Its value is not allowed.
+    /// The value could not be parsed or is not allowed.
     #[error("--{flag} is '{value}': {allowed}")]
     Invalid {
-        /// The flag.
+        /// The flag without its dashes.
         flag: &'static str,
-        /// What was given.
+        /// The value as given.
         value: String,
-        /// What may be given.
+        /// Hint that says which values are allowed.
         allowed: &'static str,
     },
 }
 
-/// What an address setting may be.
+/// Hint for settings that take an address.
 const ADDRESS: &str = "give an ip:port";
 
-/// What a name setting may be.
+/// Hint for settings that take a name.
 const NAME: &str = "give letters, digits, '.', '_' and '-'";
 
 impl Options {
-    /// Turns matches into settings.
+    /// Reads and validates the settings from the parsed command line.
     ///
     /// # Errors
-    /// [`NodeError::Settings`] with every wrong setting.
+    /// Returns [`NodeError::Settings`] with every missing or invalid setting.
     pub fn from_matches(matches: &ArgMatches) -> Result<Self, NodeError> {
         let mut reader = Reader {
             matches,
@@ -99,7 +99,7 @@
     }
 }
 
-/// Reads settings one by one and remembers every wrong one.
+/// Reads settings one by one and collects the errors.
 struct Reader<'a> {
     matches: &'a ArgMatches,
     errors: Vec<SettingError>,
@@ -107,7 +107,7 @@
 
 impl Reader<'_> {
     fn read(&mut self) -> Option<Options> {
-        // Each is read before any is unwrapped, so that all errors are found in one run.
+        // All settings are read before any is unwrapped, so that one run reports all errors.
         let box_id = self.name("box-id");
         let zone = self.name("zone");
         let region = self.name("region");
@@ -181,12 +181,12 @@
     fn ranged(
         &mut self,
         flag: &'static str,
-        least: u64,
-        most: u64,
+        min: u64,
+        max: u64,
         allowed: &'static str,
     ) -> Option<u64> {
         let number: u64 = self.required(flag, allowed)?;
-        if !(least..=most).contains(&number) {
+        if !(min..=max).contains(&number) {
             self.invalid(flag, number.to_string(), allowed);
             return None;
         }
@@ -202,7 +202,8 @@
     }
 }
 
-/// Environment variables that look like settings but are none, likely misspelt.
+/// Returns the environment variables that have the settings' prefix and are no settings, probably
+/// misspelt.
 pub fn unknown_variables(command: &clap::Command) -> Vec<String> {
     let known: Vec<&str> = command
         .get_arguments()
--- a/crates/tinbay-node/src/state.rs
+++ b/crates/tinbay-node/src/state.rs
@@ -60,7 +60,7 @@
     pub vacancies: Mutex<Vacancies>,
     /// The request keys whose home is this box.
     pub keys: Mutex<KeyTable>,
-    /// Limits adapter loads to this box's share of the weight store's allowance.
+    /// Limits adapter loads to the weight store's allowance.
     pub loads: LoadLimiter,
     /// The lease that permits orders to engines that do not check fences.
     pub lease: BoxLease,
