--- a/crates/tinbay-node/tests/settings_test.rs
+++ b/crates/tinbay-node/tests/settings_test.rs
@@ -1,8 +1,8 @@
-//! Settings: every wrong one is named in one run.
+//! Checks of the settings: one run reports every missing or invalid setting.
 
 use std::process::{Command, Output};
 
-fn run(args: &[&str]) -> Output {
+fn run_node(args: &[&str]) -> Output {
     Command::new(env!("CARGO_BIN_EXE_tinbay-node"))
         .args(args)
         .env("TINBAY_MISSPELT", "x")
@@ -12,7 +12,7 @@
 
 #[test]
 fn check_valid_settings_passes_and_warns_of_unknown() {
-    let output = run(&[
+    let output = run_node(&[
         "--check",
         "--box-id=box-1",
         "--zone=a",
@@ -30,7 +30,7 @@
 
 #[test]
 fn check_wrong_settings_names_each_with_value_and_allowed() {
-    let output = run(&[
+    let output = run_node(&[
         "--check",
         "--box-id=a b",
         "--kv=nowhere",
