--- a/crates/tinbay-gateway/src/watch/access.rs
+++ b/crates/tinbay-gateway/src/watch/access.rs
@@ -1,8 +1,8 @@
-//! All calls to the store, and what their answers tell of its era.
+//! Wraps all calls to the store and tracks its era, which changes with each restore from a backup.
 //!
-//! Each answer names the era in which it was given, so the first answer of any kind shows that the
-//! store has come back from a backup. An answer of an earlier era is late and dropped; what rests on
-//! positions or leases of one is not asked, as the store may have given out their numbers again.
+//! Each answer names the era in which it was given, so the first answer of any kind reveals a
+//! restore. An answer from an earlier era is late and is dropped. Calls that depend on positions or
+//! leases of an earlier era are not sent, as the restored store may have reused their numbers.
 
 use std::cell::{Cell, RefCell};
 
@@ -15,42 +15,42 @@
     Answered, Changes, Item, Lease, Listing, Store, StoreError, StoreResult, Transaction,
 };
 
-/// Time after a return in which entries that are missing may be written again: the store's own
-/// writers take some seconds.
+/// Time after a restore in which missing entries may be written again: the writers of the store
+/// need some seconds for this.
 pub const REWRITTEN_WITHIN_MS: Millis = 5_000;
 
-/// Key that is read to learn the era alone.
+/// Key that is listed only to learn the era from the answer.
 const LOOK_KEY: &str = "tinbay/settled";
 
-/// A return of the store from a backup.
+/// A restore of the store from a backup.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Return {
-    /// Era before.
+    /// Era before the restore.
     pub from: Era,
-    /// Era since.
+    /// Era that the restore began.
     pub to: Era,
-    /// When this box saw it.
+    /// Local time at which this box noticed the restore.
     pub seen_ms: Millis,
 }
 
-/// The store, with the era it is in.
+/// The store together with its present era.
 pub struct StoreAccess {
     inner: Box<dyn Store>,
     clock: Clock,
     era: Cell<Option<Era>>,
-    /// Whether that is another box's word alone.
+    /// Whether the era was learned from another box and not yet confirmed by the store.
     is_told: Cell<bool>,
-    /// Whether an answer that named no era was taken.
+    /// Whether a successful answer that named no era was accepted.
     was_unnamed: Cell<bool>,
     last_return: Cell<Option<Return>>,
-    /// Returns that nobody has dealt with yet.
+    /// Restores that have not been handled yet, oldest first.
     unhandled: RefCell<Vec<Return>>,
-    /// Told when a return was seen.
+    /// Notified when a restore is noticed.
     pub returned: Notify,
 }
 
 impl StoreAccess {
-    /// Access to a store that nothing is known of.
+    /// Wraps a store whose era is still unknown.
     pub fn new(inner: Box<dyn Store>, clock: Clock) -> Self {
         Self {
             inner,
@@ -64,12 +64,13 @@
         }
     }
 
-    /// The era the store is in; none before its first answer, and where answers name none.
+    /// The present era of the store; `None` before its first answer, or if its answers name no era.
     pub fn era(&self) -> Option<Era> {
         self.era.get()
     }
 
-    /// Whether the store came back so lately that what is missing there may be written again.
+    /// Whether a restore was noticed within the last `REWRITTEN_WITHIN_MS`, so that entries missing
+    /// from the store may still be written again.
     pub fn is_being_rewritten(&self) -> bool {
         let now_ms = self.clock.now_ms();
         self.last_return
@@ -77,15 +78,15 @@
             .is_some_and(|last| now_ms < last.seen_ms + REWRITTEN_WITHIN_MS)
     }
 
-    /// The next return that is to be dealt with.
+    /// Removes and returns the oldest unhandled restore.
     pub fn take_return(&self) -> Option<Return> {
         let mut unhandled = self.unhandled.borrow_mut();
         (!unhandled.is_empty()).then(|| unhandled.remove(0))
     }
 
-    /// Whether positions that another box tells are of the present era. A later one is looked after
-    /// at the store by the cheapest read; where that gives no answer, the other box's word counts until
-    /// the store says otherwise.
+    /// Whether an era reported by another box is the present one. A later era is checked with the
+    /// cheapest read of the store; if the store does not answer, the reported era is assumed until
+    /// the store names another one.
     pub async fn confirm_told(&self, era: Era) -> bool {
         if self.is_present(era) {
             return true;
@@ -103,11 +104,11 @@
         self.is_present(era)
     }
 
-    /// Notes the era that an answer of the store names; whether it is not over.
+    /// Records the era named in an answer of the store. Returns false if that era is already over.
     fn note_era(&self, era: Era) -> bool {
         let is_told = self.is_told.replace(false);
         match self.known_era() {
-            // Another box was wrong, or this is a late answer; the next one tells.
+            // Either the other box was wrong, or this answer is late: the next answer decides.
             Some(known) if era < known && is_told => self.note_return(known, era),
             Some(known) if era < known => return false,
             Some(known) if era > known => self.note_return(known, era),
@@ -117,7 +118,7 @@
         true
     }
 
-    /// The era that was known so far: the lowest one where answers have named none.
+    /// The last known era: the lowest one if the answers so far named none.
     fn known_era(&self) -> Option<Era> {
         let unnamed = self.was_unnamed.get().then(Era::default);
         self.era.get().or(unnamed)
@@ -134,32 +135,32 @@
         self.returned.notify_one();
     }
 
-    /// Whether a position may be compared with what the store gives out now.
+    /// Whether positions of `era` may be compared with those that the store assigns now.
     pub fn is_present(&self, era: Era) -> bool {
         self.era.get().unwrap_or_default() == era
     }
 
-    /// Reads one key; no answer may be stale.
+    /// Reads one key; the answer is never stale.
     ///
     /// # Errors
     /// When the store does not answer or refuses.
     pub async fn read(&self, key: &str) -> StoreResult<Option<Item>> {
-        self.take(self.inner.read(key).await)
+        self.check_era(self.inner.read(key).await)
     }
 
-    /// Reads all keys below a prefix; `stale` allows an answer some seconds old.
+    /// Reads all keys under a prefix; `stale` allows an answer that is some seconds old.
     ///
     /// # Errors
-    /// When the store does not answer or refuses, or comes back between two pages.
+    /// When the store does not answer or refuses, or is restored between two pages.
     pub async fn list(&self, prefix: &str, stale: bool) -> StoreResult<Listing> {
-        self.take(self.inner.list(prefix, stale).await)
+        self.check_era(self.inner.list(prefix, stale).await)
     }
 
-    /// Waits for changes below a prefix after a position.
+    /// Waits for changes under a prefix after a position.
     ///
     /// # Errors
-    /// When the store does not answer or refuses; `HistoryGone` also where the position is of
-    /// another era than the answer.
+    /// When the store does not answer or refuses; `HistoryGone` also if the position and the
+    /// answer belong to different eras.
     pub async fn watch(
         &self,
         prefix: &str,
@@ -174,25 +175,26 @@
             .inner
             .watch(prefix, after.revision, wait_ms, late_ms)
             .await;
-        let changes = self.take(watching)?;
+        let changes = self.check_era(watching)?;
         if changes.at.era != after.era {
             return Err(StoreError::HistoryGone);
         }
         Ok(changes)
     }
 
-    /// Does a transaction and gives its position.
+    /// Commits a transaction and returns its position.
     ///
     /// # Errors
-    /// When the store does not answer or refuses; `EraOver` where it came back since the expected
-    /// positions were read: it was not sent, or may have fitted another content.
+    /// When the store does not answer or refuses; `EraOver` if it was restored after the expected
+    /// positions were read: the transaction was either not sent, or its expected positions may have
+    /// matched other content.
     pub async fn commit(&self, transaction: &Transaction) -> StoreResult<Position> {
-        let rests_on = eras_of(transaction);
-        if !rests_on.iter().all(|era| self.is_present(*era)) {
+        let eras = eras_of(transaction);
+        if !eras.iter().all(|era| self.is_present(*era)) {
             return Err(StoreError::EraOver);
         }
-        let committed = self.take(self.inner.commit(transaction).await)?;
-        if rests_on.iter().any(|era| *era != committed.era) {
+        let committed = self.check_era(self.inner.commit(transaction).await)?;
+        if eras.iter().any(|era| *era != committed.era) {
             return Err(StoreError::EraOver);
         }
         Ok(committed)
@@ -203,25 +205,25 @@
     /// # Errors
     /// When the store does not answer or refuses.
     pub async fn grant(&self, life_ms: Millis) -> StoreResult<Lease> {
-        self.take(self.inner.grant(life_ms).await)
+        self.check_era(self.inner.grant(life_ms).await)
     }
 
-    /// Renews a lease; its number may have been given to another box after a return.
+    /// Renews a lease. After a restore its number may belong to another box.
     ///
     /// # Errors
-    /// When it is over, or the store does not answer or refuses.
+    /// When the lease is over, or the store does not answer or refuses.
     pub async fn keep(&self, lease: Lease) -> StoreResult<()> {
         if !self.is_present(lease.era) {
             return Err(StoreError::LeaseOver);
         }
-        let kept = self.take(self.inner.keep(lease.id).await);
+        let kept = self.check_era(self.inner.keep(lease.id).await);
         if !self.is_present(lease.era) {
             return Err(StoreError::LeaseOver);
         }
         kept
     }
 
-    fn take<T>(&self, answered: Answered<T>) -> StoreResult<T> {
+    fn check_era<T>(&self, answered: Answered<T>) -> StoreResult<T> {
         match (answered.era, answered.result) {
             (Some(era), result) => {
                 if !self.note_era(era) {
@@ -241,7 +243,7 @@
     }
 }
 
-/// Eras of all that a transaction rests on.
+/// Eras of the expected positions and of the leases of a transaction.
 fn eras_of(transaction: &Transaction) -> Vec<Era> {
     let expected = transaction.expected.iter();
     let leases = transaction.put.iter().filter_map(|(_, _, lease)| *lease);
--- a/crates/tinbay-gateway/src/watch/boxes.rs
+++ b/crates/tinbay-gateway/src/watch/boxes.rs
@@ -1,5 +1,5 @@
-//! Follows what boxes write into the store: their own entries, their claims on
-//! servers, and requests that are refused.
+//! Follows what boxes write to the store: their own entries, their claims on servers, and the
+//! requests that are refused.
 
 use std::collections::HashSet;
 use std::rc::Rc;
@@ -17,16 +17,16 @@
 use crate::orders::era_mark;
 use crate::port::store::{Change, Item, Listing};
 
-/// Prefix of all that boxes write.
+/// Prefix of all keys that boxes write.
 pub const PREFIX: &str = "tinbay/";
 
-/// Prefix of the boxes' own entries, which go with their leases.
+/// Prefix of the boxes' own entries, which are deleted when their leases end.
 pub const MEMBER_PREFIX: &str = "tinbay/boxes/";
 
-/// Prefix of claims on servers, which stay.
+/// Prefix of claims on servers, which are not bound to a lease.
 pub const CLAIM_PREFIX: &str = "tinbay/claims/";
 
-/// Follows what boxes write.
+/// Applies the entries, claims and refused requests that boxes write to the state of this box.
 pub struct BoxFollower {
     node: Rc<Node>,
 }
@@ -47,14 +47,14 @@
 }
 
 impl BoxFollower {
-    /// A follower that changes `node`.
+    /// Creates a follower that updates `node`.
     pub fn new(node: Rc<Node>) -> Self {
         Self { node }
     }
 
-    fn take(&self, item: &Item) {
+    fn apply_item(&self, item: &Item) {
         if let Some(id) = item.key.strip_prefix(MEMBER_PREFIX) {
-            self.take_member(id, item);
+            self.apply_member(id, item);
         } else if let Some(address) = item.key.strip_prefix(CLAIM_PREFIX) {
             self.node.note_claim(address, item);
         } else if item.key == era_mark::KEY {
@@ -64,10 +64,10 @@
         }
     }
 
-    fn take_member(&self, id: &str, item: &Item) {
+    fn apply_member(&self, id: &str, item: &Item) {
         let record = match serde_json::from_slice::<MemberRecord>(&item.value) {
             Ok(record) => record,
-            Err(error) => return self.tell_unreadable(item, &error),
+            Err(error) => return self.report_unreadable(item, &error),
         };
         let event = MemberEvent {
             box_id: id,
@@ -81,8 +81,8 @@
             .put(id, record, self.node.now_ms());
     }
 
-    /// An entry that can't be read changes nothing: what is known of the box holds.
-    fn tell_unreadable(&self, item: &Item, error: &serde_json::Error) {
+    /// Counts and logs an entry that can't be decoded. The last known record of the box stays in use.
+    fn report_unreadable(&self, item: &Item, error: &serde_json::Error) {
         let unreadable = &self.node.metrics.unreadable;
         unreadable.with_label_values(&["box_entry"]).inc();
         let event = UnreadableEvent {
@@ -94,7 +94,7 @@
     }
 }
 
-fn drop_member(node: &Node, id: &str, revision: u64) {
+fn remove_member(node: &Node, id: &str, revision: u64) {
     let event = MemberEvent {
         box_id: id,
         revision,
@@ -104,13 +104,13 @@
     node.members.borrow_mut().unlist(id, node.now_ms());
 }
 
-/// Drops the boxes whose entries are still missing some time after the store came back.
-async fn drop_unless_written(node: Rc<Node>, missing: Vec<String>) {
+/// Removes the boxes whose entries are still missing some seconds after a restore of the store.
+async fn remove_if_still_missing(node: Rc<Node>, missing: Vec<String>) {
     tokio::time::sleep(Duration::from_millis(REWRITTEN_WITHIN_MS)).await;
     for id in missing {
         let key = format!("{MEMBER_PREFIX}{id}");
         if node.replica.item(PREFIX, &key).is_none() {
-            drop_member(&node, &id, 0);
+            remove_member(&node, &id, 0);
         }
     }
 }
@@ -135,28 +135,28 @@
                 .collect()
         };
         if self.node.store.is_being_rewritten() {
-            // Their leases went with the return, and those that live write their entries again.
-            let waiting = drop_unless_written(Rc::clone(&self.node), gone);
+            // The restore dropped their leases; boxes that are alive write their entries again.
+            let waiting = remove_if_still_missing(Rc::clone(&self.node), gone);
             tokio::task::spawn_local(waiting);
         } else {
             for id in gone {
-                drop_member(&self.node, &id, 0);
+                remove_member(&self.node, &id, 0);
             }
         }
         let now_ms = self.node.now_ms();
         self.node.members.borrow_mut().note_break(now_ms);
         self.node.boxes_listed_ms.set(now_ms);
         for item in items {
-            self.take(item);
+            self.apply_item(item);
         }
     }
 
     fn apply(&self, change: &Change) {
         match change {
-            Change::Put(item) => self.take(item),
+            Change::Put(item) => self.apply_item(item),
             Change::Gone { key, position } => {
                 if let Some(id) = key.strip_prefix(MEMBER_PREFIX) {
-                    drop_member(&self.node, id, position.revision);
+                    remove_member(&self.node, id, position.revision);
                 }
             }
         }
--- a/crates/tinbay-gateway/src/watch/configuration.rs
+++ b/crates/tinbay-gateway/src/watch/configuration.rs
@@ -1,4 +1,4 @@
-//! Follows the operators' configuration and the versions they name.
+//! Follows the operators' configuration and the adapter versions that they name.
 
 use std::cell::Cell;
 use std::collections::HashMap;
@@ -15,10 +15,10 @@
 use crate::node::{InForce, Node};
 use crate::port::store::{Change, Item, Listing};
 
-/// Follows what operators write.
+/// Applies the configuration and the adapter versions that operators write.
 pub struct ConfigurationFollower {
     node: Rc<Node>,
-    /// Era in which the operators were last seen to write a configuration.
+    /// Era of the last configuration change that this box has watched.
     written_in: Cell<Option<Era>>,
 }
 
@@ -36,7 +36,8 @@
     adapter: &'a str,
     version: u64,
     revision: u64,
-    /// Time since it was certainly not named yet; none where it was there when this box came.
+    /// Upper bound of the time since the version was named; `None` if it was already named when
+    /// this box started.
     earliest_age_ms: Option<Millis>,
 }
 
@@ -48,7 +49,7 @@
 }
 
 impl ConfigurationFollower {
-    /// A follower that changes `node`.
+    /// Creates a follower that updates `node`.
     pub fn new(node: Rc<Node>) -> Self {
         Self {
             node,
@@ -56,19 +57,19 @@
         }
     }
 
-    /// Takes an item, unless a newer one of its key was taken.
-    pub fn take(&self, item: &Item) {
-        self.drop_kept(item);
+    /// Applies an item, unless a newer version of its key has been applied.
+    pub fn apply_item(&self, item: &Item) {
+        self.drop_superseded(item);
         let keys = self.node.dialect.keys();
         if item.key == keys.configuration {
-            self.take_configuration(item);
+            self.apply_configuration(item);
         } else if item.key.starts_with(&keys.versions) {
-            self.take_version(item);
+            self.apply_version(item);
         }
     }
 
-    /// Keeps what the store lacks since it came back from a backup: newer versions than it shows.
-    fn keep_what_is_lacking(&self, listing: &Listing) {
+    /// After a restore of the store, keeps the items of which it holds no version or an older one.
+    fn keep_items_missing_from(&self, listing: &Listing) {
         let Some(before) = self.node.replica.listing(self.prefix()) else {
             return;
         };
@@ -85,7 +86,7 @@
         }
     }
 
-    /// Keeps an item that another box or an earlier era had, if the store has none as new.
+    /// Keeps an item of another box or of an earlier era if it is newer than the stored one.
     pub fn keep(&self, item: Item, stored: Option<&Item>) {
         let version = self.version_of(&item);
         let stored_version = stored.and_then(|stored| self.version_of(stored));
@@ -101,13 +102,13 @@
         }
     }
 
-    /// Drops what was kept for a key once the store has it.
-    fn drop_kept(&self, item: &Item) {
+    /// Drops the kept item of a key once the store holds the same or a newer version.
+    fn drop_superseded(&self, item: &Item) {
         let mut kept_items = self.node.kept_items.borrow_mut();
-        let is_as_new = kept_items
+        let is_superseded = kept_items
             .get(&item.key)
             .is_some_and(|kept| self.version_of(item) >= self.version_of(kept));
-        if is_as_new {
+        if is_superseded {
             kept_items.remove(&item.key);
         }
     }
@@ -124,10 +125,11 @@
         named.ok().map(|named| named.version)
     }
 
-    /// Whether the operators have certainly written again what the store forgot as it came back: not
-    /// for some seconds, unless they were seen to write since. A version that was written while no
-    /// box read the store is known to nobody else; without this, a key that it had taken away was
-    /// served 5.02 s later (5.0 allowed, soaked).
+    /// Whether the operators can be assumed to have rewritten what a restore of the store lost: some
+    /// seconds after the restore, or as soon as a configuration change is watched in the new era.
+    /// A version written while no box read the store is known to no other box. Without this check, a
+    /// key of a client account that such a version had removed was accepted for 5.02 s, where 5.0 s
+    /// are allowed.
     fn is_rewritten(&self) -> bool {
         let Some(era) = self.node.unsettled_era() else {
             return true;
@@ -139,7 +141,7 @@
         is_over && self.node.has_asked_others.get()
     }
 
-    fn take_configuration(&self, item: &Item) {
+    fn apply_configuration(&self, item: &Item) {
         let configuration = match self.node.dialect.decode_configuration(&item.value) {
             Ok(configuration) => configuration,
             Err(error) => return reject(item, error.to_string()),
@@ -163,14 +165,15 @@
         *in_force = Some(Rc::new(InForce::new(configuration)));
     }
 
-    fn take_version(&self, item: &Item) {
+    fn apply_version(&self, item: &Item) {
         let named = match self.node.dialect.decode_version(&item.value) {
             Ok(named) => named,
             Err(error) => return reject(item, error.to_string()),
         };
         let allowed_ms = self.node.settings.borrow().bounds.version_within_ms;
-        // The version had not been named when this box last knew all that the operators wrote.
-        // Counted from when it is learnt, the time of a late watch would be lost to the callers.
+        // The version had not been named when this box last had a complete view of what operators
+        // wrote. Counting from the time of receipt would add the delay of a late watch to the time
+        // that callers wait for the version.
         let earliest_ms = self.node.replica.complete_ms(self.prefix());
         let now_ms = self.node.now_ms();
         let mut versions = self.node.versions.borrow_mut();
@@ -206,9 +209,9 @@
     }
 
     fn reset(&self, listing: &Listing) {
-        self.keep_what_is_lacking(listing);
+        self.keep_items_missing_from(listing);
         for item in &listing.items {
-            self.take(item);
+            self.apply_item(item);
         }
     }
 
@@ -221,7 +224,7 @@
             if item.key == self.node.dialect.keys().configuration {
                 self.written_in.set(Some(item.position.era));
             }
-            self.take(item);
+            self.apply_item(item);
         }
     }
 }
--- a/crates/tinbay-gateway/src/watch/mod.rs
+++ b/crates/tinbay-gateway/src/watch/mod.rs
@@ -1,4 +1,4 @@
-//! Keeps beliefs in step with the store: a listing first, then changes as they come.
+//! Keeps the state of this box in sync with the store: lists each prefix, then watches for changes.
 
 pub mod access;
 pub mod boxes;
@@ -25,47 +25,48 @@
 /// First pause after a failed call.
 const FIRST_PAUSE_MS: Millis = 100;
 
-/// Longest pause after failed calls; within it a store that is back is seen again.
+/// Longest pause after failed calls; bounds the time to notice that the store answers again.
 const LONGEST_PAUSE_MS: Millis = 800;
 
-/// Pause before the first watch of a box that knows no other one. When all start for the first
-/// time, none is entered in the store yet, and each would follow the store by itself until then:
-/// 195 boxes made 900 calls in their first four seconds.
+/// Pause before the first watch of a box that knows no other box. When all boxes of a fleet start
+/// for the first time, none has an entry in the store yet, and each one would watch the store
+/// itself: 195 boxes made 900 calls in their first four seconds.
 const ALONE_PAUSE_MS: Millis = 600;
 
-/// Time by which each box more lengthens the one over which boxes read all again after a return.
-const LISTING_SPREAD_A_BOX_MS: Millis = 1;
+/// Time per box of the fleet over which listings are spread after a restore of the store.
+const LISTING_SPREAD_PER_BOX_MS: Millis = 1;
 
-/// Longest such time: a configuration is to be in force 5 s after it is written again.
+/// Longest time over which listings are spread: a configuration must be in force within 5 s after
+/// it is written again.
 const MOST_LISTING_SPREAD_MS: Millis = 2_000;
 
-/// Pause after changes that another box passed on, so that several go together.
+/// Pause after changes that a relay passed on, so that one call returns several changes.
 const RELAY_GAP_MS: Millis = 40;
 
-/// Takes what the store says below one prefix.
+/// Applies what the store holds under one prefix.
 pub trait Follower {
-    /// The prefix.
+    /// The key prefix to list and watch.
     fn prefix(&self) -> &str;
 
-    /// Takes all there is; what is not in it is gone.
+    /// Applies a full listing; entries that are not in it no longer exist.
     fn reset(&self, listing: &Listing);
 
-    /// Takes one change.
+    /// Applies one watched change.
     fn apply(&self, change: &Change);
 
-    /// Whether what it has taken is all that was ever written: not while the store, come back from a
-    /// backup, lacks what this box knew before.
+    /// Whether the applied content includes everything that was ever written. False while the store,
+    /// restored from a backup, lacks items that were written before.
     fn is_complete(&self) -> bool {
         true
     }
 
-    /// Whether a new value of a key is to be passed on to other boxes.
+    /// Whether a new value of a key is passed on to other boxes as a change.
     fn is_passed_on(&self, _before: &Item, _after: &Item) -> bool {
         true
     }
 }
 
-/// How often the store is asked.
+/// How a prefix is polled: wait and pause of its watches, first listing and turns at the store.
 #[derive(Debug, Clone, Copy)]
 pub struct WatchPace {
     /// How long one call waits for changes.
@@ -73,10 +74,10 @@
     /// Pause between calls, so that many changes cost one call.
     pub gap_ms: Millis,
     /// Whether the first listing may be some seconds old: it costs a tenth of a call, and the
-    /// watch that goes on from it brings what has changed since.
+    /// watch that continues from it returns all later changes.
     pub begins_stale: bool,
-    /// Whether a box that should ask others reads the store for this prefix in turns of its own:
-    /// a change of the configuration can't wait for those of the other prefixes.
+    /// Whether a box that normally asks relays has separate turns to read the store for this prefix:
+    /// a change of the configuration can't wait for the turns of the other prefixes.
     pub has_own_turns: bool,
 }
 
@@ -93,7 +94,7 @@
     items: Option<usize>,
 }
 
-/// Follows one prefix for ever.
+/// Follows one prefix until the task is dropped; retries with growing pauses.
 pub async fn follow(node: Rc<Node>, follower: Rc<dyn Follower>, pace: WatchPace) {
     let mut pause_ms = FIRST_PAUSE_MS;
     let mut is_lost = false;
@@ -151,14 +152,14 @@
         match source::watch(node, prefix, at, pace).await {
             Ok((changes, evidence)) => {
                 failures = 0;
-                // Positions of another era are no changes since this one: all is read again.
+                // Positions of different eras can't be compared: list everything again.
                 let Some(later) = at.later_of(changes.at) else {
                     spread_listings(node).await;
                     return Ok(());
                 };
                 at = later;
                 for change in &changes.changes {
-                    take(node, follower, change);
+                    apply_change(node, follower, change);
                 }
                 let evidence = evidence.of(follower);
                 node.replica.confirm(prefix, at, evidence);
@@ -180,8 +181,8 @@
             Err(error) => {
                 failures += 1;
                 node.replica.lose(prefix);
-                // One that was not answered took its time already, and what it would have brought
-                // may be known to another box.
+                // A call without answer has already waited for its timeout, and another box may
+                // know the changes meanwhile.
                 if error != StoreError::NoAnswer {
                     sleep_with_jitter(FIRST_PAUSE_MS).await;
                 }
@@ -190,18 +191,19 @@
     }
 }
 
-/// After a return all boxes read all again: those that others ask go first, and these have it then.
+/// Delays the listing that each box makes after a restore of the store. Relays list without delay,
+/// so that they can answer the other boxes.
 async fn spread_listings(node: &Node) {
     if !node.store.is_being_rewritten() || relay::relays(node).is_one {
         return;
     }
     let boxes = node.box_count.get() as Millis;
-    let spread_ms = (LISTING_SPREAD_A_BOX_MS * boxes).min(MOST_LISTING_SPREAD_MS);
+    let spread_ms = (LISTING_SPREAD_PER_BOX_MS * boxes).min(MOST_LISTING_SPREAD_MS);
     let pause_ms = rand::rng().random_range(0..=spread_ms);
     tokio::time::sleep(Duration::from_millis(pause_ms)).await;
 }
 
-fn take(node: &Node, follower: &dyn Follower, change: &Change) {
+fn apply_change(node: &Node, follower: &dyn Follower, change: &Change) {
     let prefix = follower.prefix();
     let is_passed_on = match change {
         Change::Put(item) => node
@@ -214,7 +216,7 @@
     follower.apply(change);
 }
 
-/// Counts a store call by its end.
+/// Counts a store call by its outcome.
 pub fn counted<T>(node: &Node, call: &str, result: Result<T, StoreError>) -> Result<T, StoreError> {
     let outcome = match &result {
         Ok(_) => "ok",
@@ -235,7 +237,7 @@
     result
 }
 
-/// Sleeps for the pause, give or take a quarter, so that boxes do not move in step.
+/// Sleeps for the pause with a jitter of 25 % either way, so that boxes do not call in lockstep.
 pub async fn sleep_with_jitter(pause_ms: Millis) {
     if pause_ms == 0 {
         return;
--- a/crates/tinbay-gateway/src/watch/newcomer.rs
+++ b/crates/tinbay-gateway/src/watch/newcomer.rs
@@ -1,6 +1,7 @@
-//! What a box that starts asks others, where the store may have come back from a backup just before.
+//! Asks other boxes at start for configuration that the store lost in a recent restore from a backup.
 //!
-//! It reads an older configuration in good faith then, and others know the newer one.
+//! A box that starts after such a restore can't tell that the configuration it reads is outdated,
+//! while boxes that have run since before the restore still hold the newer one.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -18,11 +19,11 @@
 use crate::node::Node;
 use crate::port::store::Item;
 
-/// Boxes that are asked.
-const ASKED: usize = 2;
+/// Number of boxes to ask.
+const BOXES_ASKED: usize = 2;
 
-/// Pause between looks whether other boxes are known: their entries may be missing for a moment too.
-const LOOK: Duration = Duration::from_millis(20);
+/// Pause between checks for known boxes, as a restore may remove their entries for a moment too.
+const CHECK_PAUSE: Duration = Duration::from_millis(20);
 
 #[derive(Serialize)]
 struct LearntEvent<'a> {
@@ -30,15 +31,16 @@
     items: usize,
 }
 
-/// Asks some boxes, once, for what the store lacks; until then what it shows is no proof that all is
-/// known. Nobody is asked where the store names no era, or has been in this one for long.
+/// Asks up to `BOXES_ASKED` boxes for items that the store lacks; until then the content of the
+/// store does not count as complete. No box is asked if the store names no era, or if its era is
+/// settled.
 pub async fn learn(node: Rc<Node>, follower: Rc<ConfigurationFollower>) {
     while node.boxes_listed_ms.get() == 0 || node.in_force().is_none() {
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(CHECK_PAUSE).await;
     }
     let end_ms = node.now_ms() + REWRITTEN_WITHIN_MS;
     let mut asked: Vec<String> = Vec::new();
-    while asked.len() < ASKED && node.now_ms() < end_ms {
+    while asked.len() < BOXES_ASKED && node.now_ms() < end_ms {
         let Some(era) = node.unsettled_era() else {
             break;
         };
@@ -47,7 +49,7 @@
                 ask(&node, &follower, &other, era).await;
                 asked.push(other.id);
             }
-            None => tokio::time::sleep(LOOK).await,
+            None => tokio::time::sleep(CHECK_PAUSE).await,
         }
     }
     node.has_asked_others.set(true);
@@ -67,18 +69,18 @@
     };
     events::emit(part::CONFIG, Level::Info, "kept_items_learnt", &event);
     for item in items {
-        take(node, follower, item);
+        apply_item(node, follower, item);
     }
 }
 
-/// Takes an item that another box knew, and keeps it where the store has none as new.
-fn take(node: &Node, follower: &ConfigurationFollower, item: Item) {
+/// Applies an item of another box, and keeps it if it is newer than the stored one.
+fn apply_item(node: &Node, follower: &ConfigurationFollower, item: Item) {
     let stored = node.replica.item(follower.prefix(), &item.key);
-    follower.take(&item);
+    follower.apply_item(&item);
     follower.keep(item, stored.as_ref());
 }
 
-/// A box that is up and was not asked yet.
+/// Chooses at random a box that is up and was not asked yet.
 fn next_box(node: &Node, asked: &[String]) -> Option<RelayBox> {
     let now_ms = node.now_ms();
     let own_id = node.settings.borrow().box_id.clone();
--- a/crates/tinbay-gateway/src/watch/replica.rs
+++ b/crates/tinbay-gateway/src/watch/replica.rs
@@ -1,4 +1,4 @@
-//! What this box has seen of the store, kept to pass it on to other boxes.
+//! Local copy of the store's content and latest changes, from which other boxes are answered.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, HashMap, VecDeque};
@@ -10,10 +10,10 @@
 use super::Follower;
 use crate::port::store::{Change, Item, Listing};
 
-/// Changes kept for boxes that are behind; older ones make them read all again.
+/// Changes kept per prefix. A box that has missed more than these must list the prefix again.
 const MOST_CHANGES: usize = 4_000;
 
-/// What was seen below one prefix.
+/// Content and latest changes of one prefix.
 #[derive(Debug, Default)]
 struct Copy {
     items: BTreeMap<String, Item>,
@@ -22,39 +22,39 @@
     log: VecDeque<Change>,
     confirmed_ms: Millis,
     passed_on_ms: Option<Millis>,
-    /// When it was last known to be all that was ever written.
+    /// When the copy was last known to include everything that was ever written.
     complete_ms: Option<Millis>,
     is_complete: bool,
-    /// Whether whoever told it to this box said so.
+    /// Whether the source of the copy reported it as complete.
     is_told_complete: bool,
 }
 
-/// What this box has seen of the store.
+/// Local copy of the store, by prefix.
 #[derive(Debug, Default)]
 pub struct Replica {
     by_prefix: RefCell<HashMap<String, Copy>>,
-    /// Told when something has changed.
+    /// Notified on a new listing, on a change that is passed on, and when the store is lost.
     pub changed: Notify,
-    /// Told when the store was seen to have nothing newer.
+    /// Notified when a copy is confirmed to be up to date.
     pub confirmed: Notify,
 }
 
-/// How old knowledge is, and where it came from.
+/// Age, source and completeness of a listing or of changes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Evidence {
-    /// When what is known was certainly complete.
+    /// Latest time at which the copy was certainly up to date.
     pub confirmed_ms: Millis,
-    /// Age up to which it is passed on; none where it came from another box, not from the store.
+    /// Age up to which it is passed on; `None` if it came from another box, not from the store.
     pub passed_on_ms: Option<Millis>,
-    /// Whether it is all that was ever written; not while the store lacks what it had before it
-    /// came back from a backup.
+    /// Whether it includes everything that was ever written. False while the store, restored from a
+    /// backup, lacks items that were written before.
     pub is_complete: bool,
-    /// The same by the word of whoever told it, whatever this box makes of it.
+    /// Whether its source reported it as complete, regardless of the checks of this box.
     pub is_told_complete: bool,
 }
 
 impl Evidence {
-    /// The same for what a follower has made of it.
+    /// Returns the evidence with the completeness check of a follower applied.
     pub fn of(self, follower: &dyn Follower) -> Self {
         Self {
             is_complete: self.is_complete && follower.is_complete(),
@@ -63,22 +63,22 @@
     }
 }
 
-/// What a box that asks for changes is told.
+/// Answer to a box that asks for the changes after a position.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Since {
-    /// These, and where to go on.
+    /// The later changes are known in full.
     Changes {
         /// The changes, oldest first.
         changes: Vec<Change>,
-        /// Where to go on.
+        /// Position to continue from.
         at: Position,
     },
-    /// Too much has been forgotten.
+    /// Changes after the position are no longer kept: the box must list the prefix again.
     HistoryGone,
 }
 
 impl Replica {
-    /// Takes all there is below a prefix.
+    /// Replaces the copy of a prefix with a new listing.
     pub fn note_listing(&self, prefix: &str, listing: &Listing, evidence: Evidence) {
         let items = listing.items.iter();
         let mut by_prefix = self.by_prefix.borrow_mut();
@@ -103,7 +103,7 @@
         self.confirmed.notify_waiters();
     }
 
-    /// Takes one change; `is_passed_on` is false where it decides nothing for others.
+    /// Applies one change; `is_passed_on` is false if other boxes need not learn of it at once.
     pub fn note_change(&self, prefix: &str, change: &Change, is_passed_on: bool) {
         let mut by_prefix = self.by_prefix.borrow_mut();
         let Some(copy) = by_prefix.get_mut(prefix) else {
@@ -128,8 +128,8 @@
         self.changed.notify_waiters();
     }
 
-    /// All changes up to a position have been taken. One of another era than the listing confirms
-    /// nothing of it.
+    /// Records that all changes up to a position have been applied. A position of another era than
+    /// the listing is ignored.
     pub fn confirm(&self, prefix: &str, at: Position, evidence: Evidence) {
         let mut by_prefix = self.by_prefix.borrow_mut();
         let Some(copy) = by_prefix.get_mut(prefix) else {
@@ -149,7 +149,7 @@
         self.confirmed.notify_waiters();
     }
 
-    /// The store did not answer: nothing is passed on until it does.
+    /// Records that the store did not answer: nothing is passed on until the next confirmation.
     pub fn lose(&self, prefix: &str) {
         let mut by_prefix = self.by_prefix.borrow_mut();
         if let Some(copy) = by_prefix.get_mut(prefix) {
@@ -158,19 +158,19 @@
         self.changed.notify_waiters();
     }
 
-    /// The item with a key, as last seen.
+    /// Last known item of a key.
     pub fn item(&self, prefix: &str, key: &str) -> Option<Item> {
         let by_prefix = self.by_prefix.borrow();
         by_prefix.get(prefix)?.items.get(key).cloned()
     }
 
-    /// When what is known below a prefix was certainly complete.
+    /// Latest time at which the copy of a prefix was certainly up to date.
     pub fn confirmed_ms(&self, prefix: &str) -> Option<Millis> {
         let by_prefix = self.by_prefix.borrow();
         by_prefix.get(prefix).map(|copy| copy.confirmed_ms)
     }
 
-    /// Notes that what was last seen is all that was ever written, if whoever told it knows no better.
+    /// Marks the copy as including everything ever written, unless its source reported otherwise.
     pub fn note_complete(&self, prefix: &str) {
         let mut by_prefix = self.by_prefix.borrow_mut();
         if let Some(copy) = by_prefix
@@ -182,26 +182,26 @@
         }
     }
 
-    /// When what is known below a prefix was certainly all that was ever written there.
+    /// Latest time at which the copy certainly included everything ever written under the prefix.
     pub fn complete_ms(&self, prefix: &str) -> Option<Millis> {
         let by_prefix = self.by_prefix.borrow();
         by_prefix.get(prefix)?.complete_ms
     }
 
-    /// Whether what is known below a prefix is all that was ever written there, as last seen.
+    /// Whether the copy includes everything ever written under the prefix; true for an unknown prefix.
     pub fn is_complete(&self, prefix: &str) -> bool {
         let by_prefix = self.by_prefix.borrow();
         by_prefix.get(prefix).is_none_or(|copy| copy.is_complete)
     }
 
-    /// The position up to which this box has seen a prefix.
+    /// Position up to which the changes of a prefix have been applied.
     pub fn at(&self, prefix: &str) -> Option<Position> {
         let by_prefix = self.by_prefix.borrow();
         by_prefix.get(prefix).map(|copy| copy.at)
     }
 
-    /// How old what is known below a prefix is, if this box has it from the store itself and
-    /// is in touch with it.
+    /// Age of the copy of a prefix; `None` if it came from another box, is too old, or the store
+    /// does not answer.
     pub fn age_ms(&self, prefix: &str, now_ms: Millis) -> Option<Millis> {
         let by_prefix = self.by_prefix.borrow();
         let copy = by_prefix.get(prefix)?;
@@ -209,7 +209,7 @@
         (age_ms < copy.passed_on_ms?).then_some(age_ms)
     }
 
-    /// All there is below a prefix.
+    /// Copy of a prefix in the form of a listing.
     pub fn listing(&self, prefix: &str) -> Option<Listing> {
         let by_prefix = self.by_prefix.borrow();
         let copy = by_prefix.get(prefix)?;
@@ -219,10 +219,11 @@
         })
     }
 
-    /// What has changed below a prefix after a position; nothing where this box has not seen the
-    /// era of the one that asks.
+    /// Changes under a prefix after a position; `None` if that position belongs to an era that this
+    /// box has not seen yet.
     ///
-    /// Answering one of another era by its number alone left it on an older configuration for good.
+    /// Comparing only the revisions of positions of different eras would leave the asking box on an
+    /// outdated configuration for good.
     pub fn since(&self, prefix: &str, after: Position) -> Option<Since> {
         let by_prefix = self.by_prefix.borrow();
         let copy = by_prefix.get(prefix)?;
--- a/crates/tinbay-gateway/src/watch/returns.rs
+++ b/crates/tinbay-gateway/src/watch/returns.rs
@@ -1,7 +1,7 @@
-//! What a box does when the store has come back from a backup.
+//! Handles a restore of the store from a backup.
 //!
-//! Whoever reads the store reads it anew by itself, as positions of the era before are of no use.
-//! Here is what this box had written there and has to write again, and one line on all of it.
+//! The followers list their prefixes again by themselves, as positions of the earlier era are no
+//! longer valid. This module writes again what this box had written to the store, and logs a summary.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -18,28 +18,28 @@
 use crate::events::{self, part};
 use crate::node::Node;
 
-/// Least time over which boxes write their entries again.
+/// Shortest time over which the boxes write their entries again.
 const SPREAD_MS: Millis = 200;
 
-/// Time by which each box more lengthens that: 2,200 boxes make two calls each, 2,400 ms for all of
-/// them are 1,800 calls a second.
-const SPREAD_A_BOX_MS: Millis = 1;
+/// Extra time per box of the fleet: 2,200 boxes with two calls each then spread over 2,400 ms, which
+/// is about 1,800 calls per second.
+const SPREAD_PER_BOX_MS: Millis = 1;
 
 #[derive(Serialize)]
 struct ReturnEvent {
     era_before: u64,
     era: u64,
-    /// Revision up to which this box had seen what boxes write.
+    /// Revision up to which this box had applied the entries of boxes; 0 if it was of another era.
     revision_before: u64,
     boxes_known: usize,
     servers_known: usize,
     /// Servers whose claims this box writes again.
     claims_to_renew: usize,
-    /// Refused requests whose entries it writes again.
+    /// Refused requests whose entries this box writes again.
     refused_to_write: usize,
 }
 
-/// Deals with returns until the box stops.
+/// Handles restores of the store until the box stops.
 pub async fn run(node: Rc<Node>) {
     loop {
         node.store.returned.notified().await;
@@ -51,7 +51,8 @@
 
 async fn handle(node: &Node, seen: Return) {
     node.sync_era();
-    // All boxes know the same ones: with 2,200 of them each entry would be asked for as often.
+    // All boxes know the same refused requests, so only relays write them: otherwise each of 2,200
+    // boxes would request the entry.
     let writes_refused = relay::relays(node).is_one;
     let refused_to_write = if writes_refused {
         crashes::save_again(node)
@@ -72,7 +73,7 @@
         refused_to_write,
     };
     events::emit(part::STORE, Level::Warn, "store_returned", &event);
-    let spread_ms = SPREAD_MS + SPREAD_A_BOX_MS * node.box_count.get() as Millis;
+    let spread_ms = SPREAD_MS + SPREAD_PER_BOX_MS * node.box_count.get() as Millis;
     let pause_ms = rand::rng().random_range(0..spread_ms);
     tokio::time::sleep(Duration::from_millis(pause_ms)).await;
     node.entry_due.notify_one();
--- a/crates/tinbay-gateway/src/watch/servers.rs
+++ b/crates/tinbay-gateway/src/watch/servers.rs
@@ -1,4 +1,4 @@
-//! Follows the servers' own entries.
+//! Follows the entries that backend servers write to the store.
 
 use std::cell::RefCell;
 use std::collections::HashSet;
@@ -17,14 +17,14 @@
 use crate::port::store::{Change, Item, Listing};
 use crate::servers::ServerChange;
 
-/// Most entries that are told one by one to be unreadable; all are counted.
-const MOST_UNREADABLE: usize = 256;
+/// Most unreadable entries that are logged; the metric counts all of them.
+const MAX_LOGGED_UNREADABLE: usize = 256;
 
-/// Follows the servers' own entries.
+/// Applies the servers' entries to the state of this box.
 pub struct ServerFollower {
     node: Rc<Node>,
-    /// Names of entries that were told to be unreadable.
-    unreadable: RefCell<HashSet<String>>,
+    /// Ids of the servers whose unreadable entry has been logged.
+    logged_unreadable: RefCell<HashSet<String>>,
 }
 
 #[derive(Serialize)]
@@ -52,11 +52,11 @@
 }
 
 impl ServerFollower {
-    /// A follower that changes `node`.
+    /// Creates a follower that updates `node`.
     pub fn new(node: Rc<Node>) -> Self {
         Self {
             node,
-            unreadable: RefCell::default(),
+            logged_unreadable: RefCell::default(),
         }
     }
 
@@ -64,31 +64,31 @@
         key.strip_prefix(&self.node.dialect.keys().servers)
     }
 
-    fn take(&self, item: &Item) {
+    fn apply_item(&self, item: &Item) {
         let Some(id) = self.id_of(&item.key) else {
             return;
         };
         let record = match self.node.dialect.decode_server(id, &item.value) {
             Ok(record) => record,
             Err(error) => {
-                self.tell_unreadable(item, &error);
-                return forget(&self.node, id);
+                self.report_unreadable(item, &error);
+                return remove_server(&self.node, id);
             }
         };
-        self.unreadable.borrow_mut().remove(id);
+        self.logged_unreadable.borrow_mut().remove(id);
         let change = self.node.servers.borrow_mut().put(record.clone());
         if change != ServerChange::Same {
             log_change(&record, change);
         }
     }
 
-    /// Says once of an entry that it can't be read; its writer may write it every second.
-    fn tell_unreadable(&self, item: &Item, error: &DecodeError) {
+    /// Counts an unreadable entry and logs it once, as its writer may repeat it every second.
+    fn report_unreadable(&self, item: &Item, error: &DecodeError) {
         let unreadable = &self.node.metrics.unreadable;
         unreadable.with_label_values(&["server_entry"]).inc();
-        let mut told = self.unreadable.borrow_mut();
+        let mut logged = self.logged_unreadable.borrow_mut();
         let id = self.id_of(&item.key).unwrap_or_default();
-        if told.len() >= MOST_UNREADABLE || !told.insert(id.to_string()) {
+        if logged.len() >= MAX_LOGGED_UNREADABLE || !logged.insert(id.to_string()) {
             return;
         }
         let event = UnreadableEvent {
@@ -100,15 +100,15 @@
     }
 }
 
-fn forget(node: &Node, id: &str) {
+fn remove_server(node: &Node, id: &str) {
     if node.servers.borrow_mut().remove(id) {
         let event = GoneEvent { server: id };
         events::emit(part::SERVERS, Level::Info, "server_gone", &event);
     }
 }
 
-/// Forgets the servers whose entries are still missing some time after the store came back.
-async fn forget_unless_written(node: Rc<Node>, missing: Vec<String>) {
+/// Removes the servers whose entries are still missing some seconds after a restore of the store.
+async fn remove_if_still_missing(node: Rc<Node>, missing: Vec<String>) {
     tokio::time::sleep(Duration::from_millis(REWRITTEN_WITHIN_MS)).await;
     let prefix = node.dialect.keys().servers.clone();
     for id in missing {
@@ -117,12 +117,12 @@
             .item(&prefix, &format!("{prefix}{id}"))
             .is_none()
         {
-            forget(&node, &id);
+            remove_server(&node, &id);
         }
     }
 }
 
-/// Writes what changed of a server.
+/// Logs the state of a server after a change.
 pub fn log_change(record: &ServerRecord, change: ServerChange) {
     let event = ServerEvent {
         server: &record.id,
@@ -154,23 +154,24 @@
                 .map(|server| server.record().id.clone())
                 .collect()
         };
-        self.unreadable
+        self.logged_unreadable
             .borrow_mut()
             .retain(|id| listed.contains(id.as_str()));
         let gone = known.into_iter().filter(|id| !listed.contains(id.as_str()));
         if self.node.store.is_being_rewritten() {
-            // A store that came back from a backup has no entry of those that came since.
-            let waiting = forget_unless_written(Rc::clone(&self.node), gone.collect());
+            // A restored store lacks the entries of servers that were added after the backup.
+            let waiting = remove_if_still_missing(Rc::clone(&self.node), gone.collect());
             tokio::task::spawn_local(waiting);
         } else {
-            gone.for_each(|id| forget(&self.node, &id));
+            gone.for_each(|id| remove_server(&self.node, &id));
         }
         for item in items {
-            self.take(item);
+            self.apply_item(item);
         }
     }
 
-    /// What a server holds changes all the time, and its holder tells those that use it.
+    /// The order count, remaining time and adapters in a server's entry change all the time, and the
+    /// box that holds the server reports them to those that use it. Other fields are passed on.
     fn is_passed_on(&self, before: &Item, after: &Item) -> bool {
         let record = |item: &Item| {
             let id = self.id_of(&item.key)?;
@@ -184,11 +185,11 @@
 
     fn apply(&self, change: &Change) {
         match change {
-            Change::Put(item) => self.take(item),
+            Change::Put(item) => self.apply_item(item),
             Change::Gone { key, .. } => {
                 if let Some(id) = self.id_of(key) {
-                    self.unreadable.borrow_mut().remove(id);
-                    forget(&self.node, id);
+                    self.logged_unreadable.borrow_mut().remove(id);
+                    remove_server(&self.node, id);
                 }
             }
         }
--- a/crates/tinbay-gateway/src/watch/source.rs
+++ b/crates/tinbay-gateway/src/watch/source.rs
@@ -1,7 +1,7 @@
-//! Where a box reads the store: from a box that passes on what it sees, or itself.
+//! Reads the content of the store, either from a relay or from the store itself.
 //!
-//! A box that should ask others reads the store itself only where none of them gives anything,
-//! and then seldom: while the store is away for all, many boxes would ask it in vain.
+//! A box that is not a relay reads the store itself only if no relay answers, and then seldom:
+//! during an outage of the store, many boxes would otherwise call it in vain.
 
 use std::cell::Cell;
 
@@ -17,43 +17,43 @@
 use crate::node::Node;
 use crate::port::store::{Change, Changes, Item, Listing, StoreError, StoreResult};
 
-/// Relays that are asked before the store.
-const MOST_RELAYS: usize = 4;
+/// Most relays to ask before the store.
+const MAX_RELAYS_ASKED: usize = 4;
 
-/// How long one question to a relay waits for changes. One that falls silent is noticed only
-/// when this is over, and a change of the configuration may take two seconds in all.
+/// How long one request to a relay waits for changes. A relay that stops answering is noticed only
+/// after this time, and a change of the configuration may take two seconds in all.
 const RELAY_WAIT_MS: Millis = 800;
 
-/// Time by which an answer of the store may be late before what is known counts as too old.
+/// Allowed delay of an answer of the store before the local copy counts as too old to pass on.
 const AGE_MARGIN_MS: Millis = 250;
 
-/// What a listing shows that may be some seconds old: it proves nothing and is not passed on.
-const OF_UNKNOWN_AGE: Evidence = Evidence {
+/// Evidence of a listing that may be some seconds old: it confirms nothing and is not passed on.
+const STALE_LISTING_EVIDENCE: Evidence = Evidence {
     confirmed_ms: 0,
     passed_on_ms: None,
     is_complete: false,
     is_told_complete: false,
 };
 
-/// Pause between reads of the store by a box that should ask others, while none succeeds.
+/// Pause between reads of the store by a box that is not a relay, while none succeeds.
 const STORE_PAUSE_MS: Millis = 2_000;
 
-/// The same for a box that reads it for others, and looks for its return on their behalf.
+/// The same for a relay, on which other boxes depend to notice that the store answers again.
 const RELAY_STORE_PAUSE_MS: Millis = 1_000;
 
-/// How long a read of the store that succeeded lets the other prefixes be read as well.
+/// Time after a successful read of the store in which the other prefixes may be read as well.
 const STORE_SEEN_LIFE_MS: Millis = 2_000;
 
-/// How much later than its wait an answer to a watch may be at least: a store that takes 60 times
-/// its usual 4 ms is heard. Until then a zone believes a relay whose store fell silent; with 1,500 ms
-/// a leaving server was sent requests for up to 2.2 s where 2.0 are allowed.
-const LEAST_PATIENCE_MS: Millis = 400;
+/// Shortest time that an answer to a watch may take beyond its wait; tolerates a store that needs 60
+/// times its usual 4 ms. For this time a zone trusts a relay whose store has stopped answering: with
+/// 1,500 ms, a leaving server was sent requests for up to 2.2 s, where 2.0 s are allowed.
+const MIN_DELAY_LIMIT_MS: Millis = 400;
 
-/// The same at most, for a store that is slower still.
-const MOST_PATIENCE_MS: Millis = 1_500;
+/// Longest such time, for a store that is slower still.
+const MAX_DELAY_LIMIT_MS: Millis = 1_500;
 
-/// How much later than the last one an answer may be.
-const PATIENCE_FACTOR: f64 = 3.0;
+/// Ratio of the allowed delay of an answer to the delay of the last one.
+const DELAY_LIMIT_FACTOR: f64 = 3.0;
 
 #[derive(Serialize)]
 struct UnreadableEvent<'a> {
@@ -62,10 +62,10 @@
     error: String,
 }
 
-/// All there is below a prefix.
+/// Lists all items under a prefix.
 ///
 /// # Errors
-/// When neither another box nor the store gives it.
+/// When neither a relay nor the store answers, or this box may not read the store now.
 pub async fn list(node: &Node, prefix: &str, pace: WatchPace) -> StoreResult<(Listing, Evidence)> {
     let turn = node.store_turns.of(pace);
     let sources = Sources::now(node, turn);
@@ -83,20 +83,20 @@
     let listed = node.store.list(prefix, is_stale).await;
     let mut listing = counted(node, "list", turn.note(listed, node.now_ms()))?;
     for item in &mut listing.items {
-        conceal(node, item);
+        remove_account_keys(node, item);
     }
     let evidence = if is_stale {
-        OF_UNKNOWN_AGE
+        STALE_LISTING_EVIDENCE
     } else {
         from_store(asked_ms, pace)
     };
     Ok((listing, evidence))
 }
 
-/// What changes below a prefix after a position.
+/// Waits for changes under a prefix after a position.
 ///
 /// # Errors
-/// When neither another box nor the store tells.
+/// When neither a relay nor the store answers, or the changes are no longer kept there.
 pub async fn watch(
     node: &Node,
     prefix: &str,
@@ -125,15 +125,15 @@
     let mut changes = counted(node, "watch", turn.note(watched, node.now_ms()))?;
     for change in &mut changes.changes {
         if let Change::Put(item) = change {
-            conceal(node, item);
+            remove_account_keys(node, item);
         }
     }
     Ok((changes, from_store(confirmed_ms, pace)))
 }
 
-/// Takes the keys of client accounts out of what comes from the store; a configuration of which
-/// they can't be taken out is kept as an empty one, which no box takes.
-fn conceal(node: &Node, item: &mut Item) {
+/// Removes the keys of client accounts from a configuration read from the store. If they can't be
+/// removed, the value is replaced by an empty one, which every box rejects.
+fn remove_account_keys(node: &Node, item: &mut Item) {
     if item.key != node.dialect.keys().configuration {
         return;
     }
@@ -151,7 +151,7 @@
     };
 }
 
-/// What one watch confirms is as old as the next one waits before that is over.
+/// Evidence of an answer of the store. It is passed on until the next watch is overdue.
 fn from_store(confirmed_ms: Millis, pace: WatchPace) -> Evidence {
     let passed_on_ms = 2 * pace.wait_ms + 2 * pace.gap_ms + AGE_MARGIN_MS;
     Evidence {
@@ -162,10 +162,10 @@
     }
 }
 
-/// Who is asked for one read, and in which order.
+/// Sources of one read, in the order in which they are asked.
 struct Sources {
     relays: Relays,
-    /// Whether this box reads the store for others, and does so now.
+    /// Whether this box is a relay and reads the store now.
     reads_itself: bool,
 }
 
@@ -179,12 +179,12 @@
         }
     }
 
-    /// Relays that are asked before the store; none where this box reads that itself.
+    /// Relays that are asked before the store; none if this box reads the store itself.
     fn to_ask(&self) -> &[RelayBox] {
         if self.reads_itself {
             return &[];
         }
-        let count = self.relays.to_ask.len().min(MOST_RELAYS);
+        let count = self.relays.to_ask.len().min(MAX_RELAYS_ASKED);
         &self.relays.to_ask[..count]
     }
 
@@ -198,11 +198,11 @@
     }
 }
 
-/// When a box that should ask others reads the store itself, by what it reads.
+/// Limits, per group of prefixes, how often a box that is not a relay reads the store itself.
 ///
-/// Where all relays are turned away and the store serves this box, a change of the configuration
-/// must be read within seconds: with turns for all prefixes together it came 3 s late on a fleet
-/// of 79 boxes, as the servers' prefix had taken the turn before.
+/// If the store refuses all relays but serves this box, a change of the configuration must still be
+/// read within seconds. With shared turns for all prefixes it came 3 s late on a fleet of 79 boxes,
+/// as the servers' prefix had just used the turn.
 #[derive(Debug, Default)]
 pub struct StoreTurns {
     configuration: StoreTurn,
@@ -210,7 +210,7 @@
 }
 
 impl StoreTurns {
-    /// The turns of a prefix that is followed at this pace.
+    /// Turns of a prefix that is followed at this pace.
     pub fn of(&self, pace: WatchPace) -> &StoreTurn {
         if pace.has_own_turns {
             &self.configuration
@@ -220,8 +220,8 @@
     }
 }
 
-/// One call at a time shows whether the store is there; while it is, all that share the turns
-/// read it.
+/// Rate limit of reads of the store: one call per pause while none succeeds, and no limit for all
+/// prefixes that share it while reads succeed.
 #[derive(Debug)]
 pub struct StoreTurn {
     tried_ms: Cell<Option<Millis>>,
@@ -236,28 +236,28 @@
             tried_ms: Cell::default(),
             seen_ms: Cell::default(),
             is_failing: Cell::default(),
-            patience_ms: Cell::new(LEAST_PATIENCE_MS),
+            patience_ms: Cell::new(MIN_DELAY_LIMIT_MS),
         }
     }
 }
 
 impl StoreTurn {
-    /// How much later than its wait an answer to a watch may be before it is given up.
+    /// Time that an answer to a watch may take beyond its wait before the call is given up.
     pub fn patience_ms(&self) -> Millis {
         self.patience_ms.get()
     }
 
-    /// Notes how much later than its wait an answer came; one that brought changes came early and
-    /// tells nothing.
+    /// Adapts the allowed delay to the delay of the last answer beyond its wait. An answer with
+    /// changes comes before the end of the wait and is ignored.
     pub fn note_late(&self, late_ms: Millis) {
         if late_ms > 0 {
-            let patience_ms = (late_ms as f64 * PATIENCE_FACTOR) as Millis;
-            let patience_ms = patience_ms.clamp(LEAST_PATIENCE_MS, MOST_PATIENCE_MS);
+            let patience_ms = (late_ms as f64 * DELAY_LIMIT_FACTOR) as Millis;
+            let patience_ms = patience_ms.clamp(MIN_DELAY_LIMIT_MS, MAX_DELAY_LIMIT_MS);
             self.patience_ms.set(patience_ms);
         }
     }
 
-    /// Takes a turn, if one is left.
+    /// Takes a turn to read the store; returns false if none is available now.
     pub fn take(&self, pause_ms: Millis, now_ms: Millis) -> bool {
         let is_within = |since_ms: Option<Millis>, span_ms: Millis| {
             since_ms.is_some_and(|since_ms| now_ms < since_ms + span_ms)
@@ -270,15 +270,15 @@
         true
     }
 
-    /// Whether a box that reads the store for others reads it now: always while that succeeds, else
-    /// now and then, and asks the relays of other zones in between. One that only asked these stayed
-    /// out of touch for its zone after the store was back, and a leaving server was sent requests
-    /// for 2.2 s in place of 2.0.
+    /// Whether a relay reads the store now: always while reads succeed, else once per pause; in
+    /// between it asks the relays of other zones. A relay that asked only those could not answer its
+    /// zone for a while after the store was back, and a leaving server was sent requests for 2.2 s,
+    /// where 2.0 s are allowed.
     pub fn takes_relay(&self, now_ms: Millis) -> bool {
         !self.is_failing() || self.take(RELAY_STORE_PAUSE_MS, now_ms)
     }
 
-    /// Notes how a read of the store ended.
+    /// Records the outcome of a read of the store.
     pub fn note<T>(&self, result: StoreResult<T>, now_ms: Millis) -> StoreResult<T> {
         match &result {
             Ok(_) => {
@@ -290,15 +290,15 @@
                 self.is_failing.set(true);
                 if *error == StoreError::NoAnswer {
                     let patience_ms = self.patience_ms.get() * 2;
-                    self.patience_ms.set(patience_ms.min(MOST_PATIENCE_MS));
+                    self.patience_ms.set(patience_ms.min(MAX_DELAY_LIMIT_MS));
                 }
             }
         }
         result
     }
 
-    /// Whether the last read of the store failed: it may turn this box away and serve others,
-    /// which are asked first then even by a box that reads the store for its zone.
+    /// Whether the last read of the store failed. The store may refuse this box and serve others, so
+    /// that even a relay then asks other relays first.
     pub fn is_failing(&self) -> bool {
         self.is_failing.get()
     }
