--- a/crates/tinbay-gateway/src/watch/relay/answer.rs
+++ b/crates/tinbay-gateway/src/watch/relay/answer.rs
@@ -1,4 +1,4 @@
-//! Answers other boxes from what this one sees of the store.
+//! Answers the relay requests of other boxes from the local copy of the store.
 
 use std::time::Duration;
 
@@ -10,10 +10,10 @@
 use crate::port::store::Item;
 use crate::watch::replica::Since;
 
-/// Longest wait that another box may ask for.
-const MOST_WAIT_MS: Millis = 10_000;
+/// Upper bound of the wait that a request may ask for.
+const MAX_WAIT_MS: Millis = 10_000;
 
-/// Answers a question of another box; waits for a change if it asks for one.
+/// Answers a request of another box; a watch waits for a change or the end of its wait.
 pub async fn answer(node: &Node, body: &[u8]) -> Vec<u8> {
     let answer = match postcard::from_bytes::<RelayQuestion>(body) {
         Ok(RelayQuestion::List { prefix }) => list(node, &prefix),
@@ -21,7 +21,7 @@
             prefix,
             after,
             wait_ms,
-        }) => watch(node, &prefix, after, wait_ms.min(MOST_WAIT_MS)).await,
+        }) => watch(node, &prefix, after, wait_ms.min(MAX_WAIT_MS)).await,
         Ok(RelayQuestion::Kept { prefix, era }) => kept(node, &prefix, era),
         Err(_) => RelayAnswer::NotInTouch,
     };
@@ -45,7 +45,7 @@
     }
 }
 
-/// Items with what the store lacks that this box knew before it came back.
+/// Replaces or adds the items that this box kept because a restored store lacks them.
 fn with_kept(node: &Node, prefix: &str, mut items: Vec<Item>) -> Vec<Item> {
     let kept = node.kept_items.borrow();
     for item in kept.values().filter(|item| item.key.starts_with(prefix)) {
@@ -55,8 +55,8 @@
     items
 }
 
-/// What a box that starts needs to know while the store lacks what it had before it came back; all
-/// that is known where this box has yet to read it anew.
+/// Answers a starting box with the items that a restored store may lack. If this box has not listed
+/// the prefix in the new era yet, these are all items that it knows.
 fn kept(node: &Node, prefix: &str, era: Era) -> RelayAnswer {
     let Some(listing) = node.replica.listing(prefix) else {
         return RelayAnswer::NotInTouch;
--- a/crates/tinbay-gateway/src/watch/relay/ask.rs
+++ b/crates/tinbay-gateway/src/watch/relay/ask.rs
@@ -1,4 +1,4 @@
-//! Asks boxes that read the store.
+//! Sends requests to relays: boxes that read the store and pass its content on.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -18,19 +18,20 @@
 use crate::port::store::{Change, Changes, Item, Listing};
 use crate::watch::replica::Evidence;
 
-/// Time that an answer may take beyond the wait that was asked for; between boxes it takes some
+/// Time that an answer may take beyond the requested wait; a round trip between boxes takes some
 /// milliseconds.
 const ANSWER_MARGIN_MS: Millis = 300;
 
-/// Longest time for all there is below a prefix, which may be some hundred kilobytes.
+/// Timeout of a listing, which may have some hundred kilobytes.
 const LISTING_TIMEOUT_MS: Millis = 1_000;
 
-/// How long a relay that did not answer is passed over.
-const FAILED_LIFE_MS: Millis = 1_000;
+/// How long a relay is skipped after it did not answer.
+const NO_ANSWER_SKIP_MS: Millis = 1_000;
 
-/// How long one is passed over that is not in touch with the store: to ask it again costs little,
-/// and as long as it is passed over a box reads a store itself that has just come back.
-const NOT_IN_TOUCH_LIFE_MS: Millis = 200;
+/// How long a relay is skipped after it answered that it is not in touch with the store. Asking it
+/// again costs little; while it is skipped, other boxes read a store that has just recovered
+/// themselves.
+const NOT_IN_TOUCH_SKIP_MS: Millis = 200;
 
 #[derive(Serialize)]
 struct RelayEvent<'a> {
@@ -39,33 +40,33 @@
     error: String,
 }
 
-/// Why a relay gave nothing.
+/// Why a request to a relay failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum RelayError {
-    /// No whole answer came in time.
+    /// No complete answer came in time.
     #[error("the relay did not answer")]
     NoAnswer,
-    /// It is not in touch with the store.
+    /// The relay does not read the store, gets no answer from it, or still sees an earlier era.
     #[error("the relay is not in touch with the store")]
     NotInTouch,
-    /// What was asked for is forgotten there.
+    /// The relay no longer keeps the requested changes.
     #[error("the relay's history is gone")]
     HistoryGone,
 }
 
-/// Another box that reads the store.
+/// Another box that answers relay requests.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RelayBox {
-    /// Its name.
+    /// Id of the box.
     pub id: String,
-    /// Where it is asked.
+    /// Address of the box for calls between boxes.
     pub address: SocketAddr,
 }
 
-/// Asks a relay for all there is below a prefix.
+/// Asks a relay for all items under a prefix.
 ///
 /// # Errors
-/// When it gives nothing; it is passed over for a while then.
+/// When the relay has no usable answer; it is then skipped for a while.
 pub async fn ask_list(
     node: &Node,
     relay: &RelayBox,
@@ -84,10 +85,10 @@
     Ok((Listing { items, at }, evidence))
 }
 
-/// Asks another box for what it knows below a prefix and the store lacks.
+/// Asks another box for the items under a prefix that it keeps because a restored store lacks them.
 ///
 /// # Errors
-/// When it does not answer, or knows nothing itself yet.
+/// When the box does not answer, or has not read the prefix yet.
 pub async fn ask_kept(
     node: &Node,
     other: &RelayBox,
@@ -111,10 +112,10 @@
     Ok(items.collect())
 }
 
-/// Asks a relay for what changes below a prefix.
+/// Asks a relay for the changes under a prefix after a position.
 ///
 /// # Errors
-/// When it gives nothing; it is passed over for a while then.
+/// When the relay has no usable answer; unless its history is gone, it is then skipped for a while.
 pub async fn ask_watch(
     node: &Node,
     relay: &RelayBox,
@@ -149,7 +150,7 @@
         node.store.confirm_told(at.era).await;
     }
     let result = match answer {
-        // A relay that has not seen yet that the store came back tells of an era that is over.
+        // The relay has not noticed the latest restore of the store yet.
         Some(RelayAnswer::Parts { at, .. }) if !node.store.is_present(at.era) => {
             Err(RelayError::NotInTouch)
         }
@@ -160,7 +161,7 @@
             held_ms,
             is_complete,
         }) => {
-            // The relay answered no earlier than it was asked and had held the question.
+            // The relay sent its answer no earlier than `held_ms` after this box asked.
             let evidence = Evidence {
                 confirmed_ms: (asked_ms + held_ms).saturating_sub(age_ms),
                 passed_on_ms: None,
@@ -173,13 +174,13 @@
         Some(RelayAnswer::NotInTouch | RelayAnswer::NothingKept) => Err(RelayError::NotInTouch),
         None => Err(RelayError::NoAnswer),
     };
-    let passed_over_ms = match result {
-        Err(RelayError::NoAnswer) => FAILED_LIFE_MS,
-        Err(RelayError::NotInTouch) => NOT_IN_TOUCH_LIFE_MS,
+    let skip_ms = match result {
+        Err(RelayError::NoAnswer) => NO_ANSWER_SKIP_MS,
+        Err(RelayError::NotInTouch) => NOT_IN_TOUCH_SKIP_MS,
         Ok(_) | Err(RelayError::HistoryGone) => 0,
     };
-    if passed_over_ms > 0 {
-        let until_ms = node.now_ms() + passed_over_ms;
+    if skip_ms > 0 {
+        let until_ms = node.now_ms() + skip_ms;
         let mut failed = node.failed_relays.borrow_mut();
         failed.retain(|_, until_ms| *until_ms > asked_ms);
         failed.insert(relay.id.clone(), until_ms);
@@ -213,7 +214,7 @@
     Rc::clone(caller)
 }
 
-/// Says that a box gave nothing.
+/// Logs a failed request to another box.
 pub fn log_failure(relay: &str, prefix: &str, error: RelayError) {
     let event = RelayEvent {
         relay,
--- a/crates/tinbay-gateway/src/watch/relay/draw.rs
+++ b/crates/tinbay-gateway/src/watch/relay/draw.rs
@@ -1,4 +1,4 @@
-//! Which boxes read the store for others.
+//! Computes which boxes act as relays: they read the store and answer other boxes.
 
 use std::collections::HashMap;
 
@@ -8,18 +8,18 @@
 use super::ask::RelayBox;
 use crate::node::Node;
 
-/// The relays as this box works them out.
+/// The relays as computed from the boxes that this one sees up.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Relays {
-    /// Whether this box is one, and reads the store itself.
+    /// Whether this box is a relay and so reads the store itself.
     pub is_one: bool,
-    /// Those to ask, in order; without those that failed lately.
+    /// Relays to ask, in order; those that failed lately are left out.
     pub to_ask: Vec<RelayBox>,
-    /// Names of the relays of other zones, zone by zone.
+    /// Ids of the relays of other zones, grouped by zone.
     pub far_by_zone: Vec<Vec<String>>,
 }
 
-/// Which boxes read the store for this one.
+/// Computes the present relays of this box.
 pub fn relays(node: &Node) -> Relays {
     let now_ms = node.now_ms();
     let settings = node.settings.borrow();
@@ -47,13 +47,13 @@
         .map(|(zone, boxes)| relays_of(zone, boxes))
         .collect();
     let is_one = near.contains(&own.id);
-    let mut asked_near = near;
-    asked_near.retain(|id| *id != own.id);
+    let mut near_others = near;
+    near_others.retain(|id| *id != own.id);
     let failed = node.failed_relays.borrow();
-    let is_tried = |id: &str| failed.get(id).is_some_and(|until_ms| now_ms < *until_ms);
-    let to_ask = order_for(own.id, &asked_near, &far.concat())
+    let is_skipped = |id: &str| failed.get(id).is_some_and(|until_ms| now_ms < *until_ms);
+    let to_ask = order_for(own.id, &near_others, &far.concat())
         .into_iter()
-        .filter(|id| !is_tried(id))
+        .filter(|id| !is_skipped(id))
         .filter_map(|id| {
             let address = members.get(id)?.record.control;
             let id = id.to_string();
--- a/crates/tinbay-gateway/src/watch/relay/message.rs
+++ b/crates/tinbay-gateway/src/watch/relay/message.rs
@@ -1,4 +1,4 @@
-//! Questions to boxes that read the store, and their answers.
+//! Requests to relays and their answers.
 
 use serde::{Deserialize, Serialize};
 use tinbay_core::serving::position::{Era, Position, Revision};
@@ -6,63 +6,63 @@
 
 use crate::port::store::{Change, Item};
 
-/// A question to a relay.
+/// A request to a relay.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RelayQuestion {
-    /// All there is below a prefix.
+    /// Asks for all items under a prefix.
     List {
         /// The prefix.
         prefix: String,
     },
-    /// What changes below a prefix after a revision.
+    /// Asks for the changes under a prefix after a position.
     Watch {
         /// The prefix.
         prefix: String,
-        /// The position.
+        /// Position up to which the asking box has applied changes.
         after: Position,
-        /// How long to wait for a change.
+        /// Longest time to wait for a change.
         wait_ms: Millis,
     },
-    /// All below a prefix that the relay knows, where the store lacks some of it after it came back
-    /// from a backup.
+    /// Asks for all items under a prefix that the relay knows, if the store, restored from a backup,
+    /// may lack some of them.
     Kept {
         /// The prefix.
         prefix: String,
-        /// The era that the store is in.
+        /// Present era of the store, as the asking box knows it.
         era: Era,
     },
 }
 
-/// A change of one key, as it is passed on.
+/// The change of one key on the wire; no value means that the key is deleted.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChangePart {
     key: String,
-    /// Its revision, of the era of the whole answer.
+    /// Revision in the era that the answer names.
     revision: Revision,
     value: Option<Vec<u8>>,
 }
 
-/// A relay's answer.
+/// The answer of a relay.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RelayAnswer {
     /// Items or changes.
     Parts {
-        /// What there is, or what changed, oldest first.
+        /// All items, or the changes with the oldest first.
         parts: Vec<ChangePart>,
-        /// Where to go on.
+        /// Position to continue from.
         at: Position,
-        /// How old what the relay knows is.
+        /// Age of the relay's copy of the store.
         age_ms: Millis,
-        /// How long the relay held the question.
+        /// Time for which the relay held the request.
         held_ms: Millis,
-        /// Whether it is all that was ever written.
+        /// Whether the relay's copy includes everything that was ever written.
         is_complete: bool,
     },
-    /// Too much has been forgotten: list again.
+    /// The relay no longer keeps the changes after the position: list again.
     HistoryGone,
     /// The relay does not read the store, or is not in touch with it.
     NotInTouch,
-    /// The store lacks nothing that the relay knows.
+    /// The store holds everything that the relay knows.
     NothingKept,
 }
 
--- a/crates/tinbay-gateway/src/watch/relay/mod.rs
+++ b/crates/tinbay-gateway/src/watch/relay/mod.rs
@@ -1,4 +1,4 @@
-//! Boxes that read the store pass on what they see to those that ask.
+//! Relays: boxes that read the store and pass its content on to the boxes that ask them.
 
 pub mod answer;
 pub mod ask;
@@ -9,5 +9,5 @@
 pub use ask::{RelayBox, RelayError, ask_kept, ask_list, ask_watch, log_failure};
 pub use draw::{Relays, relays};
 
-/// Path where a box passes on what it sees of the store.
+/// HTTP path of relay requests.
 pub const PATH: &str = "/relay";
--- a/crates/tinbay-gateway/tests/replica_test.rs
+++ b/crates/tinbay-gateway/tests/replica_test.rs
@@ -1,4 +1,4 @@
-//! What a box passes on of the store.
+//! The local copy of the store and what it passes on to other boxes.
 
 use tinbay_core::serving::position::{Era, Position};
 use tinbay_gateway::port::store::{Change, Item, Listing};
@@ -6,7 +6,7 @@
 
 const PREFIX: &str = "a/";
 
-/// A position in the era of most cases.
+/// A position in era 1, which most cases use.
 fn at(revision: u64) -> Position {
     Position::new(Era(1), revision)
 }
@@ -82,7 +82,7 @@
     assert_eq!(keys, ["a/1"]);
 }
 
-/// A box that knows more than this one must not be sent back.
+/// A box that is ahead of this one must not be moved back to an earlier position.
 #[test]
 fn since_never_goes_back() {
     assert_eq!(
@@ -116,8 +116,8 @@
     assert_eq!(replica.age_ms(PREFIX, 1_400), Some(100));
 }
 
-/// The store came back: one that asks from the era before must read all again, and this box can tell
-/// nothing to one that has seen a later era than itself.
+/// After a restore of the store, a box that asks with a position of an earlier era must list again,
+/// and one that has seen a later era than this box gets no answer.
 #[test]
 fn since_of_another_era_compares_no_numbers() {
     let replica = listed(true);
@@ -136,7 +136,7 @@
     assert_eq!(replica.at(PREFIX), Some(at(10)));
 }
 
-/// The store lacks what this box knew: what it confirms is no proof that all is known.
+/// While the restored store lacks known items, its answers do not prove that the copy is complete.
 #[test]
 fn complete_stays_behind_while_the_store_lacks_something() {
     let replica = listed(true);
@@ -157,8 +157,8 @@
     assert_eq!(replica.complete_ms(PREFIX), Some(5_000));
 }
 
-/// It is learnt later that the store has been in its era for long: what was read in it is all there is,
-/// unless the box it came from said otherwise.
+/// Once the era of the store turns out to be settled, what was read in it counts as complete, unless
+/// the box that it came from reported otherwise.
 #[test]
 fn note_complete_counts_from_what_was_last_seen() {
     let unsure = Evidence {
