--- a/crates/tinbay-gateway/src/watch/access.rs
+++ b/crates/tinbay-gateway/src/watch/access.rs
@@ -20,11 +20,11 @@
 pub const REWRITTEN_WITHIN_MS: Millis = 5_000;
 
 /// Key that is listed only to learn the era from the answer.
-const LOOK_KEY: &str = "tinbay/settled";
+const ERA_PROBE_KEY: &str = "tinbay/settled";
 
 /// A restore of the store from a backup.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Return {
+pub struct StoreRestore {
     /// Era before the restore.
     pub from: Era,
     /// Era that the restore began.
@@ -42,11 +42,11 @@
     is_told: Cell<bool>,
     /// Whether a successful answer that named no era was accepted.
     was_unnamed: Cell<bool>,
-    last_return: Cell<Option<Return>>,
+    last_restore: Cell<Option<StoreRestore>>,
     /// Restores that have not been handled yet, oldest first.
-    unhandled: RefCell<Vec<Return>>,
+    unhandled: RefCell<Vec<StoreRestore>>,
     /// Notified when a restore is noticed.
-    pub returned: Notify,
+    pub restored: Notify,
 }
 
 impl StoreAccess {
@@ -58,9 +58,9 @@
             era: Cell::default(),
             is_told: Cell::default(),
             was_unnamed: Cell::default(),
-            last_return: Cell::default(),
+            last_restore: Cell::default(),
             unhandled: RefCell::default(),
-            returned: Notify::new(),
+            restored: Notify::new(),
         }
     }
 
@@ -73,13 +73,13 @@
     /// from the store may still be written again.
     pub fn is_being_rewritten(&self) -> bool {
         let now_ms = self.clock.now_ms();
-        self.last_return
+        self.last_restore
             .get()
             .is_some_and(|last| now_ms < last.seen_ms + REWRITTEN_WITHIN_MS)
     }
 
     /// Removes and returns the oldest unhandled restore.
-    pub fn take_return(&self) -> Option<Return> {
+    pub fn take_return(&self) -> Option<StoreRestore> {
         let mut unhandled = self.unhandled.borrow_mut();
         (!unhandled.is_empty()).then(|| unhandled.remove(0))
     }
@@ -95,9 +95,9 @@
         if era < known {
             return false;
         }
-        let looked = self.list(LOOK_KEY, true).await;
-        if looked == Err(StoreError::NoAnswer) && self.era.get().unwrap_or_default() == known {
-            self.note_return(known, era);
+        let probed = self.list(ERA_PROBE_KEY, true).await;
+        if probed == Err(StoreError::NoAnswer) && self.era.get().unwrap_or_default() == known {
+            self.note_restore(known, era);
             self.era.set(Some(era));
             self.is_told.set(true);
         }
@@ -109,9 +109,9 @@
         let is_told = self.is_told.replace(false);
         match self.known_era() {
             // Either the other box was wrong, or this answer is late: the next answer decides.
-            Some(known) if era < known && is_told => self.note_return(known, era),
+            Some(known) if era < known && is_told => self.note_restore(known, era),
             Some(known) if era < known => return false,
-            Some(known) if era > known => self.note_return(known, era),
+            Some(known) if era > known => self.note_restore(known, era),
             _ => {}
         }
         self.era.set(Some(era));
@@ -124,15 +124,15 @@
         self.era.get().or(unnamed)
     }
 
-    fn note_return(&self, from: Era, to: Era) {
-        let seen = Return {
+    fn note_restore(&self, from: Era, to: Era) {
+        let seen = StoreRestore {
             from,
             to,
             seen_ms: self.clock.now_ms(),
         };
-        self.last_return.set(Some(seen));
+        self.last_restore.set(Some(seen));
         self.unhandled.borrow_mut().push(seen);
-        self.returned.notify_one();
+        self.restored.notify_one();
     }
 
     /// Whether positions of `era` may be compared with those that the store assigns now.
--- a/crates/tinbay-gateway/src/watch/relay/mod.rs
+++ b/crates/tinbay-gateway/src/watch/relay/mod.rs
@@ -2,12 +2,12 @@
 
 pub mod answer;
 pub mod ask;
-pub mod draw;
 pub mod message;
+pub mod selection;
 
 pub use answer::answer;
 pub use ask::{RelayBox, RelayError, ask_kept, ask_list, ask_watch, log_failure};
-pub use draw::{Relays, relays};
+pub use selection::{Relays, relays};
 
 /// HTTP path of relay requests.
 pub const PATH: &str = "/relay";
--- a/crates/tinbay-gateway/src/watch/replica.rs
+++ b/crates/tinbay-gateway/src/watch/replica.rs
@@ -15,7 +15,7 @@
 
 /// Content and latest changes of one prefix.
 #[derive(Debug, Default)]
-struct Copy {
+struct PrefixCopy {
     items: BTreeMap<String, Item>,
     listed_at: Position,
     at: Position,
@@ -32,7 +32,7 @@
 /// Local copy of the store, by prefix.
 #[derive(Debug, Default)]
 pub struct Replica {
-    by_prefix: RefCell<HashMap<String, Copy>>,
+    by_prefix: RefCell<HashMap<String, PrefixCopy>>,
     /// Notified on a new listing, on a change that is passed on, and when the store is lost.
     pub changed: Notify,
     /// Notified when a copy is confirmed to be up to date.
@@ -87,7 +87,7 @@
             true => Some(evidence.confirmed_ms),
             false => before.and_then(|before| before.complete_ms),
         };
-        let copy = Copy {
+        let copy = PrefixCopy {
             complete_ms,
             is_complete: evidence.is_complete,
             is_told_complete: evidence.is_told_complete,
--- a/crates/tinbay-gateway/src/watch/returns.rs
+++ b/crates/tinbay-gateway/src/watch/returns.rs
@@ -11,7 +11,7 @@
 use serde::Serialize;
 use tinbay_core::units::Millis;
 
-use super::access::Return;
+use super::access::StoreRestore;
 use super::boxes::PREFIX as BOXES_PREFIX;
 use super::relay;
 use crate::crashes;
@@ -26,7 +26,7 @@
 const SPREAD_PER_BOX_MS: Millis = 1;
 
 #[derive(Serialize)]
-struct ReturnEvent {
+struct RestoreEvent {
     era_before: u64,
     era: u64,
     /// Revision up to which this box had applied the entries of boxes; 0 if it was of another era.
@@ -42,14 +42,14 @@
 /// Handles restores of the store until the box stops.
 pub async fn run(node: Rc<Node>) {
     loop {
-        node.store.returned.notified().await;
+        node.store.restored.notified().await;
         while let Some(seen) = node.store.take_return() {
             handle(&node, seen).await;
         }
     }
 }
 
-async fn handle(node: &Node, seen: Return) {
+async fn handle(node: &Node, seen: StoreRestore) {
     node.sync_era();
     // All boxes know the same refused requests, so only relays write them: otherwise each of 2,200
     // boxes would request the entry.
@@ -63,7 +63,7 @@
     let own_id = node.settings.borrow().box_id.clone();
     let now_ms = node.now_ms();
     let at = node.replica.at(BOXES_PREFIX).unwrap_or_default();
-    let event = ReturnEvent {
+    let event = RestoreEvent {
         era_before: seen.from.0,
         era: seen.to.0,
         revision_before: if at.era == seen.from { at.revision } else { 0 },
