--- a/crates/tinbay-gateway/src/watch/access.rs
+++ b/crates/tinbay-gateway/src/watch/access.rs
@@ -79,7 +79,7 @@
     }
 
     /// Removes and returns the oldest unhandled restore.
-    pub fn take_return(&self) -> Option<StoreRestore> {
+    pub fn next_restore(&self) -> Option<StoreRestore> {
         let mut unhandled = self.unhandled.borrow_mut();
         (!unhandled.is_empty()).then(|| unhandled.remove(0))
     }
--- a/crates/tinbay-gateway/src/watch/returns.rs
+++ b/crates/tinbay-gateway/src/watch/returns.rs
@@ -43,7 +43,7 @@
 pub async fn run(node: Rc<Node>) {
     loop {
         node.store.restored.notified().await;
-        while let Some(seen) = node.store.take_return() {
+        while let Some(seen) = node.store.next_restore() {
             handle(&node, seen).await;
         }
     }
--- a/crates/tinbay-gateway/tests/access_test.rs
+++ b/crates/tinbay-gateway/tests/access_test.rs
@@ -109,11 +109,11 @@
 fn take_first_answer_of_a_later_era_is_a_return() {
     let (access, eras) = access();
     see(&access, &eras, 3);
-    assert!(access.take_return().is_none());
+    assert!(access.next_restore().is_none());
     see(&access, &eras, 4);
-    let seen = access.take_return().expect("a return");
+    let seen = access.next_restore().expect("a return");
     assert_eq!((seen.from, seen.to), (Era(3), Era(4)));
-    assert!(access.take_return().is_none());
+    assert!(access.next_restore().is_none());
     assert!(access.is_being_rewritten());
 }
 
@@ -149,7 +149,7 @@
     assert_eq!(access.era(), None);
     assert!(access.is_present(lease.era));
     see(&access, &eras, 1);
-    assert!(access.take_return().is_some());
+    assert!(access.next_restore().is_some());
     assert!(!access.is_present(lease.era));
 }
 
@@ -172,7 +172,7 @@
     let after = Position::new(Era(1), 5);
     let watched = now(access.watch("p/", after, 0, 0));
     assert_eq!(watched, Err(StoreError::HistoryGone));
-    assert!(access.take_return().is_some());
+    assert!(access.next_restore().is_some());
 }
 
 fn transaction(era: u64) -> Transaction {
@@ -227,7 +227,7 @@
     eras.name(&[Some(2)]);
     let is_present = access.confirm_told(Era(2)).now_or_never();
     assert_eq!(is_present, Some(true));
-    assert!(access.take_return().is_some());
+    assert!(access.next_restore().is_some());
 }
 
 /// A wrong report by one box has no effect on others while the store is reachable.
