--- a/crates/tinbay-gateway/src/http/body.rs
+++ b/crates/tinbay-gateway/src/http/body.rs
@@ -1,4 +1,4 @@
-//! Bodies that go on to servers and back to callers.
+//! Request bodies sent to backend servers and response bodies sent to callers.
 
 use std::pin::Pin;
 use std::rc::Rc;
@@ -12,43 +12,43 @@
 use crate::http::relay::Relay;
 use crate::memory::Hold;
 
-/// Why an answer or a body ended early.
+/// Why a request or response body ended before it was complete.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum BodyError {
-    /// The server broke off.
+    /// The server closed or reset its connection in the middle of the response.
     #[error("the server broke off")]
     ServerBrokeOff,
-    /// The caller broke off.
+    /// The caller closed its connection before the request or the response was complete.
     #[error("the caller broke off")]
     CallerBrokeOff,
-    /// The time of the request is up.
+    /// The request's deadline passed.
     #[error("the time of the request is up")]
     TimeUp,
-    /// The caller did not read its answer.
+    /// The caller stopped reading the response or read it too slowly.
     #[error("the caller did not read its answer")]
     CallerDidNotRead,
-    /// The box is short of memory, and the caller reads slowly.
+    /// The response was ended to free memory: the box is short of it and this caller reads slowly.
     #[error("the box is short of memory and the caller reads slowly")]
     MemoryShort,
-    /// The body is longer than allowed.
+    /// The request body exceeds the size limit.
     #[error("the body is too long")]
     TooLong,
-    /// The server stopped its run to hand it over, and no server went on with it.
+    /// The server stopped generating to hand the request over, and no other server continued it.
     #[error("no server went on with a run that was handed over")]
     NotHandedOver,
 }
 
-/// The body of a caller's request: what was read so far, then what still comes.
+/// The body of a caller's request: the buffered start, then the unread rest of the stream.
 #[derive(Debug)]
 pub struct RequestBody {
     first: Bytes,
     rest: Option<Incoming>,
-    /// Counts what is there of it, also while it is sent once more.
+    /// Accounts for the memory of `first`; shared with the copies made for retries.
     held: Option<Rc<Hold>>,
 }
 
 impl RequestBody {
-    /// A body that is all there.
+    /// A fully buffered body.
     pub fn whole(bytes: Bytes) -> Self {
         Self {
             first: bytes,
@@ -57,7 +57,7 @@
         }
     }
 
-    /// A body whose end is still to come.
+    /// A body of which only the start has been read.
     pub fn streamed(first: Bytes, rest: Incoming) -> Self {
         Self {
             first,
@@ -66,7 +66,7 @@
         }
     }
 
-    /// The same body, whose bytes are counted for as long as it is there.
+    /// Accounts for the memory of the buffered bytes in `held` until the body is dropped.
     pub fn held_by(self, held: Option<Hold>) -> Self {
         let held = held.map(|mut hold| {
             hold.resize(self.first.len() as u64);
@@ -75,17 +75,17 @@
         Self { held, ..self }
     }
 
-    /// Its length, as far as it is known.
+    /// The known lower bound of the length, in bytes.
     pub fn known_bytes(&self) -> u64 {
         self.size_hint().lower()
     }
 
-    /// What is there of it: all, or the first part of a long one.
+    /// The buffered bytes: the whole body, or the start of a long one.
     pub fn first(&self) -> &[u8] {
         &self.first
     }
 
-    /// The same body once more, if all of it is there.
+    /// A copy of the body for a retry; `None` unless it is fully buffered.
     pub fn repeat(&self) -> Option<Self> {
         match self.rest {
             Some(_) => None,
@@ -98,11 +98,11 @@
     }
 }
 
-/// Reads a caller's body up to `most_kept` bytes; a longer one stays a stream. What is read counts in
-/// `held`.
+/// Buffers a caller's body until it exceeds `most_kept` bytes; the rest of a longer one is
+/// streamed. `held` grows with the bytes read.
 ///
 /// # Errors
-/// When the caller broke off, or the body is longer than `most` bytes.
+/// When the caller's connection failed, or the body is longer than `most` bytes.
 pub async fn read_request_body(
     mut body: Incoming,
     most_kept: usize,
@@ -184,14 +184,14 @@
     }
 }
 
-/// The body of an answer to a caller.
+/// The body of a response to a caller.
 #[derive(Debug)]
 pub enum AnswerBody {
-    /// All there.
+    /// Fully buffered; `None` once it has been sent.
     Whole(Option<Bytes>),
-    /// A server's bytes as they come.
+    /// Streamed from a server as the bytes arrive.
     Relayed(Box<Relay>),
-    /// The same, with an eye on how its caller reads.
+    /// Streamed from a server, with the caller's reading progress monitored.
     Watched(WatchedAnswer),
 }
 
--- a/crates/tinbay-gateway/src/http/buffers.rs
+++ b/crates/tinbay-gateway/src/http/buffers.rs
@@ -1,41 +1,41 @@
-//! Bounds on what the kernel and HTTP hold of one connection.
+//! Limits on the kernel and HTTP buffers of one connection.
 //!
-//! The kernel's own bounds grow to some megabytes a connection. Bytes that nobody reads would wait there
-//! uncounted, in the box's memory.
+//! The kernel grows socket buffers to several megabytes per connection by default. Unread bytes
+//! there take memory of the box that the gateway does not account for.
 
 use socket2::SockRef;
 use std::os::fd::AsFd;
 
-/// Longest piece of an answer that is read from a server at once.
+/// Size limit of the HTTP read buffer of a server connection.
 pub const READ_BYTES: usize = 131_072;
 
-/// What the kernel may take from a server ahead of what is read, as it is set; it holds twice that with
-/// its own overhead. A server a few milliseconds away fills a link of 100 MB/s with it.
-const RECEIVE_BYTES: usize = 262_144;
+/// Receive buffer size requested for server connections; the kernel doubles it for its own
+/// overhead. Enough for 100 MB/s from a server a few milliseconds away.
+const RECEIVE_BUFFER_BYTES: usize = 262_144;
 
-/// What the kernel takes to be sent beyond what the other side has room for.
+/// Limit of unsent bytes in a socket's send buffer (`TCP_NOTSENT_LOWAT`).
 const UNSENT_BYTES: u32 = 131_072;
 
-/// Most that is held of an answer that nobody reads, besides what is read ahead: in the kernel on both
-/// sides, and a piece with HTTP on both sides.
-pub const BESIDE_BYTES: u64 =
-    2 * RECEIVE_BYTES as u64 + UNSENT_BYTES as u64 + 2 * READ_BYTES as u64;
+/// Upper bound of the bytes buffered for an unread response in addition to those read ahead: kernel
+/// buffers and one HTTP buffer, each on the server's and the caller's side.
+pub const UNREAD_BUFFER_BYTES: u64 =
+    2 * RECEIVE_BUFFER_BYTES as u64 + UNSENT_BYTES as u64 + 2 * READ_BYTES as u64;
 
-/// Bounds what the kernel takes from a server, and what it takes to be sent there.
-pub fn bound_own(stream: &impl AsFd) {
+/// Limits the kernel's receive and unsent buffers of a connection to a server.
+pub fn limit_server_buffers(stream: &impl AsFd) {
     let socket = SockRef::from(stream);
     let result = socket
-        .set_recv_buffer_size(RECEIVE_BYTES)
+        .set_recv_buffer_size(RECEIVE_BUFFER_BYTES)
         .and_then(|()| socket.set_tcp_notsent_lowat(UNSENT_BYTES));
     if let Err(error) = result {
-        log::debug!("connection without bounds: {error}");
+        log::debug!("could not limit the socket buffers of a server connection: {error}");
     }
 }
 
-/// Bounds what the kernel takes to be sent to callers on all connections of a listener.
+/// Limits the kernel's unsent bytes on all connections that a listener accepts from callers.
 pub fn bound_unsent(listener: &impl AsFd) {
     let socket = SockRef::from(listener);
     if let Err(error) = socket.set_tcp_notsent_lowat(UNSENT_BYTES) {
-        log::debug!("callers' connections without bounds: {error}");
+        log::debug!("could not limit the socket buffers of caller connections: {error}");
     }
 }
--- a/crates/tinbay-gateway/src/http/call.rs
+++ b/crates/tinbay-gateway/src/http/call.rs
@@ -1,4 +1,4 @@
-//! Single calls to one address over kept connections.
+//! HTTP client for buffered requests to one address, with connection reuse.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -13,50 +13,51 @@
 
 use super::connect::connect;
 
-/// Idle connections kept to the address.
-const MOST_IDLE: usize = 4;
+/// Maximum number of idle connections kept per address.
+const MAX_IDLE_CONNECTIONS: usize = 4;
 
-/// Longest time until a connection stands.
+/// Time limit for establishing a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// One call.
+/// A request whose body and response are fully buffered.
 #[derive(Debug, Clone)]
 pub struct Call {
-    /// Method.
+    /// HTTP method of the request.
     pub method: Method,
-    /// Path and query.
+    /// Path and query string of the request target.
     pub path: String,
-    /// JSON body; empty for none.
+    /// JSON body; empty if the request has none.
     pub body: Bytes,
-    /// One header besides.
+    /// One additional header, if any.
     pub header: Option<(HeaderName, String)>,
-    /// Longest time until the whole answer is there.
+    /// Time limit for the whole call, including connecting and reading the response body.
     pub timeout_ms: Millis,
 }
 
-/// The whole answer to a call.
+/// A fully buffered response.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Reply {
-    /// HTTP status.
+    /// HTTP status code.
     pub status: u16,
-    /// Headers.
+    /// Response headers.
     pub headers: HeaderMap,
-    /// Body.
+    /// Complete response body.
     pub body: Bytes,
 }
 
-/// Why there is no answer.
+/// Why a call returned no response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum CallError {
-    /// The call was not sent.
+    /// No connection was available, so the request was not sent.
     #[error("not connected")]
     NotConnected,
-    /// It was sent, and no whole answer came.
+    /// The call failed or timed out before a complete response arrived; the server may have
+    /// received it.
     #[error("no answer")]
     NoAnswer,
 }
 
-/// Makes calls to one address.
+/// Client for one address that reuses idle connections.
 #[derive(Debug)]
 pub struct Caller {
     address: SocketAddr,
@@ -64,7 +65,7 @@
 }
 
 impl Caller {
-    /// A caller of `address`; nothing is connected yet.
+    /// Creates a client for `address` without connecting.
     pub fn new(address: SocketAddr) -> Self {
         Self {
             address,
@@ -72,16 +73,17 @@
         }
     }
 
-    /// Makes one call; a connection on which an answer is missing is never used again.
+    /// Sends one request; a connection that gave no complete response is not reused.
     ///
     /// # Errors
-    /// When no whole answer came in time.
+    /// When no complete response arrived within the time limit.
     pub async fn call(&self, call: &Call) -> Result<Reply, CallError> {
         let timeout = Duration::from_millis(call.timeout_ms);
         match tokio::time::timeout(timeout, self.exchange(call)).await {
             Ok(result) => result,
             Err(_) => {
-                // The connections that rest may have gone silent with the one just used.
+                // The idle connections may have become unresponsive together with the one just
+                // used.
                 self.idle.borrow_mut().clear();
                 Err(CallError::NoAnswer)
             }
@@ -152,7 +154,7 @@
 
     fn keep(&self, sender: SendRequest<Full<Bytes>>) {
         let mut idle = self.idle.borrow_mut();
-        if idle.len() < MOST_IDLE {
+        if idle.len() < MAX_IDLE_CONNECTIONS {
             idle.push(sender);
         }
     }
--- a/crates/tinbay-gateway/src/http/connect.rs
+++ b/crates/tinbay-gateway/src/http/connect.rs
@@ -1,4 +1,4 @@
-//! Opens a connection with a handle of its own.
+//! Opens HTTP/1 connections and probes whether an address accepts them.
 
 use std::error::Error;
 use std::io::ErrorKind;
@@ -11,26 +11,26 @@
 use tokio::net::TcpStream;
 use tokio::task::AbortHandle;
 
-use super::buffers::{READ_BYTES, bound_own};
+use super::buffers::{READ_BYTES, limit_server_buffers};
 use super::silence::end_when_silent;
 
-/// Rest after which a connection of our own is probed: watches and long answers are silent for
-/// about as long.
-const PROBED_REST: Duration = Duration::from_millis(1_000);
+/// Idle time after which keepalive probes start; watches and long responses are regularly without
+/// traffic for about as long.
+const KEEPALIVE_IDLE: Duration = Duration::from_millis(1_000);
 
-/// What an address does with a new connection.
+/// Result of a connection attempt to an address.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ProbeOutcome {
-    /// It takes it.
+    /// The connection was accepted.
     Takes,
-    /// It refuses it: no process listens there.
+    /// The connection was refused: no process listens on the address.
     Refuses,
-    /// Nothing is heard of it, or the way there fails.
+    /// The attempt timed out or failed otherwise, such as for a missing route.
     Silent,
 }
 
 impl ProbeOutcome {
-    /// Name for logs and measures.
+    /// Name for logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             ProbeOutcome::Takes => "takes_connections",
@@ -40,7 +40,7 @@
     }
 }
 
-/// Tries a connection and closes it again.
+/// Opens a TCP connection to `address` and closes it at once.
 pub async fn probe(address: SocketAddr, within: Duration) -> ProbeOutcome {
     match tokio::time::timeout(within, TcpStream::connect(address)).await {
         Ok(Ok(_)) => ProbeOutcome::Takes,
@@ -49,8 +49,8 @@
     }
 }
 
-/// Opens a connection; none when it does not stand in time. Its driver runs until the
-/// connection ends or the handle aborts it.
+/// Opens a connection; `None` if that fails or takes longer than `within`. A task drives it until
+/// it ends or the returned handle aborts the task.
 pub async fn connect<B>(
     address: SocketAddr,
     within: Duration,
@@ -63,8 +63,8 @@
     let connecting = TcpStream::connect(address);
     let stream = tokio::time::timeout(within, connecting).await.ok()?.ok()?;
     let _ = stream.set_nodelay(true);
-    end_when_silent(&stream, PROBED_REST);
-    bound_own(&stream);
+    end_when_silent(&stream, KEEPALIVE_IDLE);
+    limit_server_buffers(&stream);
     let handshake = http1::Builder::new()
         .max_buf_size(READ_BYTES)
         .handshake(TokioIo::new(stream));
--- a/crates/tinbay-gateway/src/http/mod.rs
+++ b/crates/tinbay-gateway/src/http/mod.rs
@@ -1,4 +1,4 @@
-//! HTTP by hyper: single calls, connections to servers, bodies.
+//! HTTP on hyper: buffered calls, connection pools for servers, streamed bodies.
 
 pub mod body;
 pub mod buffers;
--- a/crates/tinbay-gateway/src/http/pool.rs
+++ b/crates/tinbay-gateway/src/http/pool.rs
@@ -1,4 +1,4 @@
-//! Kept connections to one server, each with a handle of its own.
+//! Pool of HTTP connections to one server.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -16,40 +16,40 @@
 use super::reuse::{Reuse, ReuseLedger};
 use crate::clock::Clock;
 
-/// Longest time until a connection stands; a server is at most a few milliseconds away.
+/// Time limit for establishing a connection; a server is at most a few milliseconds away.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Longest rest of a connection where the server names none.
-const DEFAULT_REST_MS: Millis = 4_000;
+/// Idle time limit of a connection whose server states none.
+const DEFAULT_IDLE_LIMIT_MS: Millis = 4_000;
 
-/// Part of the rest that the server allows for which a connection is kept: it names whole seconds,
-/// and a request must not cross its close.
-const KEPT_PART: f64 = 0.75;
+/// Fraction of the idle time limit for which a connection is kept. Servers state the limit in
+/// whole seconds, and a request must not be sent while the server is closing the connection.
+const KEPT_FRACTION: f64 = 0.75;
 
-/// Longest time a used connection takes to become ready again.
+/// Time limit for a connection to become ready for another request.
 const READY_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Why there is no connection.
+/// Why the pool returned no connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum ConnectError {
-    /// All that this box may open are in use.
+    /// This box's connection limit for the server is reached, with all connections in use.
     #[error("all connections to the server are in use")]
     AllInUse,
-    /// The server did not take a connection.
+    /// A new connection was refused, failed or timed out.
     #[error("the server took no connection")]
     Refused,
 }
 
-/// Kept connections to one server.
+/// Open connections to one server, with those that are idle ready for reuse.
 #[derive(Debug)]
 pub struct Pool {
     server: ServerKey,
     address: SocketAddr,
-    /// What the connections of the service are trusted with.
+    /// Tracks for the whole service after which idle time connections are still safe to reuse.
     ledger: Rc<ReuseLedger>,
-    /// When a connection was last found silent.
+    /// When a reused connection last gave no response; those idle since before are not trusted.
     silent_ms: Rc<Cell<Millis>>,
-    /// A connection rests on while the machine is suspended.
+    /// Includes the time for which the machine is suspended, as connections are idle then, too.
     clock: Clock,
     idle: RefCell<Vec<Idle>>,
     open: Rc<Cell<usize>>,
@@ -62,23 +62,23 @@
     until_ms: Millis,
 }
 
-/// Which kept connections a request may use.
+/// Which idle connections a request may use.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Trust {
-    /// Any: the request may be sent again where there is no answer.
+    /// Any, as the request may be retried if there is no response.
     Any,
-    /// Those that rested no longer than is trusted: the request may run only once.
+    /// Only those idle no longer than is trusted, as the request must not run twice.
     RunsOnce,
 }
 
-/// A connection in use; dropped, it is closed at once.
+/// A connection taken from the pool; it is closed at once when dropped.
 #[derive(Debug)]
 pub struct Connection {
-    /// Sends one request at a time.
+    /// Sends one request at a time on the connection.
     pub sender: SendRequest<RequestBody>,
-    /// Whether it carried a request before.
+    /// Whether the connection has carried a request before.
     pub is_reused: bool,
-    /// To be told how it takes the next request, if it rested before.
+    /// Records the outcome of the next request; present if the connection was idle in the pool.
     pub reuse: Option<Reuse>,
     driver: AbortHandle,
     open: Rc<Cell<usize>>,
@@ -92,8 +92,8 @@
 }
 
 impl Pool {
-    /// A pool for a server at `address`, with the clock of the process and what the service's
-    /// connections are trusted with.
+    /// Creates an empty pool for a server at `address`; `ledger` is shared by all pools of the
+    /// service.
     pub fn new(
         server: ServerKey,
         address: SocketAddr,
@@ -111,13 +111,15 @@
         }
     }
 
-    /// A kept connection that is trusted, or a new one while fewer than `most_open` are open.
+    /// Returns an idle connection that `trust` permits, or opens one while fewer than `most_open`
+    /// are open. Closes the longest idle connection if that makes room.
     ///
     /// # Errors
-    /// When none may be opened or the server takes none.
+    /// When the limit is reached or the server accepts no connection.
     pub async fn get(&self, most_open: usize, trust: Trust) -> Result<Connection, ConnectError> {
         if self.has_rested() {
-            // Has a close that has reached the machine be seen before the connection is used.
+            // Lets the drivers process a close that has already arrived before a connection is
+            // used.
             tokio::task::yield_now().await;
         }
         if let Some(connection) = self.take_idle(trust) {
@@ -132,7 +134,7 @@
         self.connect().await
     }
 
-    /// Whether the connection used last has rested for more than moments.
+    /// Whether the most recently used connection has been idle for more than `LEAST_MS`.
     fn has_rested(&self) -> bool {
         let now_ms = self.clock.now_ms();
         let idle = self.idle.borrow();
@@ -145,7 +147,7 @@
         is_short && idle.since_ms >= self.silent_ms.get()
     }
 
-    /// The connection that has rested shortest, as it is the one that servers forget last.
+    /// Takes the connection that has been idle shortest, as servers drop it last.
     fn take_idle(&self, trust: Trust) -> Option<Connection> {
         let now_ms = self.clock.now_ms();
         let mut idle = self.idle.borrow_mut();
@@ -180,7 +182,7 @@
         connection
     }
 
-    /// Closes the connection that has rested longest, to make way for a new one.
+    /// Closes the connection that has been idle longest, to make room for a new one.
     fn close_oldest(&self) {
         let mut idle = self.idle.borrow_mut();
         if !idle.is_empty() {
@@ -202,12 +204,13 @@
         })
     }
 
-    /// Keeps a connection whose answer came whole, for part of the rest the server allows.
+    /// Returns a connection to the pool after a complete response; `rest` is the server's idle time
+    /// limit, if it stated one.
     pub fn give_back(self: &Rc<Self>, mut connection: Connection, rest: Option<Duration>) {
         let pool = Rc::clone(self);
         let since_ms = self.clock.now_ms();
-        let rest_ms = rest.map_or(DEFAULT_REST_MS, |rest| rest.as_millis() as Millis);
-        let until_ms = since_ms + (rest_ms as f64 * KEPT_PART) as Millis;
+        let rest_ms = rest.map_or(DEFAULT_IDLE_LIMIT_MS, |rest| rest.as_millis() as Millis);
+        let until_ms = since_ms + (rest_ms as f64 * KEPT_FRACTION) as Millis;
         tokio::task::spawn_local(async move {
             let ready = tokio::time::timeout(READY_TIMEOUT, connection.sender.ready()).await;
             if matches!(ready, Ok(Ok(()))) {
@@ -222,21 +225,21 @@
         });
     }
 
-    /// Closes connections that have rested too long or that the server has closed.
+    /// Drops idle connections that have expired or that the server has closed.
     pub fn tidy(&self) {
         let now_ms = self.clock.now_ms();
         let keeps = |idle: &Idle| idle.until_ms > now_ms && !idle.connection.sender.is_closed();
         self.idle.borrow_mut().retain(keeps);
     }
 
-    /// Whether a resting connection still stands.
+    /// Whether any idle connection is still open; drops the closed ones.
     pub fn has_live_rest(&self) -> bool {
         let mut idle = self.idle.borrow_mut();
         idle.retain(|kept| !kept.connection.sender.is_closed());
         !idle.is_empty()
     }
 
-    /// Closes all resting connections.
+    /// Closes all idle connections.
     pub fn clear(&self) {
         self.idle.borrow_mut().clear();
     }
--- a/crates/tinbay-gateway/src/http/pooled.rs
+++ b/crates/tinbay-gateway/src/http/pooled.rs
@@ -1,4 +1,4 @@
-//! Single calls over the kept connections to a server.
+//! Buffered calls over a server's connection pool.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -10,10 +10,11 @@
 use super::call::{CallError, Reply};
 use super::pool::{Pool, Trust};
 
-/// Makes one call; its connection is kept if the whole answer came.
+/// Sends one request and buffers the response; the connection returns to the pool if it is
+/// complete.
 ///
 /// # Errors
-/// When no whole answer came in time.
+/// When no complete response arrived within the time limit.
 pub async fn call_pooled(
     pool: &Rc<Pool>,
     most_open: usize,
--- a/crates/tinbay-gateway/src/http/pump/answer.rs
+++ b/crates/tinbay-gateway/src/http/pump/answer.rs
@@ -1,4 +1,4 @@
-//! One answer on its way to a caller who may not keep up.
+//! A relayed response whose caller's reading progress is monitored.
 
 use std::cell::{Cell, RefCell};
 use std::pin::Pin;
@@ -19,13 +19,13 @@
 
 type Piece = Option<Result<Frame<Bytes>, BodyError>>;
 
-/// The body of an answer that is watched; dropped, its server's connection is closed at once.
+/// Body of a monitored response; the server's connection is closed at once when it is dropped.
 #[derive(Debug)]
 pub struct WatchedAnswer {
     shared: Rc<Shared>,
 }
 
-/// What the caller's side, the look over all answers and the reading ahead share of one answer.
+/// State of one response, shared by the body, the periodic check and the read-ahead task.
 #[derive(Debug)]
 pub struct Shared {
     relay: RefCell<Option<Box<Relay>>>,
@@ -33,13 +33,13 @@
     broken: Cell<Option<BodyError>>,
     taken_bytes: Cell<u64>,
     waits: Cell<bool>,
-    sight: Cell<ReadTracker>,
+    tracker: Cell<ReadTracker>,
     terms: AnswerTerms,
     watch: Rc<AnswerWatch>,
 }
 
 impl WatchedAnswer {
-    /// Watches an answer until its caller has it or leaves.
+    /// Monitors a response until it is complete or the caller disconnects.
     pub fn new(relay: Box<Relay>, terms: AnswerTerms, watch: &Rc<AnswerWatch>) -> Self {
         let shared = Rc::new(Shared {
             relay: RefCell::new(Some(relay)),
@@ -47,7 +47,7 @@
             broken: Cell::default(),
             taken_bytes: Cell::default(),
             waits: Cell::default(),
-            sight: Cell::new(ReadTracker::begin(watch.now_ms())),
+            tracker: Cell::new(ReadTracker::begin(watch.now_ms())),
             terms,
             watch: Rc::clone(watch),
         });
@@ -97,8 +97,8 @@
         polled
     }
 
-    /// The next piece that was read ahead; a caller who has caught up gets the rest straight from its
-    /// server again.
+    /// Takes the next frame that was read ahead. Ends the read-ahead when the caller has caught up,
+    /// so that the rest is relayed directly again.
     fn take_ahead(&self) -> Option<Piece> {
         let mut ahead = self.ahead.borrow_mut();
         let Some(frame) = ahead.as_mut()?.pop() else {
@@ -114,7 +114,7 @@
         self.taken_bytes.set(self.taken_bytes.get() + length(frame));
     }
 
-    /// The next piece from the server.
+    /// Polls the server's connection for the next frame.
     pub(super) fn poll_relay(&self, context: &mut Context<'_>) -> Poll<Piece> {
         match self.relay.borrow_mut().as_mut() {
             Some(relay) => relay.poll_data(context),
@@ -130,27 +130,27 @@
         ahead.as_ref().is_none_or(ReadAhead::is_empty) && self.is_whole()
     }
 
-    /// Whether the server has sent all of it.
+    /// Whether the server has sent the complete response.
     fn is_whole(&self) -> bool {
         let relay = self.relay.borrow();
         relay.as_ref().is_some_and(|relay| relay.is_at_end())
     }
 
-    /// Looks how far the caller has come; whether it does not keep up, has yet to catch up or is far too
-    /// late.
+    /// Updates the caller's reading progress; returns whether it is behind, overdue or still served
+    /// from the read-ahead buffer.
     pub(super) fn look(self: &Rc<Self>, now_ms: Millis) -> bool {
         let taken = Taken {
             bytes: self.taken_bytes.get(),
             waits: self.waits.get(),
         };
-        let mut sight = self.sight.get();
-        sight.look(taken, now_ms);
-        self.sight.set(sight);
-        let is_overdue = sight.is_overdue(&self.terms.reader, now_ms);
-        is_overdue || sight.is_behind(now_ms) || self.ahead.borrow().is_some()
+        let mut tracker = self.tracker.get();
+        tracker.look(taken, now_ms);
+        self.tracker.set(tracker);
+        let is_overdue = tracker.is_overdue(&self.terms.reader, now_ms);
+        is_overdue || tracker.is_behind(now_ms) || self.ahead.borrow().is_some()
     }
 
-    /// Reads on ahead of the caller.
+    /// Starts the read-ahead task, unless it runs already or nothing is left to read.
     pub(super) fn read_ahead(self: &Rc<Self>) {
         if self.ahead.borrow().is_some() || self.is_at_end() {
             return;
@@ -167,20 +167,22 @@
         }
     }
 
-    /// Why it has to be cut, if it has.
+    /// Returns the reason for which the response must be cut now, if there is one.
     pub(super) fn judge(&self, now_ms: Millis) -> Option<CutCause> {
         let is_whole = self.is_whole();
-        self.sight.get().judge(&self.terms.reader, is_whole, now_ms)
+        self.tracker
+            .get()
+            .judge(&self.terms.reader, is_whole, now_ms)
     }
 
-    /// How it stands among answers that are not read.
+    /// Describes the response for the choice of those to cut when memory is short.
     pub(super) fn unread(&self, now_ms: Millis) -> UnreadAnswer {
-        let sight = self.sight.get();
+        let tracker = self.tracker.get();
         UnreadAnswer {
             account: self.holder().account,
             held_bytes: self.held_bytes(),
-            bytes_per_s: sight.bytes_per_s(now_ms),
-            unread_ms: sight.unread_ms(now_ms),
+            bytes_per_s: tracker.bytes_per_s(now_ms),
+            unread_ms: tracker.unread_ms(now_ms),
         }
     }
 
@@ -189,7 +191,7 @@
         ahead.as_ref().map_or(0, ReadAhead::held_bytes)
     }
 
-    /// Cuts it: its run is stopped, and its caller's connection ends.
+    /// Cuts the response: closes the server's connection, which stops generation, and the caller's.
     pub(super) fn cut(&self, cause: CutCause, now_ms: Millis) {
         let error = match cause {
             CutCause::Unread => BodyError::CallerDidNotRead,
@@ -207,26 +209,26 @@
         self.terms.connection_end.set();
     }
 
-    /// Notes that the server's side broke off while it was read ahead: the caller gets what came until
-    /// then, and then the error.
+    /// Records that the relay failed during read-ahead: the caller gets the buffered frames first
+    /// and then the error.
     pub(super) fn note_broken(&self, error: BodyError) {
         self.broken.set(Some(error));
         self.drop_relay();
     }
 
     fn tell(&self, cause: CutCause, is_whole: bool, now_ms: Millis) {
-        let sight = self.sight.get();
+        let tracker = self.tracker.get();
         self.watch.note_cut(&AnswerCut {
             request: self.terms.asker.id(),
             cause,
             is_whole,
             taken_bytes: self.taken_bytes.get(),
             held_bytes: self.held_bytes(),
-            unread_ms: sight.unread_ms(now_ms),
+            unread_ms: tracker.unread_ms(now_ms),
         });
     }
 
-    /// Drops what is held, and the server's connection.
+    /// Drops the buffered frames and the server's connection.
     fn close(&self) {
         let ahead = self.ahead.borrow_mut().take();
         drop(ahead);
--- a/crates/tinbay-gateway/src/http/pump/mod.rs
+++ b/crates/tinbay-gateway/src/http/pump/mod.rs
@@ -1,10 +1,10 @@
-//! Answers whose callers do not keep up.
+//! Responses to callers that read slowly.
 //!
-//! An answer goes straight from its server's connection to its caller's for as long as the caller
-//! reads. One look over all answers, ten times a second while there are any, finds those whose callers
-//! have stopped. Such an answer is read ahead of its caller by a task of its own, for a bounded number
-//! of bytes, until the caller has caught up; and it is cut when its caller reads nothing for too long, is
-//! too slow for the request's time, or holds most while the box is short of memory.
+//! A response is relayed directly while its caller reads. A periodic check of all responses, ten
+//! times a second while there are any, finds those whose callers have stopped reading. A separate
+//! task then buffers a bounded number of bytes of such a response until the caller has caught up.
+//! The response is cut when its caller reads nothing for too long, is too slow for the request's
+//! deadline, or holds the most memory while the box is short of it.
 
 mod answer;
 mod readahead;
--- a/crates/tinbay-gateway/src/http/pump/readahead.rs
+++ b/crates/tinbay-gateway/src/http/pump/readahead.rs
@@ -1,4 +1,4 @@
-//! Reads an answer ahead of its caller.
+//! Buffers a response ahead of a slow caller.
 
 use std::collections::VecDeque;
 use std::future::poll_fn;
@@ -10,13 +10,13 @@
 use tokio::task::AbortHandle;
 
 use super::answer::Shared;
-use crate::http::buffers::BESIDE_BYTES;
+use crate::http::buffers::UNREAD_BUFFER_BYTES;
 use crate::memory::Hold;
 
-/// Most bytes that are read ahead of one caller, up to a piece more.
-const MOST_AHEAD_BYTES: u64 = 262_144;
+/// Read-ahead pauses when the buffer reaches this size; the last frame may exceed it.
+const MAX_READ_AHEAD_BYTES: u64 = 262_144;
 
-/// What is read ahead of one caller; it ends when it is dropped.
+/// Frames read ahead of one caller and the task that reads them; dropping it aborts the task.
 #[derive(Debug)]
 pub struct ReadAhead {
     frames: VecDeque<Frame<Bytes>>,
@@ -27,9 +27,9 @@
 }
 
 impl ReadAhead {
-    /// Begins to read an answer ahead, with `hold` to count what is held.
+    /// Starts the read-ahead task; `hold` accounts for the buffered memory.
     pub fn begin(shared: &Rc<Shared>, mut hold: Hold) -> Self {
-        hold.resize(BESIDE_BYTES);
+        hold.resize(UNREAD_BUFFER_BYTES);
         let reading = Rc::clone(shared);
         let task = tokio::task::spawn_local(poll_fn(move |context| read(&reading, context)));
         Self {
@@ -41,12 +41,12 @@
         }
     }
 
-    /// Bytes held for the answer.
+    /// Memory accounted for the response, in bytes, including socket and HTTP buffers.
     pub fn held_bytes(&self) -> u64 {
         self.hold.bytes()
     }
 
-    /// The next piece for the caller.
+    /// Takes the oldest buffered frame and wakes the task if it was waiting for room.
     pub fn pop(&mut self) -> Option<Frame<Bytes>> {
         let frame = self.frames.pop_front()?;
         self.bytes -= held_length(&frame);
@@ -57,7 +57,7 @@
         Some(frame)
     }
 
-    /// Whether nothing is ready.
+    /// Whether no frame is buffered.
     pub fn is_empty(&self) -> bool {
         self.frames.is_empty()
     }
@@ -69,12 +69,12 @@
     }
 
     fn count(&mut self) {
-        self.hold.resize(BESIDE_BYTES + self.bytes);
+        self.hold.resize(UNREAD_BUFFER_BYTES + self.bytes);
     }
 
-    /// Whether it may read on; else it is told when there is room.
+    /// Whether the buffer has room; if not, registers the task to be woken when it has.
     fn has_room(&mut self, context: &Context<'_>) -> bool {
-        let has_room = self.bytes < MOST_AHEAD_BYTES;
+        let has_room = self.bytes < MAX_READ_AHEAD_BYTES;
         if !has_room {
             self.room = Some(context.waker().clone());
         }
@@ -88,13 +88,13 @@
     }
 }
 
-/// What a piece takes in memory: events of some bytes each take more for being pieces than for what
-/// they say.
+/// Memory taken by a buffered frame. For events of a few bytes, the frame's own size exceeds that
+/// of the data.
 fn held_length(frame: &Frame<Bytes>) -> u64 {
     length(frame) + size_of::<Frame<Bytes>>() as u64
 }
 
-/// Bytes of a piece.
+/// Length of a frame's data in bytes; 0 for trailers.
 pub fn length(frame: &Frame<Bytes>) -> u64 {
     frame.data_ref().map_or(0, |data| data.len() as u64)
 }
--- a/crates/tinbay-gateway/src/http/pump/watch.rs
+++ b/crates/tinbay-gateway/src/http/pump/watch.rs
@@ -1,4 +1,4 @@
-//! The look over all answers on their way.
+//! Periodic check of all responses being sent to callers.
 
 use std::cell::RefCell;
 use std::fmt;
@@ -16,74 +16,74 @@
 use crate::latch::Latch;
 use crate::memory::BoxMemory;
 
-/// Pause between looks.
-const LOOK_PAUSE: Duration = Duration::from_millis(BEHIND_AFTER_MS);
+/// Interval between checks.
+const CHECK_INTERVAL: Duration = Duration::from_millis(BEHIND_AFTER_MS);
 
-/// Who asked for an answer.
+/// The request that a response belongs to.
 pub trait Asker: fmt::Debug {
-    /// Id of its request.
+    /// Id of the request.
     fn id(&self) -> &str;
 
-    /// Its client account, if it has one.
+    /// Client account of the request, if it has one.
     fn account(&self) -> Option<AccountHash>;
 }
 
-/// What binds one answer, and whose it is.
+/// Origin of one response and the limits that apply to it.
 #[derive(Debug)]
 pub struct AnswerTerms {
-    /// Who asked for it.
+    /// The request that is answered.
     pub asker: Rc<dyn Asker>,
-    /// How slowly it may be read.
+    /// Limits on how slowly the caller may read.
     pub reader: ReaderTerms,
-    /// The caller's connection.
+    /// Number of the caller's connection, for memory accounting.
     pub connection: ConnectionNumber,
-    /// Set when that connection has to end.
+    /// Set to close the caller's connection.
     pub connection_end: Rc<Latch>,
 }
 
-/// An answer that was cut as its caller did not keep up.
+/// Report of a response that was cut because its caller read too slowly.
 #[derive(Debug)]
 pub struct AnswerCut<'a> {
-    /// Id of its request.
+    /// Id of the request.
     pub request: &'a str,
-    /// Why.
+    /// Rule that led to the cut.
     pub cause: CutCause,
-    /// Whether its server had sent all of it.
+    /// Whether the server had sent the complete response.
     pub is_whole: bool,
-    /// Bytes that went to the caller's side.
+    /// Bytes passed to the caller's connection.
     pub taken_bytes: u64,
-    /// Bytes held for it.
+    /// Memory accounted for the response at the time of the cut.
     pub held_bytes: u64,
-    /// For how long its caller had taken nothing.
+    /// Time since the caller last took any bytes.
     pub unread_ms: Millis,
 }
 
-/// Told of answers that are cut.
+/// Receives reports of responses that were cut.
 pub trait CutObserver: fmt::Debug {
-    /// Notes one.
+    /// Called once for each response that is cut.
     fn note_cut(&self, cut: &AnswerCut<'_>);
 }
 
-/// All answers on their way to callers.
+/// All responses being sent to callers.
 #[derive(Debug)]
 pub struct AnswerWatch {
     clock: Clock,
     memory: Rc<BoxMemory>,
     observer: Box<dyn CutObserver>,
-    /// An answer that has ended stays until the next look.
+    /// Entries of ended responses remain until the next check.
     answers: RefCell<Vec<Weak<Shared>>>,
-    is_first: Notify,
+    first_entered: Notify,
 }
 
 impl AnswerWatch {
-    /// No answer is on its way.
+    /// Creates a watch without responses.
     pub fn new(clock: Clock, memory: Rc<BoxMemory>, observer: Box<dyn CutObserver>) -> Self {
         Self {
             clock,
             memory,
             observer,
             answers: RefCell::default(),
-            is_first: Notify::new(),
+            first_entered: Notify::new(),
         }
     }
 
@@ -98,7 +98,7 @@
     pub(super) fn enter(&self, answer: &Rc<Shared>) {
         let mut answers = self.answers.borrow_mut();
         if answers.is_empty() {
-            self.is_first.notify_one();
+            self.first_entered.notify_one();
         }
         answers.push(Rc::downgrade(answer));
     }
@@ -107,7 +107,7 @@
         self.observer.note_cut(cut);
     }
 
-    /// Looks at all answers once: those whose callers do not keep up are read ahead or cut.
+    /// Checks all responses once: those whose callers are behind are read ahead or cut.
     fn look(&self) {
         let now_ms = self.now_ms();
         let mut behind = Vec::new();
@@ -147,18 +147,18 @@
         }
     }
 
-    async fn wait_for_one(&self) {
+    async fn wait_for_entry(&self) {
         while self.answers.borrow().is_empty() {
-            self.is_first.notified().await;
+            self.first_entered.notified().await;
         }
     }
 }
 
-/// Looks at all answers time and again, while there are any.
+/// Checks all responses periodically; sleeps while there are none.
 pub async fn run(watch: Rc<AnswerWatch>) {
     loop {
-        watch.wait_for_one().await;
-        tokio::time::sleep(LOOK_PAUSE).await;
+        watch.wait_for_entry().await;
+        tokio::time::sleep(CHECK_INTERVAL).await;
         watch.look();
     }
 }
--- a/crates/tinbay-gateway/src/http/relay.rs
+++ b/crates/tinbay-gateway/src/http/relay.rs
@@ -1,4 +1,4 @@
-//! A server's answer on its way to the caller, byte for byte.
+//! Relays a server's response body to the caller unchanged.
 
 use std::future::Future;
 use std::pin::Pin;
@@ -17,38 +17,39 @@
 use crate::clock::Clock;
 use crate::handover::drive::Outcome;
 
-/// Told how a relayed answer ended, nothing or why it was cut, and when its pieces came.
+/// Called once when a relayed response ends, with the error if it was cut and the arrival times of
+/// its frames.
 pub type EndObserver = Box<dyn FnOnce(Result<(), BodyError>, StreamTiming)>;
 
-/// Tells its observer once, also when it is dropped: the caller left then.
+/// Calls its observer exactly once. A drop before the end counts as the caller's disconnect.
 pub struct EndNotice {
     observer: Option<EndObserver>,
-    sight: StreamTiming,
+    timing: StreamTiming,
 }
 
 impl EndNotice {
-    /// A notice for `observer`.
+    /// Wraps `observer`, to be called at the end of the response.
     pub fn new(observer: EndObserver) -> Self {
         Self {
             observer: Some(observer),
-            sight: StreamTiming::default(),
+            timing: StreamTiming::default(),
         }
     }
 
-    /// Notes that a piece came from the server.
+    /// Records that a frame arrived from the server.
     pub fn note_piece(&mut self, now_ms: Millis) {
-        self.sight.note_piece(now_ms);
+        self.timing.note_piece(now_ms);
     }
 
-    /// Notes that the caller's side asks for the next piece.
+    /// Records that the caller's side polled for the next frame.
     pub fn note_asked(&mut self, now_ms: Millis) {
-        self.sight.note_asked(now_ms);
+        self.timing.note_asked(now_ms);
     }
 
-    /// Tells the end.
+    /// Calls the observer, unless it has been called already.
     pub fn tell(&mut self, end: Result<(), BodyError>) {
         if let Some(observer) = self.observer.take() {
-            observer(end, self.sight);
+            observer(end, self.timing);
         }
     }
 }
@@ -65,41 +66,41 @@
     }
 }
 
-/// The rest of an answer, from the server that goes on with its run.
+/// The rest of a response, from the server that continues generating after a handover.
 #[derive(Debug)]
 pub struct ContinuedAnswer {
-    /// The events that are left.
+    /// Response body with the remaining events.
     pub incoming: Incoming,
-    /// Connection they come on.
+    /// Connection to the continuing server.
     pub connection: Connection,
-    /// Where the connection goes back to.
+    /// Pool that the connection returns to.
     pub pool: Rc<Pool>,
-    /// Longest rest the server allows.
+    /// Idle time limit of the connection, if the server stated one.
     pub rest: Option<Duration>,
-    /// Whether the server keeps the connection.
+    /// Whether the connection may be reused after the response.
     pub may_keep: bool,
 }
 
-/// What may take the place of the server whose answer is relayed.
+/// Handover of a relayed response to another server, driven by polls of the relay.
 pub trait Successor {
-    /// Takes bytes from the server; those that may go on to the caller now.
+    /// Takes bytes from the server and returns those that may be sent to the caller now.
     fn pass(&self, bytes: Bytes) -> Bytes;
 
-    /// Works on the hand-over until it has ended.
+    /// Drives the handover; ready with its outcome.
     fn poll_outcome(&mut self, context: &mut Context<'_>) -> Poll<Outcome<ContinuedAnswer>>;
 
-    /// Notes that the server's answer broke off; whether that is part of the hand-over.
+    /// Records that the server's response ended early; returns whether the handover caused that.
     fn note_broken_off(&self) -> bool;
 
-    /// Lets all pass from now on; what was held back until then.
+    /// Stops holding bytes back and returns those held so far.
     fn open(&self) -> Bytes;
 }
 
-/// A server's answer on its way to the caller.
+/// A server's response body being relayed to the caller.
 pub struct Relay {
     incoming: Incoming,
     successor: Option<Box<dyn Successor>>,
-    /// Whether the server has broken off as part of a hand-over.
+    /// Whether the server ended its response early as part of a handover.
     has_stopped: bool,
     connection: Option<Connection>,
     pool: Rc<Pool>,
@@ -111,28 +112,28 @@
     end: EndNotice,
 }
 
-/// What a relay needs besides the bytes.
+/// Settings of a relay and the connection that it uses.
 pub struct RelayTerms {
-    /// Connection the answer comes on.
+    /// Connection that carries the response.
     pub connection: Connection,
-    /// Where the connection goes back to.
+    /// Pool that the connection returns to.
     pub pool: Rc<Pool>,
-    /// Longest rest the server allows.
+    /// Idle time limit of the connection, if the server stated one.
     pub rest: Option<Duration>,
-    /// Whether the server keeps the connection.
+    /// Whether the connection may be reused after the response.
     pub may_keep: bool,
-    /// When the request's time is up.
+    /// Deadline of the request; the response is cut then.
     pub time_up: Instant,
-    /// What may go on in place of the server.
+    /// Hand-over to another server, if the request can be handed over.
     pub successor: Option<Box<dyn Successor>>,
-    /// The clock of the box.
+    /// Clock for the arrival times of frames.
     pub clock: Clock,
-    /// Told how it ended.
+    /// Called once when the response ends.
     pub end: EndObserver,
 }
 
 impl Relay {
-    /// Relays `incoming`.
+    /// Starts to relay `incoming`; an empty body ends at once.
     pub fn new(incoming: Incoming, terms: RelayTerms) -> Self {
         let is_empty = incoming.is_end_stream();
         let mut relay = Self {
@@ -154,7 +155,7 @@
         relay
     }
 
-    /// The next bytes.
+    /// Polls for the next frame for the caller.
     pub fn poll_data(
         &mut self,
         context: &mut Context<'_>,
@@ -163,7 +164,8 @@
             return Poll::Ready(None);
         }
         loop {
-            // Also after bytes that are held back: the caller's side has not been given them.
+            // Recorded after held-back bytes, too, as the caller's side is still waiting for a
+            // frame.
             self.end.note_asked(self.clock.now_ms());
             if let Some(next) = self.poll_successor(context) {
                 return Poll::Ready(Some(next));
@@ -191,7 +193,8 @@
         }
     }
 
-    /// Takes what the hand-over came to, if it has ended: bytes that were held back, or a cut.
+    /// Applies the outcome of the handover once it has ended: returns held-back bytes or an error,
+    /// or switches to the continuing server.
     fn poll_successor(
         &mut self,
         context: &mut Context<'_>,
@@ -211,7 +214,7 @@
         }
     }
 
-    /// Goes on with the answer of another server.
+    /// Continues with the response of another server.
     fn go_on(&mut self, answer: ContinuedAnswer) {
         self.successor = None;
         self.has_stopped = false;
@@ -227,7 +230,7 @@
         successor.is_some_and(|successor| successor.note_broken_off())
     }
 
-    /// Hands a frame on; none where all of it is held back.
+    /// Returns the part of a frame that goes to the caller; `None` if all of it is held back.
     fn pass(&mut self, frame: Frame<Bytes>) -> Option<Frame<Bytes>> {
         self.end.note_piece(self.clock.now_ms());
         let is_end = self.incoming.is_end_stream();
@@ -254,7 +257,7 @@
         Some(frame)
     }
 
-    /// Lets all pass from now on; what was held back.
+    /// Ends the holding back and returns the bytes held so far, if any.
     fn release(&mut self) -> Option<Frame<Bytes>> {
         let kept = self.successor.take()?.open();
         (!kept.is_empty()).then(|| Frame::data(kept))
@@ -280,7 +283,7 @@
         self.end.tell(Ok(()));
     }
 
-    /// Closes the server's connection and tells why the answer was cut.
+    /// Ends the response early: closes the server's connection and reports `error` to the observer.
     pub fn cut(&mut self, error: BodyError) -> BodyError {
         self.is_done = true;
         self.connection = None;
@@ -288,12 +291,12 @@
         error
     }
 
-    /// Whether all bytes were handed on.
+    /// Whether no frame is left to relay.
     pub fn is_at_end(&self) -> bool {
         self.is_done || (self.successor.is_none() && self.incoming.is_end_stream())
     }
 
-    /// Bytes still to come, where the server told.
+    /// Remaining length, as far as the server stated it.
     pub fn size_hint(&self) -> SizeHint {
         self.incoming.size_hint()
     }
--- a/crates/tinbay-gateway/src/http/reuse.rs
+++ b/crates/tinbay-gateway/src/http/reuse.rs
@@ -1,5 +1,5 @@
-//! What becomes of kept connections that are used again, and what a service's connections are
-//! trusted with because of it.
+//! Tracks the outcomes of reusing idle connections and derives for each service after which idle
+//! time a connection is still safe for a request that must not run twice.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -14,11 +14,12 @@
 use crate::clock::Clock;
 use crate::events::{self, part};
 
-/// Longest time from a send to the reset by a server that had forgotten the connection: a round
-/// trip, and what a busy box takes to see it. Servers that break off later had begun to work.
+/// A close within this time after a request was sent means that the server had already dropped the
+/// idle connection: a round trip plus the delay of a busy box in noticing it. A server that closes
+/// later had begun to process the request.
 const FORGOTTEN_WITHIN_MS: Millis = 50;
 
-/// What is known of the kept connections of one service.
+/// Outcomes of connection reuse for one service, shared by the pools of its servers.
 #[derive(Debug)]
 pub struct ReuseLedger {
     service: String,
@@ -36,7 +37,7 @@
 }
 
 impl ReuseLedger {
-    /// A ledger of a service, with the clock of the process and where connections are counted.
+    /// Creates an empty ledger; `measure` counts connections by outcome, if given.
     pub fn new(service: &str, clock: Clock, measure: Option<IntCounterVec>) -> Self {
         Self {
             service: service.to_string(),
@@ -46,17 +47,17 @@
         }
     }
 
-    /// Longest rest that is trusted with a request that may run only once.
+    /// Longest idle time after which a connection may carry a request that must not run twice.
     pub fn trusted_ms(&self) -> Millis {
         self.trusted.borrow().trusted_ms()
     }
 
-    /// Counts a connection that was opened.
+    /// Counts a newly opened connection.
     pub fn count_opened(&self) {
         self.count("opened");
     }
 
-    /// Counts a resting connection that the server had closed.
+    /// Records that an idle connection was found closed by its server.
     pub fn note_found_closed(&self, server: ServerKey, rested_ms: Millis) {
         self.note(server, rested_ms, ReuseOutcome::FoundClosed);
     }
@@ -87,20 +88,22 @@
     }
 }
 
-/// A kept connection that is used again, until it is known how it took the request; dropped, it
-/// tells nothing.
+/// One reuse of an idle connection whose outcome is not known yet. Nothing is recorded if it is
+/// dropped without an outcome.
 #[derive(Debug)]
 pub struct Reuse {
     ledger: Rc<ReuseLedger>,
     server: ServerKey,
     rested_ms: Millis,
-    is_at_stake: bool,
-    /// Connections that have rested since before then are not trusted.
+    is_at_risk: bool,
+    /// When a connection of the server last gave no response; those idle since before are not
+    /// trusted.
     silent_ms: Rc<Cell<Millis>>,
 }
 
 impl Reuse {
-    /// The use of a connection that rested so long, for a request that may run only once or not.
+    /// Begins a reuse after `rested_ms` of idle time; `runs_once` if the request must not run
+    /// twice.
     pub(super) fn begin(
         ledger: &Rc<ReuseLedger>,
         server: ServerKey,
@@ -108,35 +111,36 @@
         runs_once: bool,
         silent_ms: &Rc<Cell<Millis>>,
     ) -> Self {
-        let is_at_stake = runs_once && ledger.trusted.borrow_mut().note_at_risk(rested_ms);
+        let is_at_risk = runs_once && ledger.trusted.borrow_mut().note_at_risk(rested_ms);
         Self {
             ledger: Rc::clone(ledger),
             server,
             rested_ms,
-            is_at_stake,
+            is_at_risk,
             silent_ms: Rc::clone(silent_ms),
         }
     }
 
-    /// The head of the answer came.
+    /// Records that the response head arrived.
     pub fn note_answered(self) {
         self.note(ReuseOutcome::Answered);
     }
 
-    /// It was seen to be closed before the request went out.
+    /// Records that the connection was found closed before the request was sent.
     pub fn note_found_closed(self) {
         self.note(ReuseOutcome::FoundClosed);
     }
 
-    /// It was closed so long after the request went out.
+    /// Records a close `after_ms` after the request was sent; only an early one counts against
+    /// reuse.
     pub fn note_closed(self, after_ms: Millis) {
         if after_ms <= FORGOTTEN_WITHIN_MS {
             self.note(ReuseOutcome::Broken);
         }
     }
 
-    /// Nothing came where an answer was due: no connection of that server which rests now is
-    /// trusted any more.
+    /// Records that no response came in time. The server's connections that are idle now are no
+    /// longer trusted.
     pub fn note_silent(self) {
         self.silent_ms.set(self.ledger.clock.now_ms());
         self.note(ReuseOutcome::Silent);
@@ -149,7 +153,7 @@
 
 impl Drop for Reuse {
     fn drop(&mut self) {
-        if self.is_at_stake {
+        if self.is_at_risk {
             self.ledger.trusted.borrow_mut().release();
         }
     }
--- a/crates/tinbay-gateway/src/http/silence.rs
+++ b/crates/tinbay-gateway/src/http/silence.rs
@@ -1,32 +1,32 @@
-//! Finds connections that went silent without an end.
+//! Detects connections whose peer no longer responds.
 //!
-//! A link may drop a connection's packets for good while new connections work, and neither side
-//! is told. Probes of the kernel then end the connection as if it had been reset.
+//! A network may silently drop all packets of one connection while new connections work. TCP
+//! keepalive and the user timeout make the kernel end such a connection with an error.
 
 use std::time::Duration;
 
 use socket2::{SockRef, TcpKeepalive};
 use tokio::net::TcpStream;
 
-/// Pause between probes that go without an answer; round trips take a few milliseconds, and a
-/// link that loses packets may lose one or two in a row.
-const PROBE_PAUSE: Duration = Duration::from_millis(1_000);
+/// Interval between unanswered keepalive probes; round trips take a few milliseconds, and a lossy
+/// link may lose one or two probes in a row.
+const PROBE_INTERVAL: Duration = Duration::from_millis(1_000);
 
-/// Probes and other packets without an answer for so long end the connection: longer than short
-/// cuts of a link, so that an answer can still come after one.
-const SILENT_FOR: Duration = Duration::from_millis(4_000);
+/// The kernel ends a connection after this time without acknowledgement. Longer than short network
+/// outages, so that a response can still arrive after one.
+const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(4_000);
 
-/// Has the kernel end a connection on which nothing is acknowledged, probing it when it has
-/// rested for `rest`.
+/// Makes the kernel end a connection whose peer acknowledges nothing, with probes after `rest` of
+/// idle time.
 pub fn end_when_silent(stream: &TcpStream, rest: Duration) {
     let keepalive = TcpKeepalive::new()
         .with_time(rest)
-        .with_interval(PROBE_PAUSE);
+        .with_interval(PROBE_INTERVAL);
     let socket = SockRef::from(stream);
     let result = socket
         .set_tcp_keepalive(&keepalive)
-        .and_then(|()| socket.set_tcp_user_timeout(Some(SILENT_FOR)));
+        .and_then(|()| socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT)));
     if let Err(error) = result {
-        log::debug!("connection without probes: {error}");
+        log::debug!("could not set keepalive probes on a connection: {error}");
     }
 }
