--- a/crates/tinbay-gateway/src/members.rs
+++ b/crates/tinbay-gateway/src/members.rs
@@ -1,8 +1,8 @@
-//! The boxes this box knows.
+//! Known boxes and their liveness.
 //!
-//! A box of the own availability zone is judged by when any box of the zone last heard it. Of
-//! another zone only a few boxes are heard, those that read the store for it: what they say of
-//! their zone counts, and the entries in the store.
+//! A box of the same availability zone is judged by when any box of the zone last received a
+//! message from it. From another zone only the few boxes that read the store for it send messages:
+//! boxes there are judged by what these report and by the entries in the store.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -13,127 +13,128 @@
 use tinbay_core::units::Millis;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Silence after which a box of the own zone is no longer handed out: some rounds of gossip.
+/// Time without a message after which callers are no longer sent to a box of the same zone: a few
+/// rounds of gossip.
 const SILENT_AFTER_MS: Millis = 2_500;
 
-/// How long the word of another zone that a box there is silent holds unless it is said again,
-/// each half second: a box that is back is handed out that much later at most.
-const SILENT_WORD_LIFE_MS: Millis = 2_500;
+/// How long another zone's report that a box there is silent stays valid unless repeated, which
+/// happens every half second. A box that has recovered is handed out again after at most this time.
+const SILENCE_REPORT_LIFE_MS: Millis = 2_500;
 
-/// Time without a word of a zone after which its last speaker counts as silent: the words of
-/// zones are passed on in turns, which takes longer than to hear a box of the own zone.
+/// Time without a report from a zone after which the box that reported last counts as silent.
+/// Longer than for boxes of the same zone, as reports from other zones are passed on in turns.
 const ZONE_SILENT_AFTER_MS: Millis = 3_000;
 
-/// Time for which another box may still see an entry that is gone: as long as one goes without a
-/// listing of the store.
+/// How long another box may still see a deleted entry: the longest time between two listings of
+/// the store.
 const UNLISTED_SPAN_MS: Millis = 6_000;
 
-/// Gap without any sign of others after which this box may itself have been cut off or frozen,
-/// and judges nobody until it has heard others for as long as a silence takes.
+/// Time without any contact after which this box may itself have been cut off or frozen. It then
+/// judges no other box until it has been in contact for `SILENT_AFTER_MS`.
 const OWN_GAP_MS: Millis = 1_500;
 
-/// What a box writes about itself into the store.
+/// A box's entry in the store.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberRecord {
     /// Where callers connect.
     pub front: SocketAddr,
     /// Where other boxes send messages.
     pub peer: SocketAddr,
-    /// Where other boxes ask what this one sees of the store.
+    /// Where other boxes request this box's view of the store.
     pub control: SocketAddr,
     /// Availability zone.
     pub zone: String,
-    /// Whether it takes no new callers.
+    /// Whether it is stopping and accepts no new callers.
     pub is_leaving: bool,
-    /// What it can bear for others, compared with other boxes.
+    /// Capacity for work on behalf of other boxes, relative to theirs.
     #[serde(default)]
     pub capacity: u64,
 }
 
-/// A box and what is believed of it.
+/// A known box and its liveness.
 #[derive(Debug, Clone)]
 pub struct Member {
-    /// What it wrote about itself.
+    /// The record that it last published.
     pub record: MemberRecord,
-    /// Whether its entry is in the store, and since when that is so.
+    /// Whether its entry is in the store.
     pub listed: bool,
-    /// When that changed last.
+    /// When `listed` last changed.
     pub listed_changed_ms: Millis,
-    /// When it was last heard; only boxes of the own zone are.
+    /// When any box of the zone last heard it; always absent for boxes of other zones.
     pub heard_ms: Option<Millis>,
-    /// When its own zone last said that it is silent; only boxes of other zones are spoken of.
-    pub silent_word_ms: Option<Millis>,
+    /// When its zone last reported it as silent; always absent for boxes of the same zone.
+    pub silence_reported_ms: Option<Millis>,
 }
 
-/// The box that last spoke for another zone.
+/// The box that last reported for another zone.
 #[derive(Debug, Clone)]
-struct Speaker {
+struct ZoneReporter {
     id: Option<String>,
     heard_ms: Millis,
 }
 
-/// Since when this box has been in touch with others without a gap.
+/// A period of contact with other boxes or the store without a gap of `OWN_GAP_MS`.
 #[derive(Debug, Clone, Copy)]
 struct Contact {
     since_ms: Millis,
     last_ms: Millis,
-    /// Whether it has lasted since this box came.
+    /// Whether it is the first such period since this box started.
     is_first: bool,
 }
 
-/// The other boxes.
+/// All known boxes.
 #[derive(Debug)]
 pub struct Members {
     zone: String,
     by_id: HashMap<String, Member>,
     ids: HashMap<Fingerprint, String>,
-    /// Who last spoke for the other zones, by the short form of their names.
-    speakers: HashMap<Fingerprint, Speaker>,
+    /// The boxes that last reported for other zones, by zone fingerprint.
+    zone_reporters: HashMap<Fingerprint, ZoneReporter>,
     contact: Option<Contact>,
 }
 
-/// The short form of an availability zone's name in messages.
+/// Fingerprint that stands for an availability zone's name in messages.
 pub fn zone_fingerprint(zone: &str) -> Fingerprint {
     box_fingerprint(zone)
 }
 
-/// The short form of a box's name in messages.
+/// Fingerprint that stands for a box's name in messages.
 pub fn box_fingerprint(id: &str) -> Fingerprint {
     xxh3_64(id.as_bytes()) as Fingerprint
 }
 
 impl Members {
-    /// No box is known to one of `zone`.
+    /// An empty table for a box in `zone`.
     pub fn new(zone: &str) -> Self {
         Self {
             zone: zone.to_string(),
             by_id: HashMap::new(),
             ids: HashMap::new(),
-            speakers: HashMap::new(),
+            zone_reporters: HashMap::new(),
             contact: None,
         }
     }
 
-    /// Notes that this box is in touch with others: with another box, or with the store.
+    /// Records contact with another box or with the store.
     pub fn note_contact(&mut self, now_ms: Millis) {
         let contact = match self.contact {
             Some(contact) if now_ms < contact.last_ms + OWN_GAP_MS => Contact {
                 last_ms: now_ms,
                 ..contact
             },
-            before => Contact {
+            previous => Contact {
                 since_ms: now_ms,
                 last_ms: now_ms,
-                is_first: before.is_none(),
+                is_first: previous.is_none(),
             },
         };
         self.contact = Some(contact);
     }
 
-    /// Whether this box may keep what only one box may keep: no other one can have taken it for
-    /// gone meanwhile. A box that has just come may at once; where it had to wait as long as for a
-    /// judgement, 28% of the requests were refused for 2.5 s after all of 74 boxes were killed, and
-    /// nearly all on 300.
+    /// Whether this box may hold what only one box may hold, as no other box can have taken it for
+    /// failed meanwhile. A box that has just started may at once: when it first had to wait as long
+    /// as before judging others, 28% of the requests were refused for 2.5 s after all of 74 boxes
+    /// were killed, and nearly all with 300 boxes.
     pub fn may_keep(&self, now_ms: Millis) -> bool {
         let is_unbroken = self
             .contact
@@ -141,7 +142,7 @@
         is_unbroken || self.can_judge(now_ms)
     }
 
-    /// Whether this box has been in touch for so long that silence of others is theirs.
+    /// Whether this box has been in contact for long enough that a silent box is at fault itself.
     fn can_judge(&self, now_ms: Millis) -> bool {
         self.contact.is_some_and(|contact| {
             let is_in_touch = now_ms < contact.last_ms + OWN_GAP_MS;
@@ -149,14 +150,14 @@
         })
     }
 
-    /// Boxes of the own zone that nobody of the zone hears, for other zones; nothing from a box
-    /// that may have been cut off itself, or that misses more than half of its zone.
+    /// Boxes of this zone that no box of the zone hears, as reported to other zones. Empty if this
+    /// box may have been cut off itself, or if more than half of its zone is missing.
     pub fn silent_near(&self, own_id: &str, now_ms: Millis) -> Vec<Fingerprint> {
         if !self.can_judge(now_ms) {
             return Vec::new();
         }
-        // Not this box, which is listed like any other: where nobody else of the zone lives, nobody has
-        // told when it was heard, and it would call itself silent.
+        // Leaves out this box, which is listed like any other: if no other box of the zone is
+        // alive, none has reported hearing it, and it would report itself as silent.
         let others = self.others(own_id);
         let near = others.filter(|(_, member)| member.record.zone == self.zone);
         let (mut listed, mut missed, mut silent) = (0, 0, Vec::new());
@@ -168,39 +169,39 @@
                 silent.push(box_fingerprint(id));
             }
         }
-        // This box is one of the zone as well, and hears itself.
+        // The zone also includes this box, which is not missing.
         if missed * 2 > listed + 1 {
             return Vec::new();
         }
         silent
     }
 
-    /// Notes that a box spoke for its zone, and which boxes there it says are silent; those it
-    /// does not name are not silent any more. Whether a word is new is returned.
+    /// Records a box's report of the silent boxes in its zone; boxes that it does not name are no
+    /// longer silent. Returns whether a box is newly silent.
     pub fn note_zone_word(
         &mut self,
-        speaker: &str,
+        reporter: &str,
         silent: &[Fingerprint],
         now_ms: Millis,
     ) -> bool {
-        let Some(zone) = self.zone_of(speaker) else {
+        let Some(zone) = self.zone_of(reporter) else {
             return false;
         };
-        let heard = Speaker {
-            id: Some(speaker.to_string()),
+        let heard = ZoneReporter {
+            id: Some(reporter.to_string()),
             heard_ms: now_ms,
         };
-        self.speakers.insert(zone_fingerprint(&zone), heard);
+        self.zone_reporters.insert(zone_fingerprint(&zone), heard);
         for (id, member) in &mut self.by_id {
             if member.record.zone == zone && !silent.contains(&box_fingerprint(id)) {
-                member.silent_word_ms = None;
+                member.silence_reported_ms = None;
             }
         }
-        let mut is_news = false;
+        let mut is_new = false;
         for fingerprint in silent {
-            is_news |= self.note_silent(*fingerprint, now_ms);
+            is_new |= self.note_silent(*fingerprint, now_ms);
         }
-        is_news
+        is_new
     }
 
     fn zone_of(&self, id: &str) -> Option<String> {
@@ -208,98 +209,100 @@
         (*zone != self.zone).then(|| zone.clone())
     }
 
-    /// Notes that a zone was heard then by another box.
+    /// Records that another box received a report from a zone at `heard_ms`.
     pub fn hear_zone_at(&mut self, zone: Fingerprint, heard_ms: Millis) {
         if zone == zone_fingerprint(&self.zone) {
             return;
         }
-        let first = Speaker { id: None, heard_ms };
-        let speaker = self.speakers.entry(zone).or_insert(first);
-        speaker.heard_ms = speaker.heard_ms.max(heard_ms);
+        let first = ZoneReporter { id: None, heard_ms };
+        let reporter = self.zone_reporters.entry(zone).or_insert(first);
+        reporter.heard_ms = reporter.heard_ms.max(heard_ms);
     }
 
-    /// When other zones were last heard, and how long ago.
+    /// Other zones that reported recently, with the time since then.
     pub fn zones_heard(&self, now_ms: Millis) -> Vec<(Fingerprint, Millis)> {
-        let age_ms = |speaker: &Speaker| now_ms.saturating_sub(speaker.heard_ms);
-        let speakers = self.speakers.iter();
-        let recent = speakers.filter(|(_, speaker)| age_ms(speaker) < ZONE_SILENT_AFTER_MS);
+        let age_ms = |reporter: &ZoneReporter| now_ms.saturating_sub(reporter.heard_ms);
+        let zone_reporters = self.zone_reporters.iter();
+        let recent = zone_reporters.filter(|(_, reporter)| age_ms(reporter) < ZONE_SILENT_AFTER_MS);
         recent
-            .map(|(zone, speaker)| (*zone, age_ms(speaker)))
+            .map(|(zone, reporter)| (*zone, age_ms(reporter)))
             .collect()
     }
 
-    /// Notes who should speak for another zone, if nobody was heard speaking for it yet.
+    /// Records the box that is expected to report for its zone, if no box has reported for it yet.
     pub fn expect_speaker(&mut self, id: &str, now_ms: Millis) {
         let Some(zone) = self.zone_of(id) else {
             return;
         };
-        let first = Speaker {
+        let first = ZoneReporter {
             id: None,
             heard_ms: now_ms,
         };
-        let speaker = self
-            .speakers
+        let reporter = self
+            .zone_reporters
             .entry(zone_fingerprint(&zone))
             .or_insert(first);
-        speaker.id.get_or_insert_with(|| id.to_string());
+        reporter.id.get_or_insert_with(|| id.to_string());
     }
 
-    /// Judges the last speakers of zones of which nothing is heard any more: a zone of one box
-    /// has nobody else to say that it is silent.
+    /// Marks the last reporting box of each zone that stopped reporting as silent: in a zone of one
+    /// box no other box can report it.
     pub fn judge_speakers(&mut self, now_ms: Millis) {
         if !self.can_judge(now_ms) {
             return;
         }
-        let is_silent = |speaker: &&Speaker| now_ms >= speaker.heard_ms + ZONE_SILENT_AFTER_MS;
+        let is_silent =
+            |reporter: &&ZoneReporter| now_ms >= reporter.heard_ms + ZONE_SILENT_AFTER_MS;
         let silent: Vec<Fingerprint> = self
-            .speakers
+            .zone_reporters
             .values()
             .filter(is_silent)
-            .filter_map(|speaker| Some(box_fingerprint(speaker.id.as_deref()?)))
+            .filter_map(|reporter| Some(box_fingerprint(reporter.id.as_deref()?)))
             .collect();
         for fingerprint in silent {
             self.note_silent(fingerprint, now_ms);
         }
     }
 
-    /// Notes the word of another zone, given then, that a box there is silent; whether that is
-    /// new is returned.
-    pub fn note_silent(&mut self, fingerprint: Fingerprint, word_ms: Millis) -> bool {
+    /// Records another zone's report, made at `report_ms`, that a box there is silent. Returns
+    /// whether the box is newly silent.
+    pub fn note_silent(&mut self, fingerprint: Fingerprint, report_ms: Millis) -> bool {
         let Some(id) = self.ids.get(&fingerprint) else {
             return false;
         };
         let Some(member) = self.by_id.get_mut(id) else {
             return false;
         };
-        if member.record.zone == self.zone || word_ms < member.listed_changed_ms {
+        if member.record.zone == self.zone || report_ms < member.listed_changed_ms {
             return false;
         }
-        let is_news = !member.has_silent_word(word_ms);
-        member.silent_word_ms = member.silent_word_ms.max(Some(word_ms));
-        is_news
+        let is_new = !member.has_silence_report(report_ms);
+        member.silence_reported_ms = member.silence_reported_ms.max(Some(report_ms));
+        is_new
     }
 
-    /// Boxes of other zones whose silence is known, and how old that word is.
+    /// Boxes of other zones that are reported as silent, with the age of the report.
     pub fn silent_far(&self, now_ms: Millis) -> Vec<(Fingerprint, Millis)> {
         let members = self.by_id.iter();
         let spoken_of = members.filter_map(|(id, member)| {
-            let age_ms = now_ms.saturating_sub(member.silent_word_ms?);
-            (age_ms < SILENT_WORD_LIFE_MS).then(|| (box_fingerprint(id), age_ms))
+            let age_ms = now_ms.saturating_sub(member.silence_reported_ms?);
+            (age_ms < SILENCE_REPORT_LIFE_MS).then(|| (box_fingerprint(id), age_ms))
         });
         spoken_of.collect()
     }
 
-    /// Notes a box's entry in the store; who writes one is there.
+    /// Records a box's entry in the store; a box that writes one is alive, so a report of its
+    /// silence is cleared.
     pub fn put(&mut self, id: &str, record: MemberRecord, now_ms: Millis) {
         let member = self.renew(id, record, now_ms);
-        member.silent_word_ms = None;
+        member.silence_reported_ms = None;
         if !member.listed {
             member.listed = true;
             member.listed_changed_ms = now_ms;
         }
     }
 
-    /// Notes that a box's entry went away.
+    /// Records that a box's entry was removed from the store.
     pub fn unlist(&mut self, id: &str, now_ms: Millis) {
         if let Some(member) = self.by_id.get_mut(id)
             && member.listed
@@ -309,14 +312,14 @@
         }
     }
 
-    /// Notes that watching had a break: who is missing counts as missing from now on.
+    /// Records that the watch was interrupted: unlisted boxes count as unlisted from now on.
     pub fn note_break(&mut self, now_ms: Millis) {
         for member in self.by_id.values_mut().filter(|member| !member.listed) {
             member.listed_changed_ms = now_ms;
         }
     }
 
-    /// Notes a message of a box.
+    /// Records a message from a box; ignored for boxes of other zones.
     pub fn hear(&mut self, id: &str, now_ms: Millis) {
         if let Some(member) = self.by_id.get_mut(id)
             && member.record.zone == self.zone
@@ -325,7 +328,7 @@
         }
     }
 
-    /// Notes that another box heard a box then.
+    /// Records that another box heard a box at `heard_ms`.
     pub fn hear_at(&mut self, fingerprint: Fingerprint, heard_ms: Millis) {
         let Some(id) = self.ids.get(&fingerprint).cloned() else {
             return;
@@ -333,7 +336,7 @@
         self.hear(&id, heard_ms);
     }
 
-    /// Boxes of the zone that were heard lately, and how long ago.
+    /// Boxes of this zone that were heard recently, with the time since then.
     pub fn heard(&self, now_ms: Millis) -> impl Iterator<Item = (Fingerprint, Millis)> {
         self.by_id.iter().filter_map(move |(id, member)| {
             let age_ms = now_ms.saturating_sub(member.heard_ms?);
@@ -341,13 +344,13 @@
         })
     }
 
-    /// Notes what a box says about itself in a message.
+    /// Records a box's own record from its message.
     pub fn note_hello(&mut self, id: &str, record: MemberRecord, now_ms: Millis) {
         self.renew(id, record, now_ms);
         self.hear(id, now_ms);
     }
 
-    /// Takes a box's new record; a box not known before is neither listed nor heard yet.
+    /// Stores a box's new record; a box not known before starts as neither listed nor heard.
     fn renew(&mut self, id: &str, record: MemberRecord, now_ms: Millis) -> &mut Member {
         self.ids.insert(box_fingerprint(id), id.to_string());
         let member = self.by_id.entry(id.to_string()).or_insert_with(|| Member {
@@ -355,7 +358,7 @@
             listed: false,
             listed_changed_ms: now_ms,
             heard_ms: None,
-            silent_word_ms: None,
+            silence_reported_ms: None,
         });
         member.record = record;
         member
@@ -366,7 +369,7 @@
         self.by_id.is_empty()
     }
 
-    /// The box of the short form of a name.
+    /// The name of the box with this fingerprint.
     pub fn id_of(&self, fingerprint: Fingerprint) -> Option<&String> {
         self.ids.get(&fingerprint)
     }
@@ -381,12 +384,12 @@
         self.by_id.iter()
     }
 
-    /// All boxes known but `own_id`, which is listed like any other.
+    /// All known boxes except `own_id`, which is in the table like any other.
     pub fn others<'a>(&'a self, own_id: &'a str) -> impl Iterator<Item = (&'a String, &'a Member)> {
         self.all().filter(move |(id, _)| *id != own_id)
     }
 
-    /// The boxes but `own_id` that do jobs for others: listed ones that are up.
+    /// The boxes other than `own_id` that can work for others: those listed and up.
     pub fn candidates<'a>(
         &'a self,
         own_id: &'a str,
@@ -400,7 +403,7 @@
             })
     }
 
-    /// Forgets boxes that are neither listed nor heard for long.
+    /// Removes boxes that are not listed and have been neither listed nor heard since `oldest_ms`.
     pub fn tidy(&mut self, oldest_ms: Millis) {
         self.by_id.retain(|_, member| {
             member.listed
@@ -422,33 +425,34 @@
         }
         match self.heard_ms {
             Some(heard_ms) => now_ms.saturating_sub(heard_ms) < SILENT_AFTER_MS,
-            None => self.listed && !self.has_silent_word(now_ms),
+            None => self.listed && !self.has_silence_report(now_ms),
         }
     }
 
-    /// Whether its own zone has said lately that it is silent.
+    /// Whether a report of its own zone that it is silent is still valid.
     ///
-    /// Where other zones went by its lease of 8 s alone, they handed out a box that was off for
-    /// up to 6.3 s and more after its end (two boxes of two zones, one killed).
-    fn has_silent_word(&self, now_ms: Millis) -> bool {
-        self.silent_word_ms
-            .is_some_and(|word_ms| now_ms < word_ms + SILENT_WORD_LIFE_MS)
+    /// With the box's lease of 8 s as the only sign, other zones handed out a killed box for up to
+    /// 6.3 s and more (two boxes in two zones, one killed).
+    fn has_silence_report(&self, now_ms: Millis) -> bool {
+        self.silence_reported_ms
+            .is_some_and(|report_ms| now_ms < report_ms + SILENCE_REPORT_LIFE_MS)
     }
 
-    /// Whether it is heard: of a box of another zone, that its zone does not say otherwise.
+    /// Whether it was heard recently; a box of another zone counts as heard unless its zone reports
+    /// it as silent.
     pub fn is_heard(&self, now_ms: Millis) -> bool {
         match self.heard_ms {
             Some(heard_ms) => now_ms < heard_ms + SILENT_AFTER_MS,
-            None => !self.has_silent_word(now_ms),
+            None => !self.has_silence_report(now_ms),
         }
     }
 
-    /// Whether some box may still see its entry: what is seen of the store differs by seconds.
+    /// Whether some box may still see its entry, as views of the store differ by seconds.
     fn may_be_listed_elsewhere(&self, now_ms: Millis) -> bool {
         self.listed || now_ms < self.listed_changed_ms + UNLISTED_SPAN_MS
     }
 
-    /// Whether nobody of its zone has heard it for long.
+    /// Whether no box of its zone has heard it for `SILENT_AFTER_MS`.
     fn is_silent(&self, now_ms: Millis) -> bool {
         let last_ms = self.heard_ms.unwrap_or(self.listed_changed_ms);
         now_ms >= last_ms + SILENT_AFTER_MS
--- a/crates/tinbay-gateway/src/node.rs
+++ b/crates/tinbay-gateway/src/node.rs
@@ -1,4 +1,4 @@
-//! What all parts of a box share.
+//! The state of one box that its tasks share.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -50,46 +50,48 @@
 use crate::watch::replica::Replica;
 use crate::watch::source::StoreTurns;
 
-/// How long a proof lasts: longer than usual outages of the store, of 4 to 8 s, with what a proof
-/// by the watch is older than the outage. Servers of a box that is gone for good are taken over
-/// that much later.
+/// How long a proof that this box may order its servers is valid. It outlasts common store outages
+/// of 4 to 8 s, plus the age that a proof from the watch already has when the outage begins. The
+/// servers of a box that has failed for good are taken over later by as much.
 const PROOF_LIFE_MS: Millis = 12_000;
 
-/// Time for orders under way and for clocks that run apart.
+/// Safety margin for orders in flight and for clock drift between boxes.
 const CLAIM_MARGIN_MS: Millis = 500;
 
-/// Part of the time allowed for a new version in which the older one still serves; the rest is
-/// left for requests that wait at a server before they run.
-const OLDER_VERSION_PART: f64 = 0.4;
+/// Fraction of the time limit for a version change during which requests may still be sent with
+/// the older version; the rest is left for requests that queue at a server before they run.
+const OLDER_VERSION_FRACTION: f64 = 0.4;
 
-/// Weight of the usual time to the first byte beside what is known to be read: it tells of slow
-/// servers.
-const DELAY_PART: f64 = 0.5;
+/// Weight of a server's usual time to first byte in its load, next to its known prompt backlog:
+/// it makes slow servers less preferred.
+const DELAY_WEIGHT: f64 = 0.5;
 
-/// Time for which a box counts as entered after it saw its entry in the store: some watches.
+/// How long a box counts as registered after it last saw its own entry in the store: a few watch
+/// intervals.
 const ENTRY_SEEN_LIFE_MS: Millis = 4_000;
 
-/// Time of a load from the weight store at full speed, until the holder tells.
-const USUAL_LOAD_MS: f64 = 250.0;
+/// Assumed time of an adapter load from the weight store at full speed, until the claim holder
+/// reports one.
+const DEFAULT_LOAD_MS: f64 = 250.0;
 
-/// A configuration in force.
+/// The configuration in force, with lookup tables derived from it.
 #[derive(Debug)]
 pub struct InForce {
     /// The configuration.
     pub configuration: Configuration,
-    /// Its routes for look-ups.
+    /// The routes, indexed for lookups.
     pub routes: RouteTable,
-    /// Ranks of requests at their servers.
+    /// Priority ranks with which requests are sent to servers.
     pub ranks: PriorityRanks,
-    /// How much of scarce room each client account may have.
+    /// Weights by which client accounts share scarce capacity.
     pub weights: AccountWeights,
     accounts: HashMap<Fingerprint, Rc<Account>>,
-    /// The shortest objective of the routes of each service.
+    /// The shortest latency objective among the routes of each service.
     objectives_ms: HashMap<String, Millis>,
 }
 
 impl InForce {
-    /// A configuration with what is worked out of it once.
+    /// Builds the lookup tables of a configuration.
     pub fn new(configuration: Configuration) -> Self {
         let accounts = configuration.accounts.all().map(|account| account.priority);
         let routes = configuration.routes.iter().map(|route| route.priority);
@@ -110,12 +112,12 @@
         }
     }
 
-    /// The client account of the short form of its name.
+    /// The client account whose name has this fingerprint.
     pub fn account_of(&self, fingerprint: Fingerprint) -> Option<Rc<Account>> {
         self.accounts.get(&fingerprint).cloned()
     }
 
-    /// The shortest objective of a service's routes.
+    /// The shortest latency objective among the routes of a service.
     pub fn shortest_objective_ms(&self, service: &str) -> Option<Millis> {
         self.objectives_ms.get(service).copied()
     }
@@ -134,82 +136,82 @@
     objectives_ms
 }
 
-/// What all parts of a box share; all of it lives on one thread.
+/// The shared state of a box; all of it is used from one thread.
 pub struct Node {
-    /// What the box was told.
+    /// The settings that the box was started with.
     pub settings: RefCell<Settings>,
-    /// Spellings of the surrounding.
+    /// Formats of the platform that the box runs in.
     pub dialect: Box<dyn Dialect>,
     /// The key-value store.
     pub store: StoreAccess,
-    /// Whether other boxes were asked, since this one started, for what the store lacks.
+    /// Whether this box has asked other boxes, since it started, for items missing from the store.
     pub has_asked_others: Cell<bool>,
-    /// What operators wrote and the store lacks since it came back from a backup, by key.
+    /// Items written by operators that the store lost when it was restored from a backup, by key.
     pub kept_items: RefCell<HashMap<String, Item>>,
-    /// What was seen of the store, to pass it on.
+    /// Local copy of the store, as last seen, which is also passed on to other boxes.
     pub replica: Replica,
-    /// Boxes that failed to pass on what they see of the store, and until when they are not asked.
+    /// Boxes that failed as relays of the store, with the time until which they are not asked.
     pub failed_relays: RefCell<HashMap<String, Millis>>,
-    /// When this box reads the store itself though others do it for it.
+    /// When this box reads the store directly although other boxes relay it.
     pub store_turns: StoreTurns,
-    /// Connections to boxes that pass on what they see of the store.
+    /// Connections to boxes that relay the store.
     pub relay_callers: RefCell<HashMap<SocketAddr, Rc<Caller>>>,
-    /// The clock by which ages are told.
+    /// Clock for all ages and deadlines.
     pub clock: Clock,
-    /// Measures.
+    /// Prometheus metrics of this box.
     pub metrics: Metrics,
     /// The configuration in force.
     pub in_force: RefCell<Option<Rc<InForce>>>,
     /// Named versions of adapters, by `model/name`.
     pub versions: RefCell<HashMap<String, NamedVersions>>,
-    /// Servers.
+    /// Known backend servers.
     pub servers: RefCell<ServerTable>,
-    /// Other boxes.
+    /// Known boxes, with their liveness.
     pub members: RefCell<Members>,
-    /// Claims on servers.
+    /// Which box holds the claim on each server.
     pub claims: RefCell<ClaimTable>,
-    /// Proof that this box may order.
+    /// Proof that this box may give orders to the servers whose claims it holds.
     pub proof: Cell<Proof>,
-    /// What the servers hold whose claims this box holds.
+    /// Contents and state of the servers whose claims this box holds.
     pub held_servers: RefCell<HashMap<ServerKey, Rc<HeldServer>>>,
     /// This box's share of the weight store's rate, by service.
     pub paces: RefCell<HashMap<String, LoadQuotaCounter>>,
     /// Requests that wait for an adapter.
     pub waiters: Waiters,
-    /// What is to be told to other boxes.
+    /// Messages waiting to be sent to other boxes.
     pub outbox: Outbox,
-    /// Told when the box's own entry in the store is due to be written.
+    /// Notified when the box's own entry in the store has to be written.
     pub entry_due: Notify,
-    /// When the boxes in the store were last listed whole.
+    /// When the boxes in the store were last listed completely.
     pub boxes_listed_ms: Cell<Millis>,
     /// Whether a planned stop has begun.
     pub is_leaving: Cell<bool>,
-    /// Set when callers' connections must end.
+    /// Set when callers' connections must be closed.
     pub closing: Latch,
-    /// Connections of callers that are open.
+    /// Number of open connections from callers.
     pub connections: Cell<usize>,
-    /// How fast engines read prompts, by service.
+    /// Prefill rate of the engines, by service.
     pub reading: RefCell<HashMap<String, PrefillRate>>,
-    /// Requests under which servers crash.
+    /// Requests that servers crashed on.
     pub crashes: Crashes,
-    /// Limits over all boxes.
+    /// Limits enforced across all boxes.
     pub limits: BoxLimits,
-    /// Services whose engines read for each other.
+    /// Engines of each service by role, where some prefill prompts for others.
     pub splits: Splits,
-    /// Requests that ask for scarce room.
+    /// Requests that compete for scarce capacity.
     pub sharing: Sharing,
-    /// Second sends by service.
+    /// Budget for second attempts, by service.
     pub budgets: RefCell<HashMap<String, AttemptBudget>>,
-    /// What is held for requests and answers.
+    /// Memory accounting for requests and answers.
     pub memory: Rc<BoxMemory>,
-    /// Answers on their way to callers.
+    /// Answers being sent to callers.
     pub answers: Rc<AnswerWatch>,
-    /// Boxes that are up, this one included, as counted lately.
+    /// Number of boxes that were up at the last count, this one included.
     pub box_count: Cell<usize>,
 }
 
 impl Node {
-    /// A box that knows nothing yet.
+    /// A box that has not read the store yet.
     pub fn new(
         settings: Settings,
         dialect: Box<dyn Dialect>,
@@ -263,7 +265,7 @@
         }
     }
 
-    /// Milliseconds on the clock by which ages are told.
+    /// Current time on the box's clock.
     pub fn now_ms(&self) -> Millis {
         self.clock.now_ms()
     }
@@ -273,7 +275,7 @@
         self.in_force.borrow().clone()
     }
 
-    /// How long ago what this box knows of the operators' configuration was certainly complete.
+    /// Time since this box's copy of the operators' configuration was last known to be complete.
     pub fn configuration_age_ms(&self) -> Millis {
         let complete_ms = self.replica.complete_ms(&self.dialect.keys().operator);
         complete_ms.map_or(Millis::MAX, |complete_ms| {
@@ -281,7 +283,7 @@
         })
     }
 
-    /// Bounds on what callers send.
+    /// Limits on requests from callers; the defaults while no configuration is in force.
     pub fn limits(&self) -> Limits {
         match self.in_force() {
             Some(in_force) => in_force.configuration.limits.clone(),
@@ -289,7 +291,7 @@
         }
     }
 
-    /// What this box says about itself.
+    /// The record that this box publishes about itself.
     pub fn own_record(&self) -> MemberRecord {
         let settings = self.settings.borrow();
         MemberRecord {
@@ -302,19 +304,19 @@
         }
     }
 
-    /// Whether this box sees its own entry in the store, as other boxes do then.
+    /// Whether this box sees its own entry in the store, in which case other boxes see it too.
     pub fn is_entered(&self) -> bool {
         let own_key = format!("{MEMBER_PREFIX}{}", self.settings.borrow().box_id);
         self.replica.item(BOXES_PREFIX, &own_key).is_some()
     }
 
-    /// Whether it has seen it lately.
+    /// Whether this box has recently seen its own entry in the store.
     pub fn is_surely_entered(&self) -> bool {
         let seen_ms = self.replica.confirmed_ms(BOXES_PREFIX).unwrap_or_default();
         self.is_entered() && self.now_ms() < seen_ms + ENTRY_SEEN_LIFE_MS
     }
 
-    /// Counts the boxes that are up, this one included.
+    /// Updates `box_count`.
     pub fn count_boxes(&self) {
         let now_ms = self.now_ms();
         let own = &self.settings.borrow().box_id;
@@ -326,7 +328,7 @@
         self.box_count.set(others + 1);
     }
 
-    /// Whether this box knows enough to serve.
+    /// Whether this box can serve: it has a configuration and servers, and is not stopping.
     pub fn is_ready(&self) -> bool {
         !self.is_leaving.get()
             && self.in_force.borrow().is_some()
@@ -338,7 +340,7 @@
         self.versions.borrow().get(adapter)?.newest()
     }
 
-    /// How long this box has known that version; none where it was there when the box came.
+    /// Time since this box learnt of that version; none if it was named before the box started.
     pub fn named_age_ms(&self, adapter: &str) -> Option<Millis> {
         let learnt_ms = self.versions.borrow().get(adapter)?.learnt_ms()?;
         Some(self.now_ms().saturating_sub(learnt_ms))
@@ -353,12 +355,13 @@
     /// Whether a request may be sent with a version of an adapter that is not the newest one.
     pub fn may_serve_older(&self, adapter: &str, version: u64) -> bool {
         let allowed_ms = self.settings.borrow().bounds.version_within_ms;
-        let kept_ms = (allowed_ms as f64 * (1.0 - OLDER_VERSION_PART)) as Millis;
+        let kept_ms = (allowed_ms as f64 * (1.0 - OLDER_VERSION_FRACTION)) as Millis;
         let begin_by_ms = self.begin_by_ms(adapter, version);
         begin_by_ms.is_none_or(|begin_by_ms| self.now_ms() + kept_ms < begin_by_ms)
     }
 
-    /// Has the claims follow the store into another era, before anything of that is taken.
+    /// Moves the claims to the store's current era; to be called before claims of that era are
+    /// used.
     pub fn sync_era(&self) {
         let Some(era) = self.store.era() else {
             return;
@@ -374,7 +377,7 @@
         }
     }
 
-    /// The era of the store, unless a mark there says that it has lasted for long.
+    /// The era of the store, unless it is marked as settled there.
     pub fn unsettled_era(&self) -> Option<Era> {
         let era = self.store.era()?;
         let settled = self.claims.borrow().settled_era();
@@ -387,14 +390,14 @@
         self.now_ms().saturating_sub(seen_ms)
     }
 
-    /// Notes a claim as the store shows it.
+    /// Records a claim as read from the store.
     pub fn note_claim(&self, address: &str, item: &Item) {
         self.sync_era();
         let mut claims = self.claims.borrow_mut();
         claims.note(address, &item.value, item.position, self.now_ms());
     }
 
-    /// Spans that holders and takers of claims keep.
+    /// Timing rules for holding and taking over claims.
     pub fn claim_terms(&self) -> ClaimTerms {
         ClaimTerms {
             proof_life_ms: PROOF_LIFE_MS,
@@ -419,13 +422,13 @@
         claims.token_of(&server.address_text, own_id, self.now_ms())
     }
 
-    /// What the engines of a service have room for.
+    /// Capacity of the engines of a service.
     pub fn engine_spec(&self, service: &str) -> Option<EngineSpec> {
         let in_force = self.in_force()?;
         in_force.configuration.services.get(service)?.engine.clone()
     }
 
-    /// Loads a second that the weight store allows over all engines of a service.
+    /// Adapter loads per second that the weight store allows across all engines of a service.
     pub fn loads_per_s(&self, service: &str) -> Option<f64> {
         let in_force = self.in_force()?;
         let engine = in_force
@@ -437,7 +440,7 @@
         Some(engine.loads_per_s)
     }
 
-    /// Time until a server of a service takes work again, where all that stay rest or are at their limits.
+    /// Time until a server of a service accepts work again; none if one is ready now.
     pub fn rest_ms(&self, service: &str) -> Option<Millis> {
         let servers = self.servers.borrow();
         if !servers.ready(service).is_empty() {
@@ -447,12 +450,12 @@
         Some(end_ms.saturating_sub(self.now_ms()))
     }
 
-    /// What this box knows of a server, if it holds it.
+    /// State of a server whose claim this box holds.
     pub fn held_server(&self, server: ServerKey) -> Option<Rc<HeldServer>> {
         self.held_servers.borrow().get(&server).cloned()
     }
 
-    /// Has the holder of a server told what a request needs there.
+    /// Asks the box that holds the server's claim to load an adapter there.
     pub fn request_load(&self, server: &Server, want: WantedLoad) {
         let now_ms = self.now_ms();
         if let Some(held) = self.held_server(server.key) {
@@ -474,7 +477,7 @@
         self.outbox.post(&holder, FramePart::LoadRequest(part));
     }
 
-    /// Asks a server's holder how it stands.
+    /// Asks the claim holder for the server's status.
     pub fn request_status(&self, server: &Server) {
         if let Some(holder) = self.holder_of(server) {
             server.view.borrow_mut().note_asked(self.now_ms());
@@ -483,8 +486,8 @@
         }
     }
 
-    /// Has a server's holder look whether it has started again: it refused a request for an adapter that
-    /// it should hold.
+    /// Makes the claim holder check whether the server has restarted, as it refused a request for
+    /// an adapter that it should hold.
     pub fn report_contents_mismatch(&self, server: &Server) {
         if let Some(held) = self.held_server(server.key) {
             held.restart_check_due.set(true);
@@ -495,7 +498,7 @@
         }
     }
 
-    /// Whether a load at a server could begin, as far as this box knows.
+    /// Whether a server could begin an adapter load, as far as this box knows.
     pub fn takes_loads(&self, server: &Server) -> bool {
         match self.held_server(server.key) {
             Some(held) => held.takes_loads(self, server),
@@ -506,22 +509,23 @@
         }
     }
 
-    /// Expected time until a load is done that is asked for now.
+    /// Expected time until an adapter load requested now would be done.
     pub fn load_wait_ms(&self, server: &Server) -> f64 {
         let told_ms = match self.held_server(server.key) {
             Some(held) => Some(held.load_wait_ms()),
             None => server.view.borrow().load_wait_ms(self.now_ms()),
         };
-        told_ms.unwrap_or(USUAL_LOAD_MS)
+        told_ms.unwrap_or(DEFAULT_LOAD_MS)
     }
 
-    /// Whether the holder of a server has told how it stands since `asked_ms`.
+    /// Whether the claim holder has reported the server's status since `asked_ms`.
     pub fn has_status_since(&self, server: &Server, asked_ms: Millis) -> bool {
         let is_held = self.held_server(server.key).is_some();
         is_held || server.view.borrow().has_status_since(asked_ms)
     }
 
-    /// Whether asking how busy a server is would tell this box more than it knows.
+    /// Whether a status request could tell this box more about the server's load: the claim is held
+    /// by a live other box that is not silent, and the last status is not fresh.
     pub fn should_ask(&self, server: &Server) -> bool {
         let now_ms = self.now_ms();
         let view = server.view.borrow();
@@ -529,15 +533,15 @@
         self.held_server(server.key).is_none() && !is_told && self.has_holder(server)
     }
 
-    /// How busy a server is: requests against its places, the time to the first byte and what
-    /// it has to read against the objective.
+    /// Load of a server: running requests relative to its slots, prompt backlog relative to the
+    /// objective, and its usual time to first byte.
     pub fn load(&self, server: &Server, objective_ms: Millis) -> f64 {
         let now_ms = self.now_ms();
         let busyness = self.busyness(server, now_ms);
         let fullness = self.running(server) as f64 / server.record().slots.max(1) as f64;
         let backlog = busyness.backlog_ms / objective_ms.max(1) as f64;
         let slowed = server.slowed_load(fullness + backlog, objective_ms, now_ms);
-        slowed + DELAY_PART * busyness.delay.max(server.delay(now_ms))
+        slowed + DELAY_WEIGHT * busyness.delay.max(server.delay(now_ms))
     }
 
     /// Requests of all boxes that run at a server, as far as this box knows.
@@ -560,7 +564,7 @@
         }
     }
 
-    /// What is believed of an adapter at a server.
+    /// Last known state of an adapter on a server.
     pub fn entry(&self, server: &Server, key: AdapterKey) -> Option<ViewEntry> {
         match self.held_server(server.key) {
             Some(held) => held.entry(server, key, self.now_ms()),
@@ -568,39 +572,40 @@
         }
     }
 
-    /// Mistrust in a server.
+    /// Distrust of a server: the higher of this box's own and the claim holder's.
     pub fn mistrust(&self, server: &Server) -> f64 {
         let now_ms = self.now_ms();
         let told = self.busyness(server, now_ms).mistrust;
         server.mistrust(now_ms).max(told)
     }
 
-    /// Whether a server's holder may live and answers.
+    /// Whether the claim on a server is held by this box, or by a box that may be alive and
+    /// answers.
     pub fn is_answered_for(&self, server: &Server) -> bool {
         let is_silent = server.view.borrow().is_silent(self.now_ms());
         self.held_server(server.key).is_some() || (!is_silent && self.has_holder(server))
     }
 
-    /// What a server has to read before it begins a new request, as time.
+    /// Time that a server needs to prefill its queued prompts before it begins a new request.
     pub fn backlog_ms(&self, server: &Server) -> f64 {
         self.busyness(server, self.now_ms()).backlog_ms
     }
 
-    /// Notes how long a request's first byte took at a server that had so much to read before.
+    /// Records a request's time to first byte, given the server's prompt backlog at that time.
     pub fn note_reading(&self, inbound: &InboundRequest, backlog_ms: f64, took_ms: Millis) {
-        let mut paces = self.reading.borrow_mut();
-        let pace = paces.entry(inbound.service.clone()).or_default();
-        pace.note_answer(inbound.prompt.tokens, backlog_ms, took_ms as f64);
+        let mut rates = self.reading.borrow_mut();
+        let rate = rates.entry(inbound.service.clone()).or_default();
+        rate.note_answer(inbound.prompt.tokens, backlog_ms, took_ms as f64);
     }
 
-    /// Time in which an engine of a service reads so many tokens.
+    /// Expected prefill time of `tokens` prompt tokens on an engine of a service.
     pub fn reading_ms(&self, service: &str, tokens: u32) -> f64 {
-        let paces = self.reading.borrow();
-        let pace = paces.get(service).copied().unwrap_or_default();
-        pace.time_ms(tokens)
+        let rates = self.reading.borrow();
+        let rate = rates.get(service).copied().unwrap_or_default();
+        rate.time_ms(tokens)
     }
 
-    /// Counts a request that is sent to a server.
+    /// Registers a request that is being sent to a server.
     pub fn begin_request(
         &self,
         server: &Rc<Server>,
@@ -622,7 +627,7 @@
         claims.holder_of(&server.address_text).map(str::to_string)
     }
 
-    /// Whether a box that may live holds the claim on a server.
+    /// Whether the claim on a server is held by a box that may be alive.
     pub fn has_holder(&self, server: &Server) -> bool {
         let claims = self.claims.borrow();
         let Some(holder) = claims.holder_of(&server.address_text) else {
--- a/crates/tinbay-gateway/tests/members_test.rs
+++ b/crates/tinbay-gateway/tests/members_test.rs
@@ -1,4 +1,4 @@
-//! Which boxes count as up, by what is heard of them.
+//! Which boxes count as up, by the messages and reports received.
 
 use tinbay_core::units::Millis;
 use tinbay_gateway::members::{MemberRecord, Members, box_fingerprint, zone_fingerprint};
@@ -32,7 +32,7 @@
     members.get(id).expect("a known box").is_up(now_ms)
 }
 
-/// In touch from `from_ms` on until `to_ms`.
+/// Records contact twice a second from `from_ms` to `to_ms`.
 fn keep_in_touch(members: &mut Members, from_ms: Millis, to_ms: Millis) {
     for now_ms in (from_ms..=to_ms).step_by(500) {
         members.note_contact(now_ms);
@@ -58,7 +58,8 @@
     assert!(is_up(&members, "far-2", 5_500));
 }
 
-/// A box whose zone is cut off from this one is not kept out by a word that nobody repeats.
+/// A report that is not repeated expires, so a box whose zone is cut off from this one counts as up
+/// again.
 #[test]
 fn note_zone_word_lapses() {
     let mut members = members();
@@ -76,7 +77,7 @@
     assert!(is_up(&members, "far-2", 5_100));
 }
 
-/// Nobody else's word counts about a box of the own zone.
+/// Reports about a box of this box's own zone are ignored.
 #[test]
 fn note_silent_own_zone_is_ignored() {
     let mut members = members();
@@ -96,7 +97,8 @@
     );
 }
 
-/// A box that was frozen or cut off itself has heard nobody for long, and says so of nobody.
+/// A box that was itself frozen or cut off has heard no other box for long, and reports none of
+/// them as silent.
 #[test]
 fn silent_near_nothing_after_a_gap_of_its_own() {
     let mut members = members();
@@ -112,7 +114,7 @@
     );
 }
 
-/// A box that misses most of its zone is the one that is cut off.
+/// A box that misses most of its zone is probably cut off itself, and reports none as silent.
 #[test]
 fn silent_near_nothing_where_most_are_missed() {
     let mut members = members();
@@ -120,10 +122,9 @@
     assert!(members.silent_near("own", 6_000).is_empty());
 }
 
-/// Three zones with a box each: all three counted the other two as off from their fourth second on, for
-/// good, and a limit over all boxes was dealt to the half or the third of them. Each box is listed in its
-/// own table as well, heard by nobody of its zone, and so it named itself among the silent ones; words of
-/// it that settled it: `WORD 2504 box-2 Some("z2") [3100247410]`, the number being that of box-2.
+/// A box is listed in its own table but heard by no other box of a one-box zone, so it reported
+/// itself as silent. With three zones of one box each, every box counted the other two as down from
+/// the fourth second on, and a limit over all boxes was divided among only half or a third of them.
 #[test]
 fn silent_near_never_names_the_box_itself() {
     let mut members = Members::new("z1");
@@ -132,7 +133,7 @@
     assert!(members.silent_near("own", 6_000).is_empty());
 }
 
-/// A zone of one box has nobody else to say that it is off.
+/// In a zone of one box, no other box can report that it is down.
 #[test]
 fn judge_speakers_last_speaker_of_a_silent_zone() {
     let mut members = members();
@@ -145,7 +146,7 @@
     assert!(is_up(&members, "far-2", 4_000));
 }
 
-/// A zone that a third one hears is not silent, though it does not speak to this box.
+/// A zone that another box hears is not silent, even if it sends nothing to this box.
 #[test]
 fn judge_speakers_not_while_others_hear_the_zone() {
     let mut members = members();
@@ -156,7 +157,7 @@
     assert!(is_up(&members, "far-1", 4_500));
 }
 
-/// A zone that never spoke to this box gets the same time as one that did.
+/// A zone that never reported to this box gets the same time as one that did.
 #[test]
 fn expect_speaker_zone_that_never_spoke() {
     let mut members = members();
@@ -170,7 +171,8 @@
     assert!(is_up(&members, "far-2", 4_000));
 }
 
-/// What boxes see of the store differs by seconds: the word goes on after the entry is gone.
+/// A silent box is still reported for a while after its entry is removed, as views of the store
+/// differ by seconds between boxes.
 #[test]
 fn silent_near_goes_on_after_the_entry_is_gone() {
     let mut members = members();
@@ -185,8 +187,8 @@
     assert!(members.silent_near("own", 15_000).is_empty());
 }
 
-/// A box that has just come keeps limits at once; after a gap of its own it waits until no other
-/// one can still take it for gone.
+/// A box that has just started may keep limits at once; after a gap in its own contact it waits
+/// until no other box can still take it for failed.
 #[test]
 fn may_keep_at_once_but_not_right_after_a_gap() {
     let mut members = members();
