--- a/crates/tinbay-gateway/src/clock.rs
+++ b/crates/tinbay-gateway/src/clock.rs
@@ -1,8 +1,8 @@
-//! The clock by which ages are told, in milliseconds since the start of the process.
+//! Monotonic clock for ages and deadlines, in milliseconds since the start of the process.
 //!
-//! It goes on while the machine is suspended: a proof that was read before is as old afterwards as it
-//! is for everybody else. Timers of the runtime stand still meanwhile; they are of another type,
-//! [`Instant`], and only [`Clock::instant`] leads from a time to one.
+//! It keeps running while the machine is suspended, so that a proof read before has the same age
+//! afterwards as it has for other boxes. Timers of the runtime stop meanwhile; they use
+//! [`Instant`], and only [`Clock::instant`] converts a time to one.
 
 use std::time::{Duration, Instant};
 
@@ -16,19 +16,20 @@
 }
 
 impl Clock {
-    /// A clock that shows 0 now.
+    /// Starts a clock at 0.
     pub fn start() -> Self {
         Self {
             start: since_boot(),
         }
     }
 
-    /// Milliseconds since the start, with the time for which the machine was suspended.
+    /// Milliseconds since the start, including time in suspend.
     pub fn now_ms(&self) -> Millis {
         since_boot().saturating_sub(self.start).as_millis() as Millis
     }
 
-    /// When a timer has to go off for a time on this clock, as seen now.
+    /// The timer instant that corresponds to a time on this clock, if the machine is not suspended
+    /// in between.
     pub fn instant(&self, time_ms: Millis) -> Instant {
         let left_ms = time_ms.saturating_sub(self.now_ms());
         Instant::now() + Duration::from_millis(left_ms)
--- a/crates/tinbay-gateway/src/directory.rs
+++ b/crates/tinbay-gateway/src/directory.rs
@@ -1,5 +1,5 @@
-//! Tells callers which boxes to use, the platform whether this box is ready, and operators
-//! its measures.
+//! HTTP endpoints beside the request path: the directory of boxes for callers, readiness for the
+//! platform, metrics for operators, and the store relay for other boxes.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -21,22 +21,22 @@
 use crate::node::Node;
 use crate::watch::relay;
 
-/// Most addresses in one answer.
-const MOST_ADDRESSES: usize = 64;
+/// Maximum number of addresses in a directory answer.
+const MAX_ADDRESSES: usize = 64;
 
-/// How long callers may keep an answer; boxes come and go within seconds.
+/// How long callers may cache a directory answer; boxes start and stop within seconds.
 const VALID_MS: Millis = 2_000;
 
-/// Boxes of the caller's own zone that make others needless.
-const ENOUGH_IN_ZONE: usize = 2;
+/// Number of boxes in the caller's zone from which on boxes of other zones are left out.
+const MIN_BOXES_IN_ZONE: usize = 2;
 
-/// Path of the measures.
+/// Path of the metrics endpoint.
 const METRICS_PATH: &str = "/metrics";
 
-/// Longest rest of a connection here.
-const REST: Duration = Duration::from_secs(20);
+/// Maximum time to wait for a request head on a connection, which also ends idle connections.
+const HEAD_READ_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Serves one of the small listeners.
+/// Serves one of the listeners for readiness, directory and metrics.
 pub async fn serve(node: Rc<Node>, listener: TcpListener) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
@@ -49,7 +49,7 @@
             let service = service_fn(move |request| answer(Rc::clone(&node), request));
             let _ = http1::Builder::new()
                 .timer(TokioTimer::new())
-                .header_read_timeout(REST)
+                .header_read_timeout(HEAD_READ_TIMEOUT)
                 .serve_connection(TokioIo::new(stream), service)
                 .await;
         });
@@ -62,7 +62,7 @@
 ) -> Result<Response<AnswerBody>, Infallible> {
     let path = request.uri().path();
     if path == relay::PATH {
-        return Ok(pass_on(&node, request).await);
+        return Ok(answer_relay(&node, request).await);
     }
     if path == node.dialect.ready_path() {
         return Ok(readiness(&node));
@@ -79,8 +79,8 @@
     Ok(reply(StatusCode::NOT_FOUND, "text/plain", String::new()))
 }
 
-/// Passes on what this box sees of the store.
-async fn pass_on(node: &Node, request: Request<Incoming>) -> Response<AnswerBody> {
+/// Answers another box's question about the store from this box's view of it.
+async fn answer_relay(node: &Node, request: Request<Incoming>) -> Response<AnswerBody> {
     match request.into_body().collect().await {
         Ok(body) => {
             let answer = relay::answer(node, &body.to_bytes()).await;
@@ -109,19 +109,19 @@
     reply(StatusCode::OK, "application/json", body)
 }
 
-/// Boxes a caller of `zone` should use: those of its zone, or all where these are few.
+/// Addresses for a caller in `zone`: boxes of its zone, or of all zones if it has too few.
 fn choose_addresses(node: &Node, zone: &str) -> Vec<SocketAddr> {
     let mut boxes = up_boxes(node);
     let in_zone = boxes
         .iter()
-        .filter(|(_, own_zone)| own_zone == zone)
+        .filter(|(_, box_zone)| box_zone == zone)
         .count();
-    if in_zone >= ENOUGH_IN_ZONE {
-        boxes.retain(|(_, own_zone)| own_zone == zone);
+    if in_zone >= MIN_BOXES_IN_ZONE {
+        boxes.retain(|(_, box_zone)| box_zone == zone);
     }
     let mut addresses: Vec<SocketAddr> = boxes.into_iter().map(|(front, _)| front).collect();
     addresses.sort();
-    addresses.truncate(MOST_ADDRESSES);
+    addresses.truncate(MAX_ADDRESSES);
     addresses
 }
 
--- a/crates/tinbay-gateway/src/error.rs
+++ b/crates/tinbay-gateway/src/error.rs
@@ -1,34 +1,34 @@
-//! What can keep a box from starting.
+//! Errors that prevent a box from starting.
 
 use std::io;
 use std::net::SocketAddr;
 
 use crate::port::dialect::DecodeError;
 
-/// What can keep a box from starting.
+/// An error that prevents a box from starting.
 #[derive(Debug, thiserror::Error)]
 pub enum GatewayError {
-    /// The settings are wrong.
+    /// The settings are not valid.
     #[error(transparent)]
     Settings(#[from] DecodeError),
     /// The settings file can't be read.
     #[error("settings file can't be read: {0}")]
     SettingsFile(io::Error),
-    /// An address can't be listened on.
+    /// A listen address can't be bound.
     #[error("can't listen on {address}: {source}")]
     Listen {
-        /// The address.
+        /// The address from the settings.
         address: SocketAddr,
-        /// Why.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// The runtime can't start.
+    /// The async runtime or a signal handler can't be set up.
     #[error("can't start: {0}")]
     Start(io::Error),
-    /// Logging was set up before.
+    /// A logger is already installed.
     #[error("logging can't be set up: {0}")]
     Logging(#[from] log::SetLoggerError),
-    /// Measures could not be registered.
+    /// The metrics could not be registered.
     #[error("measures can't be registered: {0}")]
     Metrics(#[from] prometheus::Error),
 }
--- a/crates/tinbay-gateway/src/events.rs
+++ b/crates/tinbay-gateway/src/events.rs
@@ -1,8 +1,8 @@
-//! Structured log lines: one JSON object for each decision or change of belief.
+//! Structured log lines: one JSON object for each decision or change of state.
 //!
-//! Lines go through a bounded queue to a writer thread. A reader that stalls holds nothing
-//! up: lines that find the queue full are dropped and counted, and the next line that
-//! passes says how many.
+//! Lines go through a bounded queue to a writer thread, so that a stalled reader of standard
+//! output does not block the box. Lines that do not fit into the queue are dropped and counted;
+//! the next line that is written carries the count.
 
 use std::io::{self, Write};
 use std::sync::Arc;
@@ -16,18 +16,18 @@
 
 use crate::error::GatewayError;
 
-/// Lines that may wait for the writer; about a second of a busy box.
-const QUEUE_LINES: usize = 2_048;
+/// Capacity of the queue to the writer; about one second of lines on a busy box.
+const QUEUE_CAPACITY: usize = 2_048;
 
-/// Prefixes of the parts; used as log targets.
+/// Names of the parts of a box, used as log targets.
 pub mod part {
     /// Start, stop and settings.
     pub const NODE: &str = "node";
     /// Requests of callers.
     pub const FRONT: &str = "front";
-    /// What is believed about servers.
+    /// State of servers.
     pub const SERVERS: &str = "servers";
-    /// What is believed about boxes.
+    /// State of boxes.
     pub const MEMBERS: &str = "members";
     /// Configuration and named versions.
     pub const CONFIG: &str = "config";
@@ -42,7 +42,7 @@
 /// # Errors
 /// When logging was set up before.
 pub fn set_up(level: LevelFilter) -> Result<(), GatewayError> {
-    let (sender, receiver) = sync_channel(QUEUE_LINES);
+    let (sender, receiver) = sync_channel(QUEUE_CAPACITY);
     let dropped = Arc::new(AtomicU64::new(0));
     let queue = Queue {
         sender,
@@ -104,7 +104,7 @@
     inner.unwrap_or_default().to_string()
 }
 
-/// Writes one line of the part: the event's name, then its fields.
+/// Logs one event of a part: the event's name, then its fields.
 pub fn emit<T: Serialize>(
     part: &'static str,
     level: log::Level,
--- a/crates/tinbay-gateway/src/housekeeping.rs
+++ b/crates/tinbay-gateway/src/housekeeping.rs
@@ -1,4 +1,4 @@
-//! Drops what is no longer needed and shows what is believed, some times a minute.
+//! Periodic cleanup of state that is no longer needed, and update of the state gauges.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -9,21 +9,20 @@
 use crate::servers::Server;
 use crate::sharing::holder;
 
-/// Pause between rounds.
-const ROUND_PAUSE: Duration = Duration::from_secs(2);
+/// Time between two cleanup rounds.
+const ROUND_INTERVAL: Duration = Duration::from_secs(2);
 
-/// How long a box is remembered that is neither listed nor heard; far longer than any claim
-/// waits for it.
-const MEMBER_MEMORY_MS: Millis = 120_000;
+/// How long a box that is neither listed nor heard is kept; far longer than any claim waits for it.
+const MEMBER_RETENTION_MS: Millis = 120_000;
 
 /// Runs until the box stops.
 pub async fn run(node: Rc<Node>) {
     loop {
-        tokio::time::sleep(ROUND_PAUSE).await;
+        tokio::time::sleep(ROUND_INTERVAL).await;
         for server in node.servers.borrow().all() {
             server.pool.tidy();
         }
-        let oldest_ms = node.now_ms().saturating_sub(MEMBER_MEMORY_MS);
+        let oldest_ms = node.now_ms().saturating_sub(MEMBER_RETENTION_MS);
         node.members.borrow_mut().tidy(oldest_ms);
         for held in node.held_servers.borrow().values() {
             held.tidy(node.now_ms());
@@ -32,11 +31,11 @@
         node.limits.tidy(&node);
         node.sharing.tidy(node.now_ms());
         node.crashes.tidy(node.now_ms());
-        show_beliefs(&node);
+        update_state_gauges(&node);
     }
 }
 
-fn show_beliefs(node: &Node) {
+fn update_state_gauges(node: &Node) {
     let version = node
         .in_force()
         .map_or(0, |in_force| in_force.configuration.version);
--- a/crates/tinbay-gateway/src/latch.rs
+++ b/crates/tinbay-gateway/src/latch.rs
@@ -1,8 +1,8 @@
-//! A flag that is set once and waited for by many.
+//! A one-shot flag that any number of tasks can wait for.
 
 use tokio::sync::watch;
 
-/// A flag that is set once.
+/// A one-shot flag; it stays set.
 #[derive(Debug)]
 pub struct Latch {
     sender: watch::Sender<bool>,
@@ -17,12 +17,12 @@
 }
 
 impl Latch {
-    /// Sets it.
+    /// Sets the flag and wakes all waiting tasks.
     pub fn set(&self) {
         self.sender.send_replace(true);
     }
 
-    /// Waits until it is set.
+    /// Waits until the flag is set; returns at once if it is already.
     pub async fn wait(&self) {
         let mut receiver = self.sender.subscribe();
         let _ = receiver.wait_for(|is_set| *is_set).await;
--- a/crates/tinbay-gateway/src/lib.rs
+++ b/crates/tinbay-gateway/src/lib.rs
@@ -1,8 +1,8 @@
-//! The direct path: callers' requests go from the box they connect to straight to a server.
+//! The program of a box: it forwards callers' requests directly to a backend server.
 //!
-//! Every box runs the same program on one thread, as the boxes show one core. What differs
-//! from one surrounding to another (names, formats, calls) stands behind the traits of
-//! [`port`]; what is decided stands in `tinbay_core::serving`.
+//! All boxes run this program, on one thread, as a box has one core. Names, formats and calls that
+//! depend on the platform are behind the traits of [`port`]; decisions are made in
+//! `tinbay_core::serving`.
 
 pub mod answer_metrics;
 pub mod clock;
--- a/crates/tinbay-gateway/src/memory.rs
+++ b/crates/tinbay-gateway/src/memory.rs
@@ -1,4 +1,4 @@
-//! Counts what this box holds for requests and answers.
+//! Accounting of the memory that this box holds for requests and answers.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -7,7 +7,7 @@
 use tinbay_core::memory::ledger::{ConnectionNumber, Holder, Ledger, MemoryShort};
 use tinbay_core::memory::terms::MemoryTerms;
 
-/// What this box holds, against its bounds.
+/// Bytes held by this box, checked against its memory limits.
 #[derive(Debug)]
 pub struct BoxMemory {
     terms: MemoryTerms,
@@ -16,7 +16,7 @@
     next_connection: Cell<ConnectionNumber>,
 }
 
-/// Bytes that are held; given back when it is dropped.
+/// A reservation of bytes, released on drop.
 #[derive(Debug)]
 pub struct Hold {
     memory: Rc<BoxMemory>,
@@ -25,7 +25,7 @@
 }
 
 impl BoxMemory {
-    /// A box that holds nothing; `gauge` shows what it holds.
+    /// An empty account; `gauge` follows the total number of bytes held.
     pub fn new(terms: MemoryTerms, gauge: IntGauge) -> Self {
         Self {
             terms,
@@ -35,23 +35,23 @@
         }
     }
 
-    /// A number for one more connection of a caller.
+    /// Assigns a number to a new connection of a caller.
     pub fn number_connection(&self) -> ConnectionNumber {
         let number = self.next_connection.get();
         self.next_connection.set(number + 1);
         number
     }
 
-    /// Takes bytes of a request, if there is room.
+    /// Reserves bytes for a request if the limits allow it.
     ///
     /// # Errors
-    /// What there is too little room in.
+    /// Names the limit that would be exceeded.
     pub fn admit(self: &Rc<Self>, holder: Holder, bytes: u64) -> Result<Hold, MemoryShort> {
         self.ledger.borrow().admit(&self.terms, holder, bytes)?;
         Ok(self.hold(holder, bytes))
     }
 
-    /// Counts bytes that are there already.
+    /// Reserves bytes that are already in memory, without checking the limits.
     pub fn hold(self: &Rc<Self>, holder: Holder, bytes: u64) -> Hold {
         let mut hold = Hold {
             memory: Rc::clone(self),
@@ -62,29 +62,29 @@
         hold
     }
 
-    /// Bytes by which slow callers have to be cut.
+    /// Bytes over the limit, to be freed by cutting answers to slow callers.
     pub fn excess_bytes(&self) -> u64 {
         self.ledger.borrow().excess_bytes(&self.terms)
     }
 
-    fn show(&self) {
+    fn update_gauge(&self) {
         let bytes = self.ledger.borrow().total_bytes();
         self.gauge.set(i64::try_from(bytes).unwrap_or(i64::MAX));
     }
 }
 
 impl Hold {
-    /// Bytes held.
+    /// Size of the reservation.
     pub fn bytes(&self) -> u64 {
         self.bytes
     }
 
-    /// Holds so many bytes from now on, if those are more.
+    /// Grows the reservation to `bytes`; never shrinks it.
     pub fn grow_to(&mut self, bytes: u64) {
         self.resize(bytes.max(self.bytes));
     }
 
-    /// Holds so many bytes from now on.
+    /// Sets the reservation to `bytes`.
     pub fn resize(&mut self, bytes: u64) {
         if bytes == self.bytes {
             return;
@@ -98,7 +98,7 @@
             }
         }
         self.bytes = bytes;
-        self.memory.show();
+        self.memory.update_gauge();
     }
 }
 
--- a/crates/tinbay-gateway/src/metrics.rs
+++ b/crates/tinbay-gateway/src/metrics.rs
@@ -1,4 +1,4 @@
-//! What a box on the direct path measures.
+//! Prometheus metrics of a box.
 
 use prometheus::{
     Encoder, HistogramOpts, HistogramVec, IntCounter, IntCounterVec, IntGauge, IntGaugeVec, Opts,
@@ -9,76 +9,76 @@
 use crate::error::GatewayError;
 use crate::shown_labels::ShownLabels;
 
-/// Bounds in seconds, around objectives of 150 ms to a second.
-const SECONDS_BOUNDS: [f64; 11] = [0.005, 0.02, 0.05, 0.1, 0.15, 0.3, 0.6, 0.8, 1.0, 2.0, 5.0];
+/// Histogram bucket bounds in seconds, around latency objectives of 150 ms to 1 s.
+const BUCKETS_SECONDS: [f64; 11] = [0.005, 0.02, 0.05, 0.1, 0.15, 0.3, 0.6, 0.8, 1.0, 2.0, 5.0];
 
-/// Client accounts that are shown one by one.
-const MOST_ACCOUNTS_SHOWN: usize = 64;
+/// Maximum number of client accounts that get a label value of their own.
+const MAX_ACCOUNT_LABELS: usize = 64;
 
-/// Label of all other client accounts.
+/// Label value for all other client accounts.
 const OTHER_ACCOUNTS: &str = "(others)";
 
-/// The measures of one box.
+/// The metrics of one box.
 #[derive(Debug)]
 pub struct Metrics {
     registry: Registry,
     /// Requests by kind and outcome.
     pub requests: IntCounterVec,
-    /// Time to the head of the answer, by kind.
+    /// Time to the response head, by kind.
     pub head_seconds: HistogramVec,
     /// Time until a request was sent, by kind: the wait for its adapter.
     pub stall_seconds: HistogramVec,
-    /// Sends beyond a request's first, by outcome.
+    /// Attempts after a request's first one, by outcome.
     pub second_sends: IntCounterVec,
     /// Requests sent to a second server as the first was late, by outcome.
     pub hedged_sends: IntCounterVec,
-    /// Connections to servers: opened, and what became of kept ones.
+    /// Connections to servers: new ones, and outcomes of pooled ones.
     pub server_connections: IntCounterVec,
     /// Calls to the store, by call and outcome.
     pub store_calls: IntCounterVec,
-    /// Questions to boxes that read the store for this one, by call and outcome.
+    /// Calls to boxes that relay the store to this one, by call and outcome.
     pub relay_calls: IntCounterVec,
     /// Orders to servers, by action and outcome.
     pub orders: IntCounterVec,
-    /// Returns of the store from a backup.
+    /// Restores of the store from a backup.
     pub store_returns: IntCounter,
-    /// What others wrote and this box can't read, by what it is.
+    /// Data from others that this box could not decode, by what it is.
     pub unreadable: IntCounterVec,
-    /// What servers said of themselves in their answers, by what it is.
+    /// Notices about their own state that servers put into answers, by notice.
     pub server_notices: IntCounterVec,
-    /// Requests to servers that name limits, by what let them in, or refused.
+    /// Requests to servers that announce limits, by what admitted or refused them.
     server_limits: IntCounterVec,
-    /// Runs that were to be handed over to another server, by outcome.
+    /// Attempts to hand a run over to another server, by outcome.
     pub handovers: IntCounterVec,
-    /// Checks of servers that broke off answers, by outcome.
+    /// Checks of servers that aborted answers, by outcome.
     pub server_checks: IntCounterVec,
     /// Messages between boxes, by outcome.
     pub frames: IntCounterVec,
     /// Bytes of messages between boxes, by outcome.
     pub frame_bytes: IntCounterVec,
-    /// Bytes of what is sent to other boxes, by kind of part.
+    /// Bytes sent to other boxes, by kind of message part.
     pub part_bytes: IntCounterVec,
-    /// Requests of client accounts by what their limits decided.
+    /// Requests of client accounts, by the decision of the account's limits.
     account_limits: IntCounterVec,
     accounts: ShownLabels,
     answers: AnswerMetrics,
-    /// Requests of client accounts that asked for scarce room, by what became of them.
+    /// Requests of client accounts that asked for scarce capacity, by outcome.
     room: IntCounterVec,
     /// Bytes held for requests and answers.
     pub held_bytes: IntGauge,
-    /// Answers that were cut as their callers did not keep up, by cause.
+    /// Answers cut off because the caller read too slowly, by cause.
     pub slow_cuts: IntCounterVec,
-    /// Requests turned away for memory, by what there was too little room in.
+    /// Requests refused for lack of memory, by the limit that was reached.
     pub memory_refusals: IntCounterVec,
-    /// What is believed: versions, counts and ages by name.
+    /// Current state as this box knows it: versions, counts and flags, by name.
     pub beliefs: IntGaugeVec,
 }
 
 impl Metrics {
-    /// New measures, all zero.
+    /// Registers all metrics.
     ///
     /// # Errors
-    /// When two measures share a name; a mistake in this file.
+    /// When two metrics share a name, which is a bug in this file.
     pub fn new() -> Result<Self, GatewayError> {
         let registry = Registry::new();
         let counter = |name: &str, help: &str, labels: &[&str]| {
@@ -87,7 +87,7 @@
             Ok::<_, GatewayError>(counter)
         };
         let histogram = |name: &str, help: &str, labels: &[&str]| {
-            let options = HistogramOpts::new(name, help).buckets(SECONDS_BOUNDS.to_vec());
+            let options = HistogramOpts::new(name, help).buckets(BUCKETS_SECONDS.to_vec());
             let histogram = HistogramVec::new(options, labels)?;
             registry.register(Box::new(histogram.clone()))?;
             Ok::<_, GatewayError>(histogram)
@@ -179,7 +179,7 @@
                 "Requests of client accounts, by what their limits decided",
                 &["account", "outcome"],
             )?,
-            accounts: ShownLabels::new(MOST_ACCOUNTS_SHOWN, OTHER_ACCOUNTS),
+            accounts: ShownLabels::new(MAX_ACCOUNT_LABELS, OTHER_ACCOUNTS),
             answers: AnswerMetrics::new(&registry)?,
             room: counter(
                 "tinbay_room_total",
@@ -203,24 +203,24 @@
         })
     }
 
-    /// Counts what the limit of a server decided.
+    /// Counts a decision of a server's limit.
     pub fn count_server_limit(&self, outcome: &str) {
         self.server_limits.with_label_values(&[outcome]).inc();
     }
 
-    /// Counts what the limit of a client account decided; accounts beyond some are shown together.
+    /// Counts a decision of a client account's limit; accounts above a maximum share one label.
     pub fn count_limit(&self, account: &str, outcome: &str) {
         let labels = [self.accounts.label(account), outcome];
         self.account_limits.with_label_values(&labels).inc();
     }
 
-    /// Counts what became of a request that asked for scarce room.
+    /// Counts the outcome of a request that asked for scarce capacity.
     pub fn count_room(&self, account: &str, outcome: &str) {
         let labels = [self.accounts.label(account), outcome];
         self.room.with_label_values(&labels).inc();
     }
 
-    /// Counts an answer that came whole; accounts beyond some are shown together.
+    /// Counts a complete answer; accounts above a maximum share one label.
     pub fn count_answer(&self, answer: MeasuredAnswer<'_>) {
         let account_label = answer.account.map(|account| self.accounts.label(account));
         self.answers.count(&answer, account_label);
@@ -239,7 +239,7 @@
         sum.inc_by(bytes as u64);
     }
 
-    /// All measures as text.
+    /// All metrics in the Prometheus text format; empty if they can't be encoded.
     pub fn to_text(&self) -> String {
         let mut text = Vec::new();
         if TextEncoder::new()
--- a/crates/tinbay-gateway/src/run.rs
+++ b/crates/tinbay-gateway/src/run.rs
@@ -1,4 +1,4 @@
-//! Starts a box, runs it until it is told to stop, and stops it without cutting anything.
+//! Starts a box, runs it until SIGTERM, and stops it gracefully.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -33,12 +33,12 @@
 use crate::watch::servers::ServerFollower;
 use crate::watch::{WatchPace, follow};
 
-/// Connections that may wait to be taken.
-const BACKLOG: u32 = 512;
+/// Connections that may wait to be accepted.
+const LISTEN_BACKLOG: u32 = 512;
 
-/// How operators' changes are watched: at once. A call that the store lost as it fell silent is
-/// noticed only when its wait is over, and the boxes that ask this one turn to another then; a
-/// change may take two seconds in all.
+/// Watch timing for operators' changes, which must reach all boxes within two seconds. A call that
+/// the store drops when it stops answering is noticed only at the end of `wait_ms`; only then do
+/// the boxes that ask this one switch to another.
 const CONFIGURATION_PACE: WatchPace = WatchPace {
     wait_ms: 600,
     gap_ms: 20,
@@ -46,7 +46,8 @@
     has_own_turns: true,
 };
 
-/// How servers are watched: their heartbeats are many, so that some wait for the next call.
+/// Watch timing for servers: their heartbeats are frequent, so the gap lets several of them be read
+/// with one call.
 const SERVER_PACE: WatchPace = WatchPace {
     wait_ms: 600,
     gap_ms: 600,
@@ -54,7 +55,7 @@
     has_own_turns: false,
 };
 
-/// How boxes are watched.
+/// Watch timing for the entries of boxes.
 const BOX_PACE: WatchPace = WatchPace {
     wait_ms: 1_000,
     gap_ms: 100,
@@ -62,34 +63,34 @@
     has_own_turns: false,
 };
 
-/// Time kept free at the end of a planned stop.
+/// Margin before the time limit of a planned stop.
 const STOP_MARGIN_MS: Millis = 700;
 
-/// Time of a planned stop in which requests are still taken: callers hold on to their
-/// answers of the directory for some seconds, and what they send last must still finish.
-const TAKING_MS: Millis = 2_800;
+/// How long requests are still accepted in a planned stop: callers cache directory answers for some
+/// seconds, and the last requests that they send must still finish.
+const ACCEPT_WHILE_STOPPING_MS: Millis = 2_800;
 
-/// How often it is looked whether the settings file has changed without a signal.
-const SETTINGS_LOOK: Duration = Duration::from_secs(2);
+/// How often the settings file is checked for changes made without a signal.
+const SETTINGS_CHECK_INTERVAL: Duration = Duration::from_secs(2);
 
-/// How often it is looked whether all requests are done.
-const DRAIN_CHECK: Duration = Duration::from_millis(20);
+/// How often a stopping box checks whether all connections are closed.
+const DRAIN_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What differs from one surrounding to another.
+/// Interface to the platform that the box runs in.
 pub trait Surrounding {
-    /// Where the settings lie.
+    /// Path of the settings file.
     fn settings_path(&self) -> PathBuf;
 
-    /// Reads settings.
+    /// Decodes the text of the settings file.
     ///
     /// # Errors
-    /// When they can't be read.
+    /// When the text is not valid.
     fn decode_settings(&self, text: &str) -> Result<Settings, DecodeError>;
 
-    /// The spellings.
+    /// Names and formats of the platform.
     fn dialect(&self) -> Box<dyn Dialect>;
 
-    /// The store at an address.
+    /// Client for the key-value store at an address.
     fn store(&self, address: SocketAddr) -> Box<dyn Store>;
 }
 
@@ -107,35 +108,35 @@
     after_ms: Millis,
 }
 
-/// Reads and checks the settings.
+/// Reads and validates the settings.
 ///
 /// # Errors
-/// When the file can't be read or is wrong.
-pub fn read_settings(surrounding: &dyn Surrounding) -> Result<Settings, GatewayError> {
+/// When the file can't be read or is not valid.
+pub fn read_settings(environment: &dyn Surrounding) -> Result<Settings, GatewayError> {
     let text =
-        std::fs::read_to_string(surrounding.settings_path()).map_err(GatewayError::SettingsFile)?;
-    Ok(surrounding.decode_settings(&text)?)
+        std::fs::read_to_string(environment.settings_path()).map_err(GatewayError::SettingsFile)?;
+    Ok(environment.decode_settings(&text)?)
 }
 
-/// Runs a box until it is told to stop.
+/// Runs a box until SIGTERM.
 ///
 /// # Errors
 /// When it can't start.
-pub fn run(surrounding: &dyn Surrounding) -> Result<(), GatewayError> {
-    let settings = read_settings(surrounding)?;
+pub fn run(environment: &dyn Surrounding) -> Result<(), GatewayError> {
+    let settings = read_settings(environment)?;
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
         .map_err(GatewayError::Start)?;
     let local = LocalSet::new();
-    local.block_on(&runtime, run_node(surrounding, settings))
+    local.block_on(&runtime, run_node(environment, settings))
 }
 
-async fn run_node(surrounding: &dyn Surrounding, settings: Settings) -> Result<(), GatewayError> {
+async fn run_node(environment: &dyn Surrounding, settings: Settings) -> Result<(), GatewayError> {
     let node = Rc::new(Node::new(
         settings.clone(),
-        surrounding.dialect(),
-        surrounding.store(settings.store),
+        environment.dialect(),
+        environment.store(settings.store),
         Metrics::new()?,
     ));
     let mut stop = signal(SignalKind::terminate()).map_err(GatewayError::Start)?;
@@ -152,7 +153,7 @@
     log_start(&settings);
     tokio::select! {
         _ = stop.recv() => {}
-        () = handle_reloads(&node, surrounding, reload) => {}
+        () = handle_reloads(&node, environment, reload) => {}
     }
     stop_node(&node).await;
     Ok(())
@@ -173,7 +174,7 @@
         let socket = TcpSocket::new_v4()?;
         socket.set_reuseaddr(true)?;
         socket.bind(address)?;
-        socket.listen(BACKLOG)
+        socket.listen(LISTEN_BACKLOG)
     };
     listen().map_err(|source| GatewayError::Listen { address, source })
 }
@@ -209,16 +210,16 @@
 }
 
 /// Reads the settings again on SIGHUP, and when the file has changed without one.
-async fn handle_reloads(node: &Node, surrounding: &dyn Surrounding, mut reload: Signal) {
-    let mut last = std::fs::read_to_string(surrounding.settings_path()).unwrap_or_default();
+async fn handle_reloads(node: &Node, environment: &dyn Surrounding, mut reload: Signal) {
+    let mut last = std::fs::read_to_string(environment.settings_path()).unwrap_or_default();
     loop {
         let is_asked = tokio::select! {
             _ = reload.recv() => true,
-            () = tokio::time::sleep(SETTINGS_LOOK) => false,
+            () = tokio::time::sleep(SETTINGS_CHECK_INTERVAL) => false,
         };
-        let text = std::fs::read_to_string(surrounding.settings_path()).unwrap_or_default();
+        let text = std::fs::read_to_string(environment.settings_path()).unwrap_or_default();
         if text != last || is_asked {
-            reload_settings(node, surrounding, &text);
+            reload_settings(node, environment, &text);
             last = text;
         }
     }
@@ -231,13 +232,13 @@
     needs_restart: bool,
 }
 
-/// Takes new bounds; addresses and names stay until a restart. Wrong settings change nothing.
-fn reload_settings(node: &Node, surrounding: &dyn Surrounding, text: &str) {
+/// Applies changed bounds; other changes need a restart. Invalid settings are ignored.
+fn reload_settings(node: &Node, environment: &dyn Surrounding, text: &str) {
     let mut event = ReloadEvent {
         error: None,
         needs_restart: false,
     };
-    match surrounding.decode_settings(text) {
+    match environment.decode_settings(text) {
         Ok(new) => {
             let mut settings = node.settings.borrow_mut();
             settings.bounds = new.bounds.clone();
@@ -253,7 +254,7 @@
     events::emit(part::NODE, level, "reload", &event);
 }
 
-/// Takes the box out, lets requests finish, and closes.
+/// Announces that the box is leaving, lets requests finish, and closes the connections.
 async fn stop_node(node: &Node) {
     let began_ms = node.now_ms();
     node.is_leaving.set(true);
@@ -262,13 +263,13 @@
     log_stop(node, "stop_begun", began_ms);
     let end_ms = began_ms + node.settings.borrow().bounds.stop_within_ms - STOP_MARGIN_MS;
     membership::release_claims(node).await;
-    sleep_until(node, (began_ms + TAKING_MS).min(end_ms)).await;
+    sleep_until(node, (began_ms + ACCEPT_WHILE_STOPPING_MS).min(end_ms)).await;
     node.closing.set();
     while node.now_ms() < end_ms && node.connections.get() > 0 {
-        tokio::time::sleep(DRAIN_CHECK).await;
+        tokio::time::sleep(DRAIN_CHECK_INTERVAL).await;
     }
     log_stop(node, "stopped", began_ms);
-    tokio::time::sleep(DRAIN_CHECK).await;
+    tokio::time::sleep(DRAIN_CHECK_INTERVAL).await;
 }
 
 async fn sleep_until(node: &Node, time_ms: Millis) {
--- a/crates/tinbay-gateway/src/settings.rs
+++ b/crates/tinbay-gateway/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of a box on the direct path, in the product's own terms.
+//! The settings of a box, independent of the format of the settings file.
 
 use std::net::{IpAddr, SocketAddr};
 
@@ -7,77 +7,78 @@
 use tinbay_core::serving::pacing::LoadBound;
 use tinbay_core::units::Millis;
 
-/// Everything a box is told at its start.
+/// Settings that a box reads at its start.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Settings {
     /// Name of the box.
     pub box_id: String,
     /// Its availability zone.
     pub zone: String,
-    /// Where callers connect.
+    /// Listen address for requests of callers.
     pub front: SocketAddr,
-    /// Where readiness is asked for.
+    /// Listen address for readiness checks.
     pub ready: SocketAddr,
-    /// Where callers ask which box to use.
+    /// Listen address of the directory, from which callers learn which boxes to use.
     pub directory: SocketAddr,
-    /// Where metrics are served.
+    /// Listen address for metrics.
     pub metrics: SocketAddr,
     /// Address and port for messages between boxes.
     pub peer: SocketAddr,
-    /// Boxes that may be up at the start; none of them must be.
+    /// Boxes to contact at the start; any of them may be down.
     pub seeds: Vec<IpAddr>,
-    /// Whether the whole system starts for the first time: nobody has ever given an order.
+    /// Whether the whole system starts for the first time, so that no box has ever given an order.
     pub is_first_start: bool,
-    /// The key-value store.
+    /// Address of the key-value store.
     pub store: SocketAddr,
-    /// What the box has to work with.
+    /// Hardware resources of the box.
     pub resources: Resources,
-    /// Bounds that the operators promise their users.
+    /// Limits on times and rates that the operators guarantee.
     pub bounds: Bounds,
 }
 
-/// What a box has to work with.
+/// Hardware resources of a box.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Resources {
-    /// What its link carries.
+    /// Bandwidth of its network link.
     pub link_mbit_per_s: f64,
-    /// Its share of one core.
+    /// Its share of one CPU core.
     pub core_share: f64,
-    /// Its memory; none where nothing is said of it.
+    /// Its memory; absent if the settings do not state it.
     pub memory_mb: Option<f64>,
 }
 
-/// Capacity of a whole core behind a link of one Mbit/s.
+/// Capacity of a full core with a link of 1 Mbit/s.
 const CAPACITY_UNIT: f64 = 100.0;
 
 impl Resources {
-    /// What the box can bear for others, compared with other boxes: the job costs bytes and
-    /// processor time alike.
+    /// Capacity for work on behalf of other boxes, relative to theirs. It is the product of
+    /// bandwidth and CPU share, as such work needs both.
     pub fn capacity(&self) -> u64 {
         (self.link_mbit_per_s * self.core_share * CAPACITY_UNIT) as u64
     }
 }
 
-/// Bounds that the operators promise their users.
+/// Limits on times and rates that the operators guarantee.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Bounds {
-    /// Longest planned stop.
+    /// Maximum duration of a planned stop.
     pub stop_within_ms: Millis,
-    /// Time between the orders of two holders to one server.
+    /// Minimum time between the last order of one claim holder to a server and the first order of
+    /// the next holder.
     pub holder_gap_ms: Millis,
-    /// Budget of second sends.
+    /// Budget for second attempts.
     pub second_sends: BudgetTerms,
-    /// Bound on loads from the weight store.
+    /// Limit on adapter loads from the weight store.
     pub loads: LoadBound,
-    /// Times by which keys that are added or taken away are in force.
+    /// Times within which added or removed API keys take effect.
     pub keys: KeyTerms,
     /// Requests or tokens by which all boxes together may exceed an account's limit.
     pub limit_overdraft: f64,
-    /// Time after a server first named a limit from which on that binds.
+    /// Time after a server first announced a limit until the limit is enforced.
     pub server_limit_binds_after_ms: Millis,
-    /// Time after which no request may start on an older version of its adapter.
+    /// Time after a version change from which no request may start on the older version.
     pub version_within_ms: Millis,
-    /// Longest time a caller may keep an answer of the directory.
+    /// Maximum time for which a caller may cache a directory answer.
     pub directory_valid_ms: Millis,
     /// Shortest lease the store grants.
     pub shortest_lease_ms: Millis,
--- a/crates/tinbay-gateway/src/shown_labels.rs
+++ b/crates/tinbay-gateway/src/shown_labels.rs
@@ -1,33 +1,34 @@
-//! Labels of measures whose values come from outside: only some are shown one by one.
+//! Bounds the number of label values of metrics whose values come from outside.
 
 use std::cell::RefCell;
 use std::collections::HashSet;
 
-/// Values of one label; those beyond the first ones are shown together, so that a measure stays small.
+/// Values of one label. Only the first ones are shown; all others share one value, which bounds the
+/// number of time series.
 #[derive(Debug)]
 pub struct ShownLabels {
-    most_shown: usize,
+    max_shown: usize,
     others: &'static str,
     shown: RefCell<HashSet<String>>,
 }
 
 impl ShownLabels {
-    /// Shows `most_shown` values and calls all further ones `others`.
-    pub fn new(most_shown: usize, others: &'static str) -> Self {
+    /// Shows the first `max_shown` distinct values and replaces all others by `others`.
+    pub fn new(max_shown: usize, others: &'static str) -> Self {
         Self {
-            most_shown,
+            max_shown,
             others,
             shown: RefCell::default(),
         }
     }
 
-    /// The label of `value`.
+    /// The label value to show for `value`.
     pub fn label<'a>(&self, value: &'a str) -> &'a str {
         let mut shown = self.shown.borrow_mut();
         if shown.contains(value) {
             return value;
         }
-        if shown.len() >= self.most_shown {
+        if shown.len() >= self.max_shown {
             return self.others;
         }
         shown.insert(value.to_string());
