--- a/crates/tinbay-gateway/src/error.rs
+++ b/crates/tinbay-gateway/src/error.rs
@@ -29,6 +29,6 @@
     #[error("logging can't be set up: {0}")]
     Logging(#[from] log::SetLoggerError),
     /// The metrics could not be registered.
-    #[error("measures can't be registered: {0}")]
+    #[error("metrics can't be registered: {0}")]
     Metrics(#[from] prometheus::Error),
 }
--- a/crates/tinbay-gateway/tests/members_test.rs
+++ b/crates/tinbay-gateway/tests/members_test.rs
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn put_entry_ends_the_word() {
+fn put_entry_ends_the_silence_report() {
     let mut members = members();
     members.note_zone_word("far-1", &[box_fingerprint("far-2")], 5_000);
     members.put("far-2", record("z2"), 5_100);
