--- a/crates/tinbay-wire/src/admin.rs
+++ b/crates/tinbay-wire/src/admin.rs
@@ -14,7 +14,8 @@
     Put {
         /// The object.
         object: ConfigObject,
-        /// Revision the operator last saw; 0 for "must not exist", absent for "whatever it is now".
+        /// Revision the operator last saw; 0 if the object must not exist, absent to write it at any
+        /// revision.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         expected: Option<Revision>,
     },
@@ -26,7 +27,7 @@
 }
 
 impl ChangeItem {
-    /// The key of the object concerned.
+    /// Returns the key of the affected object.
     pub fn key(&self) -> ConfigKey {
         match self {
             ChangeItem::Put { object, .. } => object.key(),
@@ -35,18 +36,18 @@
     }
 }
 
-/// Body of `POST /admin/v1/changes`: all of it is accepted, or none.
+/// Body of `POST /admin/v1/changes`. A change is atomic: either all items are accepted or none.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ChangeRequest {
-    /// Names the change; asking again with the same id never makes it twice.
+    /// Id of the change; a repeated request with the same id is not applied twice.
     pub change_id: String,
-    /// Who makes it.
+    /// Operator who makes the change.
     pub operator: String,
-    /// What is to be written.
+    /// Objects to write or delete.
     pub items: Vec<ChangeItem>,
 }
 
-/// Answer to an accepted change.
+/// Response to an accepted change.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChangeAccepted {
     /// The change.
@@ -60,18 +61,18 @@
 pub struct AuditRecord {
     /// The change.
     pub change_id: String,
-    /// Who made it.
+    /// Operator who made the change.
     pub operator: String,
-    /// When, as wall-clock milliseconds since 1970.
+    /// Time of the change in Unix milliseconds.
     pub at_ms: Millis,
-    /// The box that took it.
+    /// The box that handled the change.
     pub by_box: BoxId,
-    /// The objects concerned and the revision each had before; 0 where it did not exist.
+    /// The affected objects and their previous revisions; 0 if an object did not exist.
     pub items: Vec<AuditItem>,
-    /// Why it was refused; absent for an accepted change.
+    /// Reason for the rejection; absent for an accepted change.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub refused: Option<String>,
-    /// The revision at which it took effect; filled in when read.
+    /// The revision at which it took effect; set when the record is read.
     #[serde(default)]
     pub revision: Revision,
 }
@@ -81,13 +82,13 @@
 pub struct AuditItem {
     /// The object.
     pub key: ConfigKey,
-    /// Its revision before.
+    /// Its revision before the change; 0 if it did not exist.
     pub before: Revision,
     /// Whether the change deleted it.
     pub deleted: bool,
 }
 
-/// One object with its revision, of `GET /admin/v1/objects`.
+/// One object with its revision, as returned by `GET /admin/v1/objects`.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ObjectRecord {
     /// Revision of the last write.
@@ -96,14 +97,14 @@
     pub object: ConfigObject,
 }
 
-/// Answer of `GET /admin/v1/status`.
+/// Response of `GET /admin/v1/status`.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Status {
     /// The box that answers.
     pub answered_by: BoxId,
-    /// Revision in force there.
+    /// Configuration revision in force on that box.
     pub revision: Revision,
-    /// Boxes it knows, with the revision each has in force.
+    /// Boxes that it knows, with the configuration revision in force on each.
     pub boxes: Vec<BoxStatus>,
     /// Engines this box owns.
     pub engines: Vec<EngineStatus>,
@@ -114,9 +115,9 @@
 pub struct BoxStatus {
     /// Its record.
     pub record: BoxRecord,
-    /// Revision it last said it has in force; absent when it has said nothing yet.
+    /// Configuration revision that it last reported; absent if it has reported none yet.
     pub revision: Option<Revision>,
-    /// Since when nothing was heard from it.
+    /// Time since the last message from it.
     pub silent_ms: Millis,
 }
 
@@ -131,7 +132,7 @@
     pub epoch: u64,
     /// Rank within the epoch's succession.
     pub rank: u32,
-    /// Whether the owner has learnt what the engine holds.
+    /// Whether the owner knows which models the engine has loaded.
     pub ready: bool,
     /// Models loaded.
     pub loaded: Vec<ModelRef>,
@@ -148,7 +149,7 @@
     pub program: String,
 }
 
-/// Answer of `POST /admin/v1/drain`.
+/// Response of `POST /admin/v1/drain`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DrainAnswer {
     /// The box.
--- a/crates/tinbay-wire/src/box_list.rs
+++ b/crates/tinbay-wire/src/box_list.rs
@@ -1,10 +1,10 @@
-//! The platform's lagging list of boxes, `GET /v1/boxes`.
+//! The platform's list of boxes, which may be out of date: `GET /v1/boxes`.
 
 use serde::{Deserialize, Serialize};
 use tinbay_core::ids::{BoxId, ZoneId};
 use tinbay_core::view::{BoxRecord, BoxState};
 
-/// A box as the platform knows it; its run is known only to itself.
+/// A box as listed by the platform, which does not know the box's incarnation.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListedBox {
     /// Its name.
@@ -13,23 +13,23 @@
     pub zone: ZoneId,
     /// Its region.
     pub region: String,
-    /// Where callers and boxes reach it over HTTP.
+    /// Address for HTTP requests from callers and other boxes.
     pub address: String,
-    /// Where boxes reach it for control messages.
+    /// Address for control messages from other boxes.
     pub control_address: String,
-    /// Live or leaving.
+    /// Whether it is live or shutting down.
     pub state: BoxState,
 }
 
-/// The list as the platform last knew it.
+/// The platform's list of boxes, which may be out of date.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct BoxList {
-    /// Live and leaving boxes.
+    /// Boxes that are live or shutting down.
     pub boxes: Vec<ListedBox>,
 }
 
 impl ListedBox {
-    /// A record older than any the box itself sends.
+    /// Converts to a record with incarnation 0, which any record that the box itself sends supersedes.
     pub fn to_record(&self) -> BoxRecord {
         BoxRecord {
             id: self.id.clone(),
--- a/crates/tinbay-wire/src/completion.rs
+++ b/crates/tinbay-wire/src/completion.rs
@@ -1,4 +1,4 @@
-//! The completions interface, as model servers have made it usual.
+//! The completions API that is common among model servers.
 
 use serde::{Deserialize, Serialize};
 use tinbay_core::ids::ModelRef;
@@ -10,10 +10,10 @@
     pub model: ModelRef,
     /// The prompt.
     pub prompt: String,
-    /// Tokens to generate at most.
+    /// Maximum number of tokens to generate.
     #[serde(default = "default_max_tokens")]
     pub max_tokens: u32,
-    /// Whether to stream the answer as server-sent events.
+    /// Whether to stream the response as server-sent events.
     #[serde(default)]
     pub stream: bool,
     /// Priority class.
@@ -21,27 +21,27 @@
     pub class: Option<String>,
 }
 
-/// Tokens generated where a caller names no limit.
+/// Maximum number of generated tokens if the caller sets none.
 pub const DEFAULT_MAX_TOKENS: u32 = 64;
 
 fn default_max_tokens() -> u32 {
     DEFAULT_MAX_TOKENS
 }
 
-/// Body of an answer that was not streamed.
+/// Body of a response that is not streamed.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct CompletionAnswer {
-    /// The request's name.
+    /// Id of the request.
     pub id: String,
     /// The adapter and version that ran.
     pub model: ModelRef,
-    /// One choice.
+    /// The generated text; always exactly one choice.
     pub choices: Vec<Choice>,
     /// Token counts.
     pub usage: Usage,
 }
 
-/// The text of an answer.
+/// The generated text of a response.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Choice {
     /// Always 0.
@@ -52,12 +52,12 @@
     pub finish_reason: String,
 }
 
-/// Token counts of an answer.
+/// Token counts of a response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Usage {
     /// Tokens generated.
     pub completion_tokens: u64,
 }
 
-/// The event that ends a stream, after the usual habit.
+/// Data of the event that ends a stream, as is common among model servers.
 pub const DONE_EVENT: &str = "[DONE]";
--- a/crates/tinbay-wire/src/control.rs
+++ b/crates/tinbay-wire/src/control.rs
@@ -16,35 +16,35 @@
     pub from: BoxId,
     /// Configuration revision it has in force.
     pub revision: Revision,
-    /// What it says.
+    /// The message itself.
     pub message: Message,
 }
 
-/// What a box asks of another.
+/// A request from one box to another.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// "I am here": a box to its keepers, and a keeper to those of other zones.
+    /// Liveness message from a box to its keepers, and from a keeper to the keepers of other zones.
     Heartbeat(Heartbeat),
     /// Claim the right to run a request at the key's home.
     Claim(RequestKey),
-    /// A claimed request certainly did not run.
+    /// Releases the claim of a request that certainly did not run.
     ReleaseNotRun(RequestKey),
-    /// Ask the load arbiter for permission; answered when granted.
+    /// Asks the load arbiter for permission to load a model; the reply is sent once it is granted.
     AskLoad(LoadRequest),
     /// A granted load has ended or is not needed any more.
     EndLoad {
-        /// Where.
+        /// The engine that was to load the model.
         engine: EngineId,
-        /// What.
+        /// The model.
         model: ModelRef,
         /// Whether the permission was not used.
         unused: bool,
     },
-    /// Names the succession of an engine, so that it holds through an outage.
+    /// Distributes the succession of an engine, so that it stays known during an outage.
     Succession(Succession),
-    /// Asks the former owner of an engine to give no more orders.
+    /// Asks the former owner of an engine to send it no more orders.
     HandOver(EngineId),
-    /// Asks for what the receiver's configuration has beyond this revision.
+    /// Asks for the configuration changes after this revision.
     ConfigSince(Revision),
     /// Asks a keeper which revision each box of its zone has in force.
     ZoneStatus,
@@ -52,33 +52,33 @@
     SuccessionOf(EngineId),
 }
 
-/// "I am here", with what the sender already knows.
+/// Liveness message that states which version of the receiver's view the sender has.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Heartbeat {
     /// The sender.
     pub record: BoxRecord,
-    /// Version of the receiver's view the sender has, 0 for none.
+    /// Version of the receiver's view that the sender has; 0 for none.
     pub view_version: u64,
-    /// The run of the receiver that `view_version` belongs to.
+    /// The receiver's incarnation that `view_version` belongs to.
     pub view_incarnation: u64,
 }
 
-/// Who may own an engine under an epoch.
+/// The boxes that may own an engine during an epoch, in order of precedence.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Succession {
     /// The engine.
     pub engine: EngineId,
     /// The epoch.
     pub epoch: u64,
-    /// The owner, those behind it when it took over, and those that came to stand behind it since. A box
-    /// keeps its place for the whole epoch.
+    /// The owner at the start of the epoch, then its successors at that time, then those added since.
+    /// A box keeps its place for the whole epoch.
     pub boxes: Vec<BoxId>,
-    /// The owner's run when it took over.
+    /// The first owner's incarnation when it took over.
     pub incarnation: Incarnation,
 }
 
 impl Succession {
-    /// The run of a box that took the engine over with the epoch.
+    /// Returns the box, with its incarnation, that took over the engine at the start of the epoch.
     pub fn owner(&self) -> Option<BoxRun> {
         let id = self.boxes.first()?.clone();
         Some(BoxRun {
@@ -87,26 +87,27 @@
         })
     }
 
-    /// The place of a box.
+    /// Returns the place of a box in the succession.
     pub fn place_of(&self, id: &BoxId) -> Option<u32> {
         let place = self.boxes.iter().position(|member| member == id)?;
         Some(place as u32)
     }
 
-    /// Those of some boxes that it does not name, as far as it has places left.
+    /// Returns those of `boxes` that the succession lacks, at most as many as it has free places.
     pub fn missing(&self, boxes: &[BoxId]) -> Vec<BoxId> {
         let places = (MAX_SUCCESSION as usize).saturating_sub(self.boxes.len());
         let unnamed = boxes.iter().filter(|id| !self.boxes.contains(id));
         unnamed.take(places).cloned().collect()
     }
 
-    /// Whether it was written after another one for the same engine; within an epoch boxes are only added.
+    /// Returns whether it is newer than another succession of the same engine. Within an epoch, boxes
+    /// are only ever added, so the longer one is newer.
     pub fn is_newer_than(&self, other: &Succession) -> bool {
         (self.epoch, self.boxes.len()) > (other.epoch, other.boxes.len())
     }
 }
 
-/// Answers to [`Message`].
+/// Replies to a [`Message`].
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Reply {
     /// Done, nothing to add.
@@ -115,42 +116,42 @@
     View(ViewUpdate),
     /// To a claim.
     Claim(Claim),
-    /// To a wish for a load, once it is granted.
+    /// To a request for a load, once it is granted.
     LoadGranted,
     /// To a request for configuration.
     Config(ConfigUpdate),
     /// To a request for a zone's status.
     Zone(Vec<HeardBox>),
-    /// The receiver cannot do what was asked.
+    /// The receiver can't fulfil the request.
     Refused,
-    /// To a question for a succession.
+    /// To a request for a succession; `None` if the receiver knows none.
     Succession(Option<Succession>),
 }
 
 /// The part of a keeper's view that a box does not have yet.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ViewUpdate {
-    /// The keeper's run.
+    /// The keeper's incarnation.
     pub incarnation: u64,
-    /// The keeper's view after this update.
+    /// Version of the keeper's view after this update.
     pub version: u64,
     /// Whether `present` is the whole view.
     pub whole: bool,
     /// Boxes that appeared or changed.
     pub present: Vec<BoxRecord>,
-    /// Boxes that are gone.
+    /// Boxes that were removed from the view.
     pub gone: Vec<BoxId>,
-    /// Configuration revision the keeper has in force.
+    /// Configuration revision in force on the keeper.
     pub revision: Revision,
 }
 
-/// What a keeper last heard from a box of its zone.
+/// The last message that a keeper received from a box of its zone.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HeardBox {
     /// The box.
     pub id: BoxId,
-    /// Revision it said it has in force.
+    /// Configuration revision that it reported.
     pub revision: Revision,
-    /// How long ago.
+    /// Time since that message.
     pub silent_ms: Millis,
 }
--- a/crates/tinbay-wire/src/engine.rs
+++ b/crates/tinbay-wire/src/engine.rs
@@ -1,26 +1,26 @@
-//! What a box and a model engine say to each other.
+//! Messages between a box and a model engine.
 
 use serde::{Deserialize, Serialize};
 use tinbay_core::fence::Fence;
 use tinbay_core::ids::{Incarnation, ModelRef};
 
-/// Body of the engine's `POST /v1/completions`; it answers with a stream of
+/// Body of the engine's `POST /v1/completions`; the response is a stream of
 /// [`tinbay_core::assemble::Chunk`] as server-sent events.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct EngineRequest {
-    /// The request's name, the same over all attempts.
+    /// Id of the request, the same for all attempts.
     pub request: String,
-    /// Which attempt this is.
+    /// Number of this attempt.
     pub attempt: u32,
     /// Adapter and version to run on.
     pub model: ModelRef,
     /// The prompt.
     pub prompt: String,
-    /// Tokens to generate at most.
+    /// Maximum number of tokens to generate.
     pub max_tokens: u32,
-    /// 0 goes first in the batch.
+    /// Priority in the batch; 0 is the highest.
     pub priority: u8,
-    /// Resume the request's earlier stream here instead of running it.
+    /// Position from which to resume the request's earlier stream instead of running it again.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub resume_from: Option<u64>,
 }
@@ -30,21 +30,21 @@
 pub struct AdapterOrder {
     /// `adapter@version`.
     pub lora_name: ModelRef,
-    /// Where the weights are; empty when unloading.
+    /// Location of the weights; empty when unloading.
     #[serde(default)]
     pub lora_path: String,
 }
 
-/// Answer of `GET /v1/state` and of every accepted order.
+/// Response of `GET /v1/state` and of every accepted order.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineState {
-    /// The engine's run.
+    /// The engine's incarnation.
     pub incarnation: Incarnation,
     /// Models in its slots.
     pub loaded: Vec<ModelRef>,
-    /// The requests that run.
+    /// Requests that are running.
     pub running: Vec<RunningRequest>,
-    /// Whether it ends what it has and takes nothing new.
+    /// Whether it is draining: it finishes running requests and accepts no new ones.
     #[serde(default)]
     pub leaving: bool,
     /// The highest fence seen; zero for an engine that checks none.
@@ -54,7 +54,7 @@
 /// A request in an engine's batch.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunningRequest {
-    /// Its name, as the box that sent it gave it.
+    /// Id of the request, as sent by the box.
     pub request: String,
     /// The model it runs on.
     pub model: ModelRef,
@@ -64,10 +64,10 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
 #[serde(rename_all = "snake_case")]
 pub enum EngineRefusal {
-    /// The order's fence is lower than one seen.
+    /// The order's fence is lower than the highest one seen.
     #[error("stale fence")]
     StaleFence,
-    /// The order is for another run of the engine.
+    /// The order is for another incarnation of the engine.
     #[error("order for another run")]
     OtherIncarnation,
     /// The fence header is missing or malformed.
@@ -76,22 +76,22 @@
     /// The model is not loaded.
     #[error("model not loaded")]
     NotLoaded,
-    /// Every slot is taken.
+    /// Every slot is occupied.
     #[error("no free slot")]
     NoSlot,
-    /// The model serves requests.
+    /// The model is serving requests.
     #[error("model is serving")]
     Serving,
     /// The batch is full.
     #[error("batch full")]
     BatchFull,
-    /// The engine is leaving.
+    /// The engine is shutting down.
     #[error("engine leaving")]
     Leaving,
     /// The load failed.
     #[error("load failed")]
     LoadFailed,
-    /// The stream to resume is not there any more.
+    /// The stream to resume is no longer available.
     #[error("nothing to resume")]
     NothingToResume,
 }
@@ -99,6 +99,6 @@
 /// Body of an engine's refusal; the request or order had no effect.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineRefusalBody {
-    /// Why.
+    /// Reason for the refusal.
     pub refusal: EngineRefusal,
 }
--- a/crates/tinbay-wire/src/error_body.rs
+++ b/crates/tinbay-wire/src/error_body.rs
@@ -1,8 +1,8 @@
-//! The typed body of every answer that is not a success.
+//! The typed body of every error response.
 
 use serde::{Deserialize, Serialize};
 
-/// What went wrong, as a caller's program reads it.
+/// Body of an error response, in machine-readable form.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ErrorBody {
     /// The failure.
@@ -14,11 +14,11 @@
 pub struct ErrorDetail {
     /// A stable code.
     pub code: ErrorCode,
-    /// One sentence for a person.
+    /// One sentence for human readers.
     pub message: String,
-    /// Whether it is certain that nothing ran.
+    /// Whether the request certainly did not run.
     pub not_run: bool,
-    /// When asking again makes sense; absent where it does not.
+    /// Time after which a retry makes sense; absent if none does.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub retry_after_ms: Option<u64>,
 }
@@ -27,13 +27,13 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ErrorCode {
-    /// The body is not the JSON expected.
+    /// The body is not the expected JSON.
     MalformedBody,
-    /// A header or query value is not understood.
+    /// A header or query value is invalid.
     BadParameter,
     /// The body is over the limit.
     BodyTooLarge,
-    /// The request key is not understood.
+    /// The request key is invalid.
     BadKey,
     /// Nothing is at this path.
     NotFound,
@@ -55,13 +55,13 @@
     NoEngine,
     /// The request would start too late.
     Overloaded,
-    /// The request waited until its last moment to start.
+    /// The request was still queued when its latest start time passed.
     DeadlinePassed,
     /// The adapter could not be loaded.
     LoadFailed,
-    /// The box is leaving.
+    /// The box is shutting down.
     Leaving,
-    /// The engine is leaving.
+    /// The engine is shutting down.
     EngineLeaves,
     /// This box does not own the engine.
     NotOwner,
@@ -71,26 +71,26 @@
     AlreadyUsed,
     /// The request may have run; whether it did cannot be known.
     OutcomeUnknown,
-    /// The rest of a broken answer cannot be had any more.
+    /// The rest of an interrupted response is no longer available.
     CannotResume,
-    /// The answer named another adapter or version, or had a gap.
+    /// The response named another adapter or version, or had a gap.
     WrongAnswer,
-    /// The back end refused or failed.
+    /// The backend server refused the request or failed.
     BackendFailed,
     /// A configuration change fails its checks.
     InvalidChange,
     /// A policy program does not compile or fails on the samples.
     InvalidPolicy,
-    /// Another operator changed the object first.
+    /// Another operator has changed the object in the meantime.
     Conflict,
     /// The key-value service cannot be reached; the change was not made.
     PlatformUnavailable,
-    /// Whether the change was made cannot be known yet; ask for its change id.
+    /// Whether the change was made is not known yet; query it by its change id.
     ChangeUnknown,
 }
 
 impl ErrorCode {
-    /// The HTTP status that goes with the code.
+    /// Returns the HTTP status for the code.
     pub fn status(self) -> u16 {
         match self {
             ErrorCode::MalformedBody | ErrorCode::BadParameter | ErrorCode::BadKey => 400,
--- a/crates/tinbay-wire/src/etcd.rs
+++ b/crates/tinbay-wire/src/etcd.rs
@@ -7,7 +7,7 @@
 use base64::engine::general_purpose::STANDARD;
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
-/// A 64-bit integer that travels as a string, as protobuf's JSON mapping has it.
+/// A 64-bit integer that is encoded as a string, as in protobuf's JSON mapping.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default)]
 pub struct Int64(pub i64);
 
@@ -32,17 +32,17 @@
     }
 }
 
-/// Bytes that travel as base64.
+/// Bytes that are encoded as base64.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct Bytes(pub Vec<u8>);
 
 impl Bytes {
-    /// The bytes of a text.
+    /// Returns the UTF-8 bytes of a text.
     pub fn text(text: &str) -> Self {
         Self(text.as_bytes().to_vec())
     }
 
-    /// The text, with replacement characters where the bytes are not UTF-8.
+    /// Returns the text, with replacement characters for invalid UTF-8.
     pub fn to_text(&self) -> String {
         String::from_utf8_lossy(&self.0).into_owned()
     }
@@ -64,7 +64,7 @@
     }
 }
 
-/// The end of the range of all keys with a prefix.
+/// Returns the exclusive end of the range of all keys with a prefix.
 pub fn prefix_end(prefix: &str) -> Bytes {
     let mut end = prefix.as_bytes().to_vec();
     while let Some(last) = end.pop() {
@@ -76,11 +76,11 @@
     Bytes(vec![0])
 }
 
-/// Header of every answer.
+/// Header of every response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct ResponseHeader {
-    /// Revision of the store when it answered.
+    /// Revision of the store at the time of the response.
     pub revision: Int64,
 }
 
@@ -96,7 +96,7 @@
     pub mod_revision: Int64,
     /// The value.
     pub value: Bytes,
-    /// The lease it hangs on, 0 for none.
+    /// The lease that it is attached to; 0 for none.
     pub lease: Int64,
 }
 
@@ -108,21 +108,21 @@
     pub key: Bytes,
     /// First key beyond the range; empty for a single key.
     pub range_end: Bytes,
-    /// Pairs at most, 0 for all.
+    /// Maximum number of pairs; 0 for all.
     pub limit: Int64,
-    /// Read at this revision, 0 for now.
+    /// Revision to read at; 0 for the current one.
     pub revision: Int64,
 }
 
-/// Answer to a range.
+/// Response to a range request.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct RangeResponse {
     /// Header.
     pub header: ResponseHeader,
-    /// The pairs, by key.
+    /// The pairs, ordered by key.
     pub kvs: Vec<KeyValue>,
-    /// Whether the limit cut the answer short.
+    /// Whether the limit left out further pairs.
     pub more: bool,
 }
 
@@ -134,7 +134,7 @@
     pub key: Bytes,
     /// The value.
     pub value: Bytes,
-    /// The lease to hang it on, 0 for none.
+    /// The lease to attach it to; 0 for none.
     pub lease: Int64,
 }
 
@@ -171,7 +171,7 @@
 }
 
 impl Compare {
-    /// "The last write to this key was at this revision."
+    /// Creates the condition that the last write to a key was at this revision.
     pub fn mod_revision(key: &str, revision: i64) -> Self {
         Self {
             result: "EQUAL".to_owned(),
@@ -188,11 +188,11 @@
 pub struct TxnRequest {
     /// Conditions, all of which must hold.
     pub compare: Vec<Compare>,
-    /// What to do when they hold.
+    /// Operations to run if they hold.
     pub success: Vec<RequestOp>,
 }
 
-/// Answer to a transaction.
+/// Response to a transaction.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct TxnResponse {
@@ -206,7 +206,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct LeaseGrantRequest {
-    /// Life in seconds.
+    /// Time to live in seconds.
     #[serde(rename = "TTL")]
     pub ttl_s: Int64,
 }
@@ -220,14 +220,14 @@
     pub id: Int64,
 }
 
-/// Answer to a grant or, inside [`StreamItem`], to a keepalive.
+/// Response to a grant or, inside [`StreamItem`], to a keepalive.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct LeaseResponse {
     /// The lease.
     #[serde(rename = "ID")]
     pub id: Int64,
-    /// Life left in seconds; 0 when it has lapsed.
+    /// Remaining time to live in seconds; 0 if the lease has expired.
     #[serde(rename = "TTL")]
     pub ttl_s: Int64,
 }
@@ -250,19 +250,19 @@
     pub range_end: Bytes,
     /// First revision to report.
     pub start_revision: Int64,
-    /// Whether to send empty answers now and then, so that the revision is known.
+    /// Whether to send empty responses periodically, so that the watcher knows the current revision.
     pub progress_notify: bool,
 }
 
-/// One line of a streamed answer.
+/// One line of a streamed response.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct StreamItem<T> {
-    /// The answer.
+    /// The response.
     pub result: T,
 }
 
-/// Answer of a watch.
+/// Response of a watch.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct WatchResponse {
@@ -270,9 +270,9 @@
     pub header: ResponseHeader,
     /// Whether the watch has ended.
     pub canceled: bool,
-    /// The oldest revision still kept, when the start was older.
+    /// The oldest revision still available, set if the start revision was older.
     pub compact_revision: Int64,
-    /// What changed.
+    /// The changes.
     pub events: Vec<WatchEvent>,
 }
 
@@ -280,7 +280,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct WatchEvent {
-    /// What happened.
+    /// Kind of the change.
     #[serde(rename = "type")]
     pub kind: EventKind,
     /// The pair; for a deletion only key and revision.
@@ -291,7 +291,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(rename_all = "UPPERCASE")]
 pub enum EventKind {
-    /// A write; left out of the JSON by servers.
+    /// A write; servers omit it from the JSON.
     #[default]
     Put,
     /// A deletion.
--- a/crates/tinbay-wire/src/forward.rs
+++ b/crates/tinbay-wire/src/forward.rs
@@ -1,4 +1,4 @@
-//! A request that an entry box passes to the owner of an engine.
+//! A request that the box that received it forwards to the owner of an engine.
 
 use serde::{Deserialize, Serialize};
 use tinbay_core::ids::{EngineId, Incarnation};
@@ -6,25 +6,25 @@
 
 use crate::engine::EngineRequest;
 
-/// Body of `POST /internal/v1/run`; the answer streams the engine's chunks unchanged.
+/// Body of `POST /internal/v1/run`; the response streams the engine's chunks unchanged.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ForwardRequest {
     /// The engine to run on.
     pub engine: EngineId,
-    /// What to run.
+    /// The request to the engine.
     pub call: EngineRequest,
-    /// Whose request it is.
+    /// Organisation that the request belongs to.
     pub organisation: String,
     /// Counter or desk traffic.
     pub urgent: bool,
-    /// How long ago it reached the system.
+    /// Time since the request reached the system.
     pub age_ms: Millis,
-    /// How long it may still wait before it starts.
+    /// Time that it may still wait before it starts.
     pub wait_left_ms: Millis,
-    /// Configuration revision the sender serves from.
+    /// Configuration revision in force on the sender.
     pub revision: Revision,
-    /// The run of the receiver that the sender holds to be the owner. A later run refuses the request: the
-    /// sender gives it up once it hears of the restart, and could not tell whether it ran.
+    /// The receiver's incarnation that the sender considers the owner. A later incarnation refuses the
+    /// request: the sender abandons it once it learns of the restart, and could not tell whether it ran.
     #[serde(default)]
     pub owner_run: Option<Incarnation>,
 }
--- a/crates/tinbay-wire/src/lib.rs
+++ b/crates/tinbay-wire/src/lib.rs
@@ -1,6 +1,6 @@
 //! Messages between callers, boxes, engines, operators and the platform.
 //!
-//! Types only: how they travel is the business of the programs that send them.
+//! This crate has only the message types; the programs that send them choose the transport.
 
 pub mod admin;
 pub mod box_list;
--- a/crates/tinbay-wire/src/locate.rs
+++ b/crates/tinbay-wire/src/locate.rs
@@ -1,14 +1,15 @@
-//! Answer of `GET /v1/locate`.
+//! Response of `GET /v1/locate`.
 
 use serde::{Deserialize, Serialize};
 
-/// Where a caller should connect, for how long, and the key for its next request.
+/// Addresses that a caller should connect to, how long they are valid, and the key for its next
+/// request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LocateAnswer {
-    /// Addresses to use, best first.
+    /// Addresses in order of preference.
     pub addresses: Vec<String>,
-    /// How long the addresses may be kept.
+    /// Time for which the addresses may be cached.
     pub valid_ms: u64,
-    /// Key for one request; every retry of that request carries it.
+    /// Key for one request, to be sent with every retry of that request too.
     pub key: String,
 }
