--- a/crates/tinbay-http/src/body.rs
+++ b/crates/tinbay-http/src/body.rs
@@ -7,16 +7,16 @@
 /// Why a body could not be read.
 #[derive(Debug, thiserror::Error)]
 pub enum BodyError {
-    /// It is longer than allowed.
+    /// The body is longer than allowed.
     #[error("body is over {limit_bytes} bytes")]
     TooLarge {
-        /// What is allowed.
+        /// The longest allowed body.
         limit_bytes: usize,
     },
-    /// The connection broke.
+    /// The connection failed before the end of the body.
     #[error("body could not be read")]
     Broken,
-    /// It is not the JSON expected.
+    /// The body is not the expected JSON.
     #[error("{0}")]
     Json(#[from] serde_json::Error),
 }
@@ -27,12 +27,12 @@
 /// [`BodyError::TooLarge`] or [`BodyError::Broken`].
 pub async fn read_body(mut payload: Payload, limit_bytes: usize) -> Result<BytesMut, BodyError> {
     let mut body = BytesMut::new();
-    while let Some(piece) = payload.recv().await {
-        let piece = piece.map_err(|_| BodyError::Broken)?;
-        if body.len() + piece.len() > limit_bytes {
+    while let Some(chunk) = payload.recv().await {
+        let chunk = chunk.map_err(|_| BodyError::Broken)?;
+        if body.len() + chunk.len() > limit_bytes {
             return Err(BodyError::TooLarge { limit_bytes });
         }
-        body.extend_from_slice(&piece);
+        body.extend_from_slice(&chunk);
     }
     Ok(body)
 }
--- a/crates/tinbay-http/src/client.rs
+++ b/crates/tinbay-http/src/client.rs
@@ -1,4 +1,4 @@
-//! Calls other programs over HTTP, with one connection pool a thread.
+//! HTTP client with one connection pool per thread.
 
 use std::cell::RefCell;
 use std::future::Future;
@@ -13,14 +13,14 @@
 
 use crate::body::{BodyError, read_body};
 
-/// Connections a thread may have to one peer.
+/// Maximum number of connections of a thread to one peer.
 const CONNECTIONS_PER_PEER: usize = 4_096;
 
-/// An idle connection is given up before the servers close it, so that a request seldom
-/// meets a connection that is just being closed.
-const IDLE_LIFE: Seconds = Seconds(15);
+/// Time after which an idle connection is closed. It is shorter than the servers' keep-alive time, so
+/// that a request is rarely sent on a connection that the server is closing.
+const IDLE_TIMEOUT: Seconds = Seconds(15);
 
-/// Longest answer that is read as a whole.
+/// Longest response body that is read as a whole.
 const MAX_ANSWER_BYTES: usize = 64 * 1024 * 1024;
 
 thread_local! {
@@ -28,46 +28,46 @@
     static FRESH: RefCell<Option<Client>> = const { RefCell::new(None) };
 }
 
-/// Why a call has no answer.
+/// Why a call failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum CallError {
-    /// No connection came about: nothing was handed over.
+    /// No connection could be opened, so nothing was sent.
     #[error("could not connect")]
     NotConnected,
-    /// The connection broke after something may have been handed over.
+    /// The connection failed after the request may have been sent.
     #[error("connection broke")]
     Broken,
-    /// No answer in time, after something may have been handed over.
+    /// The response did not arrive in time; the request may have been sent.
     #[error("no answer in time")]
     TimedOut,
-    /// The answer is not what was expected.
+    /// The response body could not be decoded.
     #[error("answer not understood")]
     NotUnderstood,
-    /// The peer answered with this status.
+    /// The peer responded with this status.
     #[error("peer answered {0}")]
     Status(u16),
 }
 
 impl CallError {
-    /// Whether it is certain that the peer never saw the request.
+    /// Returns whether the peer certainly never received the request.
     pub fn is_not_sent(self) -> bool {
         self == CallError::NotConnected
     }
 }
 
-/// The client of this thread, with a pool of connections.
+/// Returns this thread's client with a pool of connections.
 pub async fn pooled_client() -> Client {
     if let Some(client) = POOLED.with_borrow(Clone::clone) {
         return client;
     }
-    let client = build(IDLE_LIFE).await;
+    let client = build(IDLE_TIMEOUT).await;
     POOLED.set(Some(client.clone()));
     client
 }
 
-/// The client of this thread that opens a connection for every call, for work that may
-/// not be repeated: a pooled connection that is just being closed would leave it unknown
-/// whether the work was handed over.
+/// Returns this thread's client that opens a new connection for every call, for requests that must not
+/// be repeated: if a pooled connection is closed by the peer during the call, it is unknown whether the
+/// request was received.
 pub async fn fresh_client() -> Client {
     if let Some(client) = FRESH.with_borrow(Clone::clone) {
         return client;
@@ -77,10 +77,10 @@
     client
 }
 
-async fn build(idle_life: Seconds) -> Client {
+async fn build(idle_timeout: Seconds) -> Client {
     let connector = Connector::new()
         .limit(CONNECTIONS_PER_PEER)
-        .keep_alive(idle_life);
+        .keep_alive(idle_timeout);
     let built = Client::builder()
         .connector::<Connector>(connector)
         .disable_timeout()
@@ -94,10 +94,10 @@
     }
 }
 
-/// Waits for the head of an answer.
+/// Waits for the status and headers of a response.
 ///
 /// # Errors
-/// [`CallError`], which tells whether anything was handed over.
+/// Returns a [`CallError`], which tells whether the request may have been sent.
 pub async fn await_head(
     call: impl Future<Output = Result<ClientResponse, ClientError>>,
     within: Duration,
@@ -105,17 +105,18 @@
     match tokio::time::timeout(within, call).await {
         Err(_) => Err(CallError::TimedOut),
         Ok(Ok(response)) => Ok(response),
-        // Without a cause this is no failed connect: the peer went away after the request was sent.
+        // A disconnect without a cause is not a failed connect: the peer closed the connection after
+        // the request was sent.
         Ok(Err(ClientError::Connect(ConnectError::Disconnected(None)))) => Err(CallError::Broken),
         Ok(Err(ClientError::Connect(_) | ClientError::Url(_))) => Err(CallError::NotConnected),
         Ok(Err(_)) => Err(CallError::Broken),
     }
 }
 
-/// Reads a JSON answer whose status is a success.
+/// Reads the JSON body of a successful response.
 ///
 /// # Errors
-/// [`CallError::Status`] for another status, else as reading fails.
+/// Returns [`CallError::Status`] for any other status, or the error of [`read_any`].
 pub async fn read_answer<T: DeserializeOwned>(response: &ClientResponse) -> Result<T, CallError> {
     let status = response.status();
     if !status.is_success() {
@@ -124,7 +125,7 @@
     read_any(response).await
 }
 
-/// Reads a JSON answer whatever its status.
+/// Reads the JSON body of a response with any status.
 ///
 /// # Errors
 /// [`CallError::Broken`] or [`CallError::NotUnderstood`].
@@ -138,16 +139,16 @@
     serde_json::from_slice(&body).map_err(|_| CallError::NotUnderstood)
 }
 
-/// Gets a JSON document.
+/// Fetches a JSON document.
 ///
 /// # Errors
 /// Any [`CallError`].
 pub async fn get_json<T: DeserializeOwned>(url: &str, within: Duration) -> Result<T, CallError> {
     let request = pooled_client().await.request(Method::GET, url);
-    limit(within, exchange(request.send(), within)).await
+    with_timeout(within, exchange(request.send(), within)).await
 }
 
-/// Gets a text.
+/// Fetches a text.
 ///
 /// # Errors
 /// Any [`CallError`].
@@ -159,10 +160,10 @@
         let body = body.map_err(|_| CallError::Broken)?;
         Ok(String::from_utf8_lossy(&body).into_owned())
     };
-    limit(within, read).await
+    with_timeout(within, read).await
 }
 
-/// Posts a JSON document and reads one back.
+/// Posts a JSON document and decodes the JSON response.
 ///
 /// # Errors
 /// Any [`CallError`].
@@ -172,13 +173,13 @@
     within: Duration,
 ) -> Result<T, CallError> {
     let request = pooled_client().await.request(Method::POST, url);
-    limit(within, exchange(send_json(request, body), within)).await
+    with_timeout(within, exchange(send_json(request, body), within)).await
 }
 
 /// Sends a request with a JSON body.
 ///
 /// # Errors
-/// As the client library has it.
+/// Returns the error of the HTTP library.
 pub async fn send_json<B: Serialize>(
     request: ClientRequest,
     body: &B,
@@ -194,7 +195,7 @@
     read_answer(&response).await
 }
 
-async fn limit<T>(
+async fn with_timeout<T>(
     within: Duration,
     work: impl Future<Output = Result<T, CallError>>,
 ) -> Result<T, CallError> {
--- a/crates/tinbay-http/src/lib.rs
+++ b/crates/tinbay-http/src/lib.rs
@@ -1,4 +1,4 @@
-//! What tinbay's programs share around the HTTP library.
+//! HTTP client and server helpers that tinbay's programs share.
 
 pub mod body;
 pub mod client;
--- a/crates/tinbay-http/src/server.rs
+++ b/crates/tinbay-http/src/server.rs
@@ -1,4 +1,4 @@
-//! Starts an HTTP server on threads of its own.
+//! Starts an HTTP server on its own threads.
 
 use std::io;
 use std::net::{SocketAddr, TcpListener};
@@ -10,10 +10,11 @@
 use ntex::time::Seconds;
 use ntex::web::{App, HttpServer, ServiceConfig};
 
-/// A request's headers must have arrived by then.
-const HEADERS_WITHIN: Seconds = Seconds(10);
+/// Time within which a request's headers must arrive.
+const HEADER_TIMEOUT: Seconds = Seconds(10);
 
-/// An idle connection is kept this long; callers' pools keep theirs for less.
+/// Time for which an idle connection is kept open; longer than in callers' connection pools, so that
+/// the callers close it first.
 const KEEP_ALIVE: Seconds = Seconds(75);
 
 /// A server that runs until it is stopped or dropped.
@@ -24,12 +25,12 @@
 }
 
 impl ServerHandle {
-    /// The address it listens on.
+    /// Returns the address that the server listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Stops it and waits for its threads; connections are closed.
+    /// Stops the server, closes its connections and waits for its threads.
     pub fn stop(mut self) {
         self.end();
     }
@@ -45,7 +46,8 @@
         let Some(thread) = self.thread.take() else {
             return;
         };
-        // Only sending the order matters; the thread's end is awaited below.
+        // The future is dropped, as calling `stop` already sends the command and the thread is joined
+        // below.
         drop(self.server.stop(false));
         let _ = thread.join();
     }
@@ -57,10 +59,10 @@
     }
 }
 
-/// Starts a server whose routes and state `configure` sets up, once a worker thread.
+/// Starts a server. `configure` sets up its routes and state and is called once per worker thread.
 ///
 /// # Errors
-/// When the listener's address cannot be read, or the server cannot start.
+/// Returns an error if the listener's address can't be read or the server can't start.
 pub fn start_server<C>(
     name: &str,
     listener: TcpListener,
@@ -103,7 +105,7 @@
         };
         let http = HttpServiceConfig::new()
             .set_keepalive(KEEP_ALIVE)
-            .set_client_timeout(HEADERS_WITHIN);
+            .set_client_timeout(HEADER_TIMEOUT);
         let bound = HttpServer::new(factory)
             .workers(workers)
             .disable_signals()
--- a/crates/tinbay-http/src/stream.rs
+++ b/crates/tinbay-http/src/stream.rs
@@ -9,20 +9,20 @@
 use tokio::sync::mpsc;
 
 /// Longest line accepted from a peer.
-const MAX_LINE: usize = 4 * 1024 * 1024;
+const MAX_LINE_BYTES: usize = 4 * 1024 * 1024;
 
 /// Why a streamed body ended early.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum StreamError {
-    /// The connection broke.
+    /// The connection failed.
     #[error("stream broke")]
     Broken,
-    /// A line is longer than any peer sends.
+    /// A line is longer than the allowed maximum.
     #[error("line too long")]
     LineTooLong,
 }
 
-/// Splits bytes into lines, whatever pieces they arrive in.
+/// Splits a byte stream into lines, independent of how the bytes are divided into chunks.
 #[derive(Debug, Default)]
 pub struct LineDecoder {
     pending: Vec<u8>,
@@ -33,16 +33,16 @@
     /// Adds bytes.
     ///
     /// # Errors
-    /// [`StreamError::LineTooLong`].
+    /// Returns [`StreamError::LineTooLong`].
     pub fn push(&mut self, bytes: &[u8]) -> Result<(), StreamError> {
         self.pending.extend_from_slice(bytes);
-        if self.pending.len() > MAX_LINE && !self.pending[self.searched..].contains(&b'\n') {
+        if self.pending.len() > MAX_LINE_BYTES && !self.pending[self.searched..].contains(&b'\n') {
             return Err(StreamError::LineTooLong);
         }
         Ok(())
     }
 
-    /// Takes the next whole line, without its end.
+    /// Removes and returns the next complete line without its line ending.
     pub fn next_line(&mut self) -> Option<Vec<u8>> {
         let found = self.pending[self.searched..]
             .iter()
@@ -70,7 +70,7 @@
 }
 
 impl LineReader {
-    /// Reads from a payload.
+    /// Creates a reader of a payload.
     pub fn new(payload: Payload) -> Self {
         Self {
             payload,
@@ -78,7 +78,7 @@
         }
     }
 
-    /// The next line, or nothing at the end.
+    /// Returns the next line, or `None` at the end.
     ///
     /// # Errors
     /// [`StreamError`] when the connection breaks.
@@ -95,7 +95,7 @@
         }
     }
 
-    /// The data of the next server-sent event, or nothing at the end.
+    /// Returns the data of the next server-sent event, or `None` at the end.
     ///
     /// # Errors
     /// [`StreamError`] when the connection breaks.
@@ -115,21 +115,21 @@
     Bytes::from(format!("data: {data}\n\n"))
 }
 
-/// The sending side of a streamed response; sending fails when the peer has gone.
+/// The sending side of a streamed response; sending fails once the peer has disconnected.
 pub type BodySender = mpsc::Sender<Bytes>;
 
 /// A streamed response body.
 pub type BodyReceiver = Pin<Box<dyn Stream<Item = Result<Bytes, Infallible>>>>;
 
-/// Pieces that may wait for a slow reader.
-const BODY_DEPTH: usize = 64;
+/// Number of chunks that are buffered for a slow reader.
+const BODY_CHANNEL_CAPACITY: usize = 64;
 
-/// A channel whose receiving side is a response body.
+/// Creates a channel whose receiving side is a response body.
 pub fn body_channel() -> (BodySender, BodyReceiver) {
-    let (sender, receiver) = mpsc::channel(BODY_DEPTH);
+    let (sender, receiver) = mpsc::channel(BODY_CHANNEL_CAPACITY);
     let stream = futures_util::stream::unfold(receiver, |mut receiver| async move {
-        let piece = receiver.recv().await?;
-        Some((Ok(piece), receiver))
+        let chunk = receiver.recv().await?;
+        Some((Ok(chunk), receiver))
     });
     (sender, Box::pin(stream))
 }
