--- a/crates/tinbay-gateway/src/watch/source.rs
+++ b/crates/tinbay-gateway/src/watch/source.rs
@@ -116,7 +116,7 @@
     }
     sources.check_turn(node, turn)?;
     let confirmed_ms = node.now_ms();
-    let late_ms = turn.patience_ms();
+    let late_ms = turn.delay_limit_ms();
     let watched = node.store.watch(prefix, after, pace.wait_ms, late_ms).await;
     if watched.is_ok() {
         let took_ms = node.now_ms() - confirmed_ms;
@@ -227,7 +227,7 @@
     tried_ms: Cell<Option<Millis>>,
     seen_ms: Cell<Option<Millis>>,
     is_failing: Cell<bool>,
-    patience_ms: Cell<Millis>,
+    delay_limit_ms: Cell<Millis>,
 }
 
 impl Default for StoreTurn {
@@ -236,24 +236,24 @@
             tried_ms: Cell::default(),
             seen_ms: Cell::default(),
             is_failing: Cell::default(),
-            patience_ms: Cell::new(MIN_DELAY_LIMIT_MS),
+            delay_limit_ms: Cell::new(MIN_DELAY_LIMIT_MS),
         }
     }
 }
 
 impl StoreTurn {
     /// Time that an answer to a watch may take beyond its wait before the call is given up.
-    pub fn patience_ms(&self) -> Millis {
-        self.patience_ms.get()
+    pub fn delay_limit_ms(&self) -> Millis {
+        self.delay_limit_ms.get()
     }
 
     /// Adapts the allowed delay to the delay of the last answer beyond its wait. An answer with
     /// changes comes before the end of the wait and is ignored.
     pub fn note_late(&self, late_ms: Millis) {
         if late_ms > 0 {
-            let patience_ms = (late_ms as f64 * DELAY_LIMIT_FACTOR) as Millis;
-            let patience_ms = patience_ms.clamp(MIN_DELAY_LIMIT_MS, MAX_DELAY_LIMIT_MS);
-            self.patience_ms.set(patience_ms);
+            let delay_limit_ms = (late_ms as f64 * DELAY_LIMIT_FACTOR) as Millis;
+            let delay_limit_ms = delay_limit_ms.clamp(MIN_DELAY_LIMIT_MS, MAX_DELAY_LIMIT_MS);
+            self.delay_limit_ms.set(delay_limit_ms);
         }
     }
 
@@ -289,8 +289,9 @@
             Err(error) => {
                 self.is_failing.set(true);
                 if *error == StoreError::NoAnswer {
-                    let patience_ms = self.patience_ms.get() * 2;
-                    self.patience_ms.set(patience_ms.min(MAX_DELAY_LIMIT_MS));
+                    let delay_limit_ms = self.delay_limit_ms.get() * 2;
+                    self.delay_limit_ms
+                        .set(delay_limit_ms.min(MAX_DELAY_LIMIT_MS));
                 }
             }
         }
--- a/crates/tinbay-gateway/tests/asking_test.rs
+++ b/crates/tinbay-gateway/tests/asking_test.rs
@@ -106,14 +106,17 @@
 #[test]
 fn patience_grows_with_a_slow_store_and_falls_again() {
     let turn = StoreTurn::default();
-    let least_ms = turn.patience_ms();
+    let least_ms = turn.delay_limit_ms();
     let no_answer = || turn.note::<()>(Err(StoreError::NoAnswer), 0);
     assert!(no_answer().is_err());
-    assert_eq!(turn.patience_ms(), 2 * least_ms);
+    assert_eq!(turn.delay_limit_ms(), 2 * least_ms);
     turn.note_late(600);
-    assert!(turn.patience_ms() > 1_200);
+    assert!(turn.delay_limit_ms() > 1_200);
     turn.note_late(0);
-    assert!(turn.patience_ms() > 1_200, "an early answer tells nothing");
+    assert!(
+        turn.delay_limit_ms() > 1_200,
+        "an early answer tells nothing"
+    );
     turn.note_late(3);
-    assert_eq!(turn.patience_ms(), least_ms);
+    assert_eq!(turn.delay_limit_ms(), least_ms);
 }
