--- a/crates/tinbay-gateway/src/crashes/check.rs
+++ b/crates/tinbay-gateway/src/crashes/check.rs
@@ -63,7 +63,7 @@
 async fn check(node: Rc<Node>, server: Rc<Server>) {
     let is_planned = !is_expected_to_run(&node, &server);
     tokio::time::sleep(CHECK_DELAY).await;
-    let outcome = if server.pool.has_live_rest() {
+    let outcome = if server.pool.has_open_idle() {
         ProbeOutcome::Takes
     } else {
         probe(server.record().address, PROBE_TIMEOUT).await
--- a/crates/tinbay-gateway/src/http/pool.rs
+++ b/crates/tinbay-gateway/src/http/pool.rs
@@ -233,7 +233,7 @@
     }
 
     /// Whether any idle connection is still open; drops the closed ones.
-    pub fn has_live_rest(&self) -> bool {
+    pub fn has_open_idle(&self) -> bool {
         let mut idle = self.idle.borrow_mut();
         idle.retain(|kept| !kept.connection.sender.is_closed());
         !idle.is_empty()
