--- a/crates/tinbay-gateway/src/front/listener.rs
+++ b/crates/tinbay-gateway/src/front/listener.rs
@@ -23,7 +23,7 @@
 use super::request_log::{self, Ending};
 use crate::events::{self, part};
 use crate::http::body::AnswerBody;
-use crate::http::buffers::bound_unsent;
+use crate::http::buffers::limit_unsent_bytes;
 use crate::http::pump::{AnswerTerms, WatchedAnswer};
 use crate::http::silence::end_when_silent;
 use crate::latch::Latch;
@@ -65,7 +65,7 @@
 
 /// Accepts callers' connections until the box closes.
 pub async fn listen(node: Rc<Node>, listener: TcpListener) {
-    bound_unsent(&listener);
+    limit_unsent_bytes(&listener);
     loop {
         // `closing` is polled first, and an accepted connection is counted at once, because the box
         // exits when it counts no open connection. Otherwise a connection accepted after that count
--- a/crates/tinbay-gateway/src/http/buffers.rs
+++ b/crates/tinbay-gateway/src/http/buffers.rs
@@ -33,7 +33,7 @@
 }
 
 /// Limits the kernel's unsent bytes on all connections that a listener accepts from callers.
-pub fn bound_unsent(listener: &impl AsFd) {
+pub fn limit_unsent_bytes(listener: &impl AsFd) {
     let socket = SockRef::from(listener);
     if let Err(error) = socket.set_tcp_notsent_lowat(UNSENT_BYTES) {
         log::debug!("could not limit the socket buffers of caller connections: {error}");
