--- a/crates/tinbay-gateway/src/run.rs
+++ b/crates/tinbay-gateway/src/run.rs
@@ -77,7 +77,7 @@
 const DRAIN_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Interface to the platform that the box runs in.
-pub trait Surrounding {
+pub trait Environment {
     /// Path of the settings file.
     fn settings_path(&self) -> PathBuf;
 
@@ -112,7 +112,7 @@
 ///
 /// # Errors
 /// When the file can't be read or is not valid.
-pub fn read_settings(environment: &dyn Surrounding) -> Result<Settings, GatewayError> {
+pub fn read_settings(environment: &dyn Environment) -> Result<Settings, GatewayError> {
     let text =
         std::fs::read_to_string(environment.settings_path()).map_err(GatewayError::SettingsFile)?;
     Ok(environment.decode_settings(&text)?)
@@ -122,7 +122,7 @@
 ///
 /// # Errors
 /// When it can't start.
-pub fn run(environment: &dyn Surrounding) -> Result<(), GatewayError> {
+pub fn run(environment: &dyn Environment) -> Result<(), GatewayError> {
     let settings = read_settings(environment)?;
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -132,7 +132,7 @@
     local.block_on(&runtime, run_node(environment, settings))
 }
 
-async fn run_node(environment: &dyn Surrounding, settings: Settings) -> Result<(), GatewayError> {
+async fn run_node(environment: &dyn Environment, settings: Settings) -> Result<(), GatewayError> {
     let node = Rc::new(Node::new(
         settings.clone(),
         environment.dialect(),
@@ -210,7 +210,7 @@
 }
 
 /// Reads the settings again on SIGHUP, and when the file has changed without one.
-async fn handle_reloads(node: &Node, environment: &dyn Surrounding, mut reload: Signal) {
+async fn handle_reloads(node: &Node, environment: &dyn Environment, mut reload: Signal) {
     let mut last = std::fs::read_to_string(environment.settings_path()).unwrap_or_default();
     loop {
         let is_asked = tokio::select! {
@@ -233,7 +233,7 @@
 }
 
 /// Applies changed bounds; other changes need a restart. Invalid settings are ignored.
-fn reload_settings(node: &Node, environment: &dyn Surrounding, text: &str) {
+fn reload_settings(node: &Node, environment: &dyn Environment, text: &str) {
     let mut event = ReloadEvent {
         error: None,
         needs_restart: false,
