--- a/crates/tinbay-gateway/src/members.rs
+++ b/crates/tinbay-gateway/src/members.rs
@@ -178,7 +178,7 @@
 
     /// Records a box's report of the silent boxes in its zone; boxes that it does not name are no
     /// longer silent. Returns whether a box is newly silent.
-    pub fn note_zone_word(
+    pub fn note_zone_report(
         &mut self,
         reporter: &str,
         silent: &[Fingerprint],
--- a/crates/tinbay-gateway/src/peers/inbox.rs
+++ b/crates/tinbay-gateway/src/peers/inbox.rs
@@ -148,7 +148,7 @@
 fn handle_zone_report(node: &Node, speaker: &str, report: &ZoneReportPart, now_ms: Millis) {
     handle_zones_heard(node, &report.zones_heard, now_ms);
     let mut members = node.members.borrow_mut();
-    let is_news = members.note_zone_word(speaker, &report.silent, now_ms);
+    let is_news = members.note_zone_report(speaker, &report.silent, now_ms);
     drop(members);
     if is_news {
         gossip::post_silent(node);
--- a/crates/tinbay-gateway/tests/members_test.rs
+++ b/crates/tinbay-gateway/tests/members_test.rs
@@ -43,8 +43,8 @@
 fn note_zone_word_box_of_other_zone_is_not_up() {
     let mut members = members();
     let silent = [box_fingerprint("far-2")];
-    assert!(members.note_zone_word("far-1", &silent, 5_000));
-    assert!(!members.note_zone_word("far-1", &silent, 5_500));
+    assert!(members.note_zone_report("far-1", &silent, 5_000));
+    assert!(!members.note_zone_report("far-1", &silent, 5_500));
     assert!(!is_up(&members, "far-2", 5_500));
     assert!(is_up(&members, "far-1", 5_500));
     assert_eq!(members.silent_far(5_700), vec![(silent[0], 200)]);
@@ -53,8 +53,8 @@
 #[test]
 fn note_zone_word_ends_with_the_next_that_does_not_name_it() {
     let mut members = members();
-    members.note_zone_word("far-1", &[box_fingerprint("far-2")], 5_000);
-    members.note_zone_word("far-1", &[], 5_500);
+    members.note_zone_report("far-1", &[box_fingerprint("far-2")], 5_000);
+    members.note_zone_report("far-1", &[], 5_500);
     assert!(is_up(&members, "far-2", 5_500));
 }
 
@@ -63,7 +63,7 @@
 #[test]
 fn note_zone_word_lapses() {
     let mut members = members();
-    members.note_zone_word("far-1", &[box_fingerprint("far-2")], 5_000);
+    members.note_zone_report("far-1", &[box_fingerprint("far-2")], 5_000);
     assert!(!is_up(&members, "far-2", 7_400));
     assert!(is_up(&members, "far-2", 7_500));
     assert!(members.silent_far(7_500).is_empty());
@@ -72,7 +72,7 @@
 #[test]
 fn put_entry_ends_the_silence_report() {
     let mut members = members();
-    members.note_zone_word("far-1", &[box_fingerprint("far-2")], 5_000);
+    members.note_zone_report("far-1", &[box_fingerprint("far-2")], 5_000);
     members.put("far-2", record("z2"), 5_100);
     assert!(is_up(&members, "far-2", 5_100));
 }
@@ -137,7 +137,7 @@
 #[test]
 fn judge_speakers_last_speaker_of_a_silent_zone() {
     let mut members = members();
-    members.note_zone_word("far-1", &[], 1_000);
+    members.note_zone_report("far-1", &[], 1_000);
     keep_in_touch(&mut members, 0, 4_000);
     members.judge_speakers(3_900);
     assert!(is_up(&members, "far-1", 3_900));
@@ -150,7 +150,7 @@
 #[test]
 fn judge_speakers_not_while_others_hear_the_zone() {
     let mut members = members();
-    members.note_zone_word("far-1", &[], 1_000);
+    members.note_zone_report("far-1", &[], 1_000);
     members.hear_zone_at(zone_fingerprint("z2"), 3_500);
     keep_in_touch(&mut members, 0, 4_500);
     members.judge_speakers(4_500);
