--- a/crates/tinbay-gateway/src/members.rs
+++ b/crates/tinbay-gateway/src/members.rs
@@ -230,7 +230,7 @@
     }
 
     /// Records the box that is expected to report for its zone, if no box has reported for it yet.
-    pub fn expect_speaker(&mut self, id: &str, now_ms: Millis) {
+    pub fn expect_zone_reporter(&mut self, id: &str, now_ms: Millis) {
         let Some(zone) = self.zone_of(id) else {
             return;
         };
--- a/crates/tinbay-gateway/src/peers/gossip.rs
+++ b/crates/tinbay-gateway/src/peers/gossip.rs
@@ -58,7 +58,7 @@
             .iter()
             .filter_map(|relays| relays.first())
         {
-            members.expect_speaker(speaker, now_ms);
+            members.expect_zone_reporter(speaker, now_ms);
         }
         members.judge_speakers(now_ms);
     }
--- a/crates/tinbay-gateway/tests/members_test.rs
+++ b/crates/tinbay-gateway/tests/members_test.rs
@@ -162,8 +162,8 @@
 fn expect_speaker_zone_that_never_spoke() {
     let mut members = members();
     keep_in_touch(&mut members, 0, 4_000);
-    members.expect_speaker("far-1", 1_000);
-    members.expect_speaker("far-2", 1_500);
+    members.expect_zone_reporter("far-1", 1_000);
+    members.expect_zone_reporter("far-2", 1_500);
     members.judge_speakers(3_900);
     assert!(is_up(&members, "far-1", 3_900));
     members.judge_speakers(4_000);
