--- a/crates/tinbay-gateway/src/members.rs
+++ b/crates/tinbay-gateway/src/members.rs
@@ -247,7 +247,7 @@
 
     /// Marks the last reporting box of each zone that stopped reporting as silent: in a zone of one
     /// box no other box can report it.
-    pub fn judge_speakers(&mut self, now_ms: Millis) {
+    pub fn judge_zone_reporters(&mut self, now_ms: Millis) {
         if !self.can_judge(now_ms) {
             return;
         }
--- a/crates/tinbay-gateway/src/peers/gossip.rs
+++ b/crates/tinbay-gateway/src/peers/gossip.rs
@@ -60,7 +60,7 @@
         {
             members.expect_zone_reporter(speaker, now_ms);
         }
-        members.judge_speakers(now_ms);
+        members.judge_zone_reporters(now_ms);
     }
     let report = {
         let members = node.members.borrow();
--- a/crates/tinbay-gateway/tests/members_test.rs
+++ b/crates/tinbay-gateway/tests/members_test.rs
@@ -139,9 +139,9 @@
     let mut members = members();
     members.note_zone_report("far-1", &[], 1_000);
     keep_in_touch(&mut members, 0, 4_000);
-    members.judge_speakers(3_900);
+    members.judge_zone_reporters(3_900);
     assert!(is_up(&members, "far-1", 3_900));
-    members.judge_speakers(4_000);
+    members.judge_zone_reporters(4_000);
     assert!(!is_up(&members, "far-1", 4_000));
     assert!(is_up(&members, "far-2", 4_000));
 }
@@ -153,7 +153,7 @@
     members.note_zone_report("far-1", &[], 1_000);
     members.hear_zone_at(zone_fingerprint("z2"), 3_500);
     keep_in_touch(&mut members, 0, 4_500);
-    members.judge_speakers(4_500);
+    members.judge_zone_reporters(4_500);
     assert!(is_up(&members, "far-1", 4_500));
 }
 
@@ -164,9 +164,9 @@
     keep_in_touch(&mut members, 0, 4_000);
     members.expect_zone_reporter("far-1", 1_000);
     members.expect_zone_reporter("far-2", 1_500);
-    members.judge_speakers(3_900);
+    members.judge_zone_reporters(3_900);
     assert!(is_up(&members, "far-1", 3_900));
-    members.judge_speakers(4_000);
+    members.judge_zone_reporters(4_000);
     assert!(!is_up(&members, "far-1", 4_000));
     assert!(is_up(&members, "far-2", 4_000));
 }
