--- a/crates/tinbay-core/src/engine/settings.rs
+++ b/crates/tinbay-core/src/engine/settings.rs
@@ -10,7 +10,8 @@
     pub swap_patience_ms: Millis,
     /// Share of the slots, from 0 to 1, that batch work may hold while urgent work needs the others.
     pub batch_slot_share: f64,
-    /// Batch places reserved for urgent work.
+    /// Number of places in the engine's batch that only urgent work may take. A batch with a single
+    /// place has no reserve.
     pub urgent_reserve: u32,
     /// One in this many dispatches goes to batch work that would otherwise be late.
     pub late_every: u32,
--- a/crates/tinbay-core/src/limits/terms.rs
+++ b/crates/tinbay-core/src/limits/terms.rs
@@ -48,8 +48,9 @@
 /// Seconds' worth of units by which those boxes may overdraw in addition.
 const SERVER_OVERDRAFT_S: f64 = 0.5;
 
-/// Assumed ratio of a server's request rate before it announced a limit to that limit. Sending stops
-/// for this multiple of the part of the window that lies before the announcement.
+/// A server is assumed to have received requests at this multiple of its limit before it announced
+/// the limit. To make up for them, sending stops for this multiple of the part of the window that
+/// lies before the announcement.
 const PRIOR_RATE_RATIO: f64 = 3.0;
 
 /// The home of a server's limit never drops its saved units: its bucket holds one or two requests,
--- a/crates/tinbay-core/src/serving/contents/mod.rs
+++ b/crates/tinbay-core/src/serving/contents/mod.rs
@@ -414,8 +414,9 @@
         self.held.values().filter(is_loading).count()
     }
 
-    /// Resolves the outcome of an order whose last answer followed `unanswered` attempts without
-    /// one.
+    /// Returns the outcome of an order from its last answer and the number of attempts before it
+    /// that got no answer, `unanswered`. A conflict may prove that one of those attempts was
+    /// accepted.
     pub fn settle(
         &mut self,
         action: &Action,
--- a/crates/tinbay-core/src/serving/idle_reuse.rs
+++ b/crates/tinbay-core/src/serving/idle_reuse.rs
@@ -24,8 +24,9 @@
 /// Upper bound of the idle limit.
 pub const MOST_MS: Millis = 8_000;
 
-/// Most unanswered requests that may run only once on connections that were idle longer than
-/// [`START_MS`]: as many are lost if all connections break silently at once.
+/// Upper bound of the requests without an answer yet that may run only once and were sent on
+/// connections idle for longer than [`START_MS`]. If all connections break silently at once, this
+/// many are lost.
 pub const MOST_AT_STAKE: usize = 4;
 
 /// Successful reuses after a loss before the idle limit may grow again.
--- a/crates/tinbay-core/src/serving/pacing.rs
+++ b/crates/tinbay-core/src/serving/pacing.rs
@@ -93,8 +93,9 @@
         true
     }
 
-    /// The least quota within the window: an increase takes effect only when all loads that another
-    /// holder began under its share of it have left the window.
+    /// Returns the least quota within the window. An increase was part of another holder's quota
+    /// before, so it takes effect only when all loads that the other holder began under it have
+    /// left the window.
     fn effective_quota(&mut self, quota: usize, start_ms: Millis, now_ms: Millis) -> usize {
         if self.quotas.back().is_none_or(|last| last.quota != quota) {
             self.quotas.push_back(QuotaChange {
--- a/crates/tinbay-core/src/serving/subscribers.rs
+++ b/crates/tinbay-core/src/serving/subscribers.rs
@@ -20,8 +20,8 @@
 /// How long after receiving a status a box may send requests without another query.
 pub const FRESH_MS: Millis = 300;
 
-/// How long a box that asked for an adapter is notified of it; boxes whose requests still wait ask
-/// again within this time.
+/// Time after a box asked for an adapter during which it is notified when the adapter becomes
+/// ready. Boxes whose requests still wait ask again within this time.
 const WAIT_EXPIRY_MS: Millis = 1_000;
 
 /// Half-life of the average time to the first byte.
--- a/crates/tinbay-core/src/sharing/room.rs
+++ b/crates/tinbay-core/src/sharing/room.rs
@@ -20,8 +20,8 @@
 /// How long an admitted request counts as running before its box reports that it started.
 const ADMITTED_LIFE_MS: Millis = 250;
 
-/// A waiting request whose box has not repeated it for this long is dropped: the caller or the box
-/// is gone.
+/// Time after which a waiting request is dropped if its box has not repeated it: the caller or the
+/// box is gone.
 const ABANDONED_AFTER_MS: Millis = 450;
 
 /// Upper bound of the requests waiting for one server. A server has some tens of slots at most, so
--- a/crates/tinbay-gateway/src/limits/home.rs
+++ b/crates/tinbay-gateway/src/limits/home.rs
@@ -38,7 +38,7 @@
     /// Selected box.
     pub home: Home,
     /// Boxes that reported that they can't be the home. The boxes' views of the fleet can differ
-    /// for some seconds; excluded the exclusion, boxes redirected requests to each other for 2 s and
+    /// for some seconds; without the exclusion, boxes redirected requests to each other for 2 s and
     /// more. A box that only takes another one for the home is not excluded: it may be granting
     /// units to others in the meantime, and two homes grant twice the limit.
     pub excluded: Vec<Fingerprint>,
--- a/crates/tinbay-gateway/src/members.rs
+++ b/crates/tinbay-gateway/src/members.rs
@@ -21,8 +21,9 @@
 /// happens every half second. A box that has recovered is handed out again after at most this time.
 const SILENCE_REPORT_LIFE_MS: Millis = 2_500;
 
-/// Time without a report from a zone after which the box that reported last counts as silent.
-/// Longer than for boxes of the same zone, as reports from other zones are passed on in turns.
+/// Time without a report from another zone after which the box that last reported for that zone
+/// counts as silent. It is longer than `SILENT_AFTER_MS`, which applies to boxes of the same zone,
+/// as reports from other zones are passed on in turns.
 const ZONE_SILENT_AFTER_MS: Millis = 3_000;
 
 /// How long another box may still see a deleted entry: the longest time between two listings of
@@ -60,7 +61,8 @@
     pub listed: bool,
     /// When `listed` last changed.
     pub listed_changed_ms: Millis,
-    /// When any box of the zone last heard it; always absent for boxes of other zones.
+    /// When any box of this zone last heard it. Not set for boxes of other zones, but a box that
+    /// comes back under its id in another zone keeps the time.
     pub heard_ms: Option<Millis>,
     /// When its zone last reported it as silent; always absent for boxes of the same zone.
     pub silence_reported_ms: Option<Millis>,
--- a/crates/tinbay-gateway/src/orders/claiming.rs
+++ b/crates/tinbay-gateway/src/orders/claiming.rs
@@ -103,8 +103,8 @@
     }
 }
 
-/// Whether the store returned from an outage with a new era, and this box still holds the server by
-/// a proof from before and has to write its claim again.
+/// Whether this box has to write its claim on the server again. This is so if the store returned
+/// from an outage with a new era and the box still holds the server by a proof from before.
 fn needs_renewal(node: &Node, server: &Server) -> bool {
     let own_id = &node.settings.borrow().box_id;
     let claims = node.claims.borrow();
--- a/crates/tinbay-gateway/src/orders/held_server.rs
+++ b/crates/tinbay-gateway/src/orders/held_server.rs
@@ -48,7 +48,7 @@
     pub contents: RefCell<Contents>,
     /// Load requests that are not fulfilled yet.
     pub wants: RefCell<WantedLoads>,
-    /// Allocation of the server's capacity to boxes while it is scarce.
+    /// Sharing of the server's capacity among client accounts while it is scarce.
     pub room: RefCell<AdmissionQueue>,
     /// Set when the server refused a request for an adapter that it should hold.
     pub restart_check_due: Cell<bool>,
@@ -90,7 +90,8 @@
         subscribers.note_failures(UNRESPONSIVE_MISTRUST, now_ms);
     }
 
-    /// Records that the server accepted no connection, so that no box uses it for a while.
+    /// Records that the server accepted no connection. This raises the mistrust in it to the upper
+    /// bound, so that others are preferred for a while.
     pub fn note_unreachable(&self, now_ms: Millis) {
         let mut subscribers = self.subscribers.borrow_mut();
         subscribers.note_failures(MOST_MISTRUST, now_ms);
--- a/crates/tinbay-gateway/src/port/store.rs
+++ b/crates/tinbay-gateway/src/port/store.rs
@@ -86,7 +86,8 @@
     /// No response arrived. The call may have been executed or may still be.
     #[error("no answer from the store")]
     NoAnswer,
-    /// The store was not queried: other boxes read it for this one, whose own turn has not come.
+    /// The store was not queried. Other boxes read it for this box, whose turn to read it itself
+    /// has not come yet.
     #[error("the store was not asked yet")]
     NotAsked,
     /// The store rejected the call and changed nothing.
--- a/crates/tinbay-gateway/src/watch/source.rs
+++ b/crates/tinbay-gateway/src/watch/source.rs
@@ -220,8 +220,8 @@
     }
 }
 
-/// Rate limit of reads of the store: one call per pause while none succeeds, and no limit for all
-/// prefixes that share it while reads succeed.
+/// Rate limit of reads of the store, for the prefixes that share it together: one call per pause
+/// while no read succeeds. While reads succeed, none of these prefixes is limited.
 #[derive(Debug)]
 pub struct StoreTurn {
     tried_ms: Cell<Option<Millis>>,
--- a/crates/tinbay-http/src/client.rs
+++ b/crates/tinbay-http/src/client.rs
@@ -16,8 +16,8 @@
 /// Maximum number of connections of a thread to one peer.
 const CONNECTIONS_PER_PEER: usize = 4_096;
 
-/// Time after which an idle connection is closed. It is shorter than the servers' keep-alive time, so
-/// that a request is rarely sent on a connection that the server is closing.
+/// Time after which an idle connection is closed. It is shorter than the servers' keep-alive time,
+/// so that a request is rarely sent on a connection that the server is closing.
 const IDLE_TIMEOUT: Seconds = Seconds(15);
 
 /// Longest response body that is read as a whole.
@@ -65,9 +65,9 @@
     client
 }
 
-/// Returns this thread's client that opens a new connection for every call, for requests that must not
-/// be repeated: if a pooled connection is closed by the peer during the call, it is unknown whether the
-/// request was received.
+/// Returns this thread's client that opens a new connection for every call, for requests that must
+/// not be repeated: if a pooled connection is closed by the peer during the call, it is unknown
+/// whether the request was received.
 pub async fn fresh_client() -> Client {
     if let Some(client) = FRESH.with_borrow(Clone::clone) {
         return client;
@@ -105,8 +105,8 @@
     match tokio::time::timeout(within, call).await {
         Err(_) => Err(CallError::TimedOut),
         Ok(Ok(response)) => Ok(response),
-        // A disconnect without a cause is not a failed connect: the peer closed the connection after
-        // the request was sent.
+        // A disconnect without a cause is not a failed connect: the peer closed the connection
+        // after the request was sent.
         Ok(Err(ClientError::Connect(ConnectError::Disconnected(None)))) => Err(CallError::Broken),
         Ok(Err(ClientError::Connect(_) | ClientError::Url(_))) => Err(CallError::NotConnected),
         Ok(Err(_)) => Err(CallError::Broken),
--- a/crates/tinbay-http/src/server.rs
+++ b/crates/tinbay-http/src/server.rs
@@ -13,8 +13,8 @@
 /// Time within which a request's headers must arrive.
 const HEADER_TIMEOUT: Seconds = Seconds(10);
 
-/// Time for which an idle connection is kept open; longer than in callers' connection pools, so that
-/// the callers close it first.
+/// Time for which an idle connection is kept open; longer than in callers' connection pools, so
+/// that the callers close it first.
 const KEEP_ALIVE: Seconds = Seconds(75);
 
 /// A server that runs until it is stopped or dropped.
@@ -46,8 +46,8 @@
         let Some(thread) = self.thread.take() else {
             return;
         };
-        // The future is dropped, as calling `stop` already sends the command and the thread is joined
-        // below.
+        // The future is dropped, as calling `stop` already sends the command and the thread is
+        // joined below.
         drop(self.server.stop(false));
         let _ = thread.join();
     }
--- a/crates/tinbay-node/src/util/guarded.rs
+++ b/crates/tinbay-node/src/util/guarded.rs
@@ -4,11 +4,11 @@
 use std::pin::pin;
 use std::task::Poll;
 
-/// Runs `work` as long as `may_go_on` holds, asked before each of its steps; none once it no
-/// longer does.
+/// Runs `work` and calls `may_go_on` before each of its steps. Stops and returns `None` once
+/// `may_go_on` returns false.
 ///
-/// A check before the work alone is not enough: a process that is frozen in the midst of it,
-/// as while it connects, would go on after it wakes with what it may no longer do.
+/// A single check before the work is not enough: a process that is frozen during the work, for
+/// example while it connects, would wake up and continue with work that is no longer allowed.
 pub async fn while_allowed<T>(
     may_go_on: impl Fn() -> bool,
     work: impl Future<Output = T>,
--- a/crates/tinbay-wire/src/admin.rs
+++ b/crates/tinbay-wire/src/admin.rs
@@ -14,8 +14,8 @@
     Put {
         /// The object.
         object: ConfigObject,
-        /// Revision the operator last saw; 0 if the object must not exist, absent to write it at any
-        /// revision.
+        /// Revision the operator last saw; 0 if the object must not exist, absent to write it at
+        /// any revision.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         expected: Option<Revision>,
     },
--- a/crates/tinbay-wire/src/box_list.rs
+++ b/crates/tinbay-wire/src/box_list.rs
@@ -29,7 +29,8 @@
 }
 
 impl ListedBox {
-    /// Converts to a record with incarnation 0, which any record that the box itself sends supersedes.
+    /// Converts to a record with incarnation 0, which any record that the box itself sends
+    /// supersedes.
     pub fn to_record(&self) -> BoxRecord {
         BoxRecord {
             id: self.id.clone(),
--- a/crates/tinbay-wire/src/control.rs
+++ b/crates/tinbay-wire/src/control.rs
@@ -70,8 +70,8 @@
     pub engine: EngineId,
     /// The epoch.
     pub epoch: u64,
-    /// The owner at the start of the epoch, then its successors at that time, then those added since.
-    /// A box keeps its place for the whole epoch.
+    /// The owner at the start of the epoch, then its successors at that time, then those added
+    /// since. A box keeps its place for the whole epoch.
     pub boxes: Vec<BoxId>,
     /// The first owner's incarnation when it took over.
     pub incarnation: Incarnation,
@@ -100,8 +100,8 @@
         unnamed.take(places).cloned().collect()
     }
 
-    /// Returns whether it is newer than another succession of the same engine. Within an epoch, boxes
-    /// are only ever added, so the longer one is newer.
+    /// Returns whether it is newer than another succession of the same engine. Within an epoch,
+    /// boxes are only ever added, so the longer one is newer.
     pub fn is_newer_than(&self, other: &Succession) -> bool {
         (self.epoch, self.boxes.len()) > (other.epoch, other.boxes.len())
     }
--- a/crates/tinbay-wire/src/etcd.rs
+++ b/crates/tinbay-wire/src/etcd.rs
@@ -250,7 +250,8 @@
     pub range_end: Bytes,
     /// First revision to report.
     pub start_revision: Int64,
-    /// Whether to send empty responses periodically, so that the watcher knows the current revision.
+    /// Whether to send empty responses periodically, so that the watcher knows the current
+    /// revision.
     pub progress_notify: bool,
 }
 
--- a/crates/tinbay-wire/src/forward.rs
+++ b/crates/tinbay-wire/src/forward.rs
@@ -23,8 +23,9 @@
     pub wait_left_ms: Millis,
     /// Configuration revision in force on the sender.
     pub revision: Revision,
-    /// The receiver's incarnation that the sender considers the owner. A later incarnation refuses the
-    /// request: the sender abandons it once it learns of the restart, and could not tell whether it ran.
+    /// The receiver's incarnation that the sender considers the owner. A later incarnation refuses
+    /// the request: the sender abandons it once it learns of the restart, and could not tell
+    /// whether it ran.
     #[serde(default)]
     pub owner_run: Option<Incarnation>,
 }
