--- a/crates/tinbay-core/benches/decisions.rs
+++ b/crates/tinbay-core/benches/decisions.rs
@@ -1,5 +1,4 @@
-//! Cost of every decision on the request path, over sizes from a tenth to a hundred times
-//! today's, so that the growth can be read off.
+//! Cost of the decisions on the request path, over a range of sizes that shows how it grows.
 
 use std::hint::black_box;
 use std::time::Duration;
@@ -7,15 +6,15 @@
 use criterion::{BatchSize, BenchmarkId, Criterion, criterion_group, criterion_main};
 use tinbay_core::config::{Adapter, ConfigObject, ConfigStore};
 use tinbay_core::engine::{
-    Ask, EngineContents, EngineOwner, EngineShape, Event, OwnerSettings, Scheduler,
+    EngineContents, EngineOwner, EngineShape, Event, OwnerSettings, QueuedRequest, Scheduler,
 };
 use tinbay_core::ids::{BoxId, EngineId, ModelRef, RequestId, ZoneId};
 use tinbay_core::keys::{KeyTable, RequestKey};
-use tinbay_core::loads::{Allowance, LoadArbiter, LoadWish};
+use tinbay_core::loads::{Allowance, LoadArbiter, LoadRequest};
 use tinbay_core::policy::{Policy, PolicyRequest, Treatment};
 use tinbay_core::route::Router;
-use tinbay_core::sharing::room::{AskId, RoomAsk, ServerRoom};
-use tinbay_core::sharing::scarcity::Fullness;
+use tinbay_core::sharing::room::{AdmissionId, AdmissionQueue, AdmissionRequest};
+use tinbay_core::sharing::scarcity::ServerLoad;
 use tinbay_core::sharing::weights::AccountWeights;
 use tinbay_core::view::{BoxRecord, BoxState, View};
 
@@ -23,8 +22,8 @@
     ModelRef::new(format!("adapter-{number}"), "v1")
 }
 
-fn ask(id: u64, number: usize) -> Ask {
-    Ask {
+fn ask(id: u64, number: usize) -> QueuedRequest {
+    QueuedRequest {
         id: RequestId(id),
         model: model(number),
         organisation: format!("organisation-{}", number % 500),
@@ -191,16 +190,16 @@
             loads_per_s: 0.001,
             at_once: 1,
         });
-        let wish = |number: usize| LoadWish {
+        let request = |number: usize| LoadRequest {
             rank: (number % 3) as u8,
             since_ms: number as u64,
             engine: EngineId::new(format!("engine-{}", number % 100)),
             model: model(number),
         };
         for number in 0..waiting {
-            arbiter.ask(wish(number));
+            arbiter.ask(request(number));
         }
-        let wanted = wish(waiting + 1);
+        let wanted = request(waiting + 1);
         group.bench_function(BenchmarkId::from_parameter(waiting), |b| {
             b.iter(|| {
                 arbiter.ask(wanted.clone());
@@ -242,14 +241,14 @@
 fn bench_sharing(c: &mut Criterion) {
     let mut group = c.benchmark_group("sharing_ask_and_decide");
     let weights = AccountWeights::default();
-    let full = Fullness {
+    let full = ServerLoad {
         running: 15,
         slots: 12,
         backlog_ms: 0.0,
         objective_ms: 800,
     };
-    let ask = |number: u32| RoomAsk {
-        id: AskId { box_key: 1, number },
+    let ask = |number: u32| AdmissionRequest {
+        id: AdmissionId { box_key: 1, number },
         account: number % 16,
         rank: (number % 3) as u8,
         units: 1_600.0,
@@ -258,7 +257,7 @@
         digest: u64::from(number),
     };
     for waiting in [4, 16, 64] {
-        let mut room = ServerRoom::default();
+        let mut room = AdmissionQueue::default();
         for number in 0..waiting {
             room.ask(ask(number), 1_000);
         }
--- /dev/null
+++ b/crates/tinbay-core/src/handover/transitions.rs
@@ -0,0 +1,104 @@
+//! Steps of one hand-over: what to do after each answer, lost answer or refusal.
+//!
+//! A run is at one server at a time: the source is stopped before any other server is asked to
+//! resume, and no server is asked after one that may have resumed the run.
+
+/// Answer of the source to the request to stop a run and copy it.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub enum MoveAnswer {
+    /// The run's state has been copied to the target.
+    Copied {
+        /// Name of the copy at both servers.
+        handle: String,
+    },
+    /// The run is stopped but could not be copied, for lack of room or connection; the source keeps
+    /// it.
+    Kept {
+        /// Name of the stopped run.
+        handle: String,
+    },
+    /// The run continues, or has ended.
+    NotStopped,
+    /// No answer arrived: the run may have stopped.
+    Unknown,
+}
+
+impl MoveAnswer {
+    /// Name by which the run can be resumed, if there is one.
+    pub fn handle(&self) -> Option<&str> {
+        match self {
+            MoveAnswer::Copied { handle } | MoveAnswer::Kept { handle } => Some(handle),
+            MoveAnswer::NotStopped | MoveAnswer::Unknown => None,
+        }
+    }
+}
+
+/// Answer of a server that was asked to resume a run.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum ResumeAnswer {
+    /// The run continues there.
+    Resumed,
+    /// The server refused the run or no connection.
+    NotResumed,
+    /// The run may continue there; the answer was lost.
+    Unknown,
+}
+
+/// Server at which a stopped run resumes.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum Place {
+    /// Server chosen to decode the rest.
+    Target,
+    /// Server that began the run.
+    Source,
+}
+
+/// Next step of the hand-over.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub enum Step {
+    /// Ask a server to resume the run.
+    Resume {
+        /// Server to ask.
+        at: Place,
+        /// Name of the copy.
+        handle: String,
+    },
+    /// Keep reading from the source as if no hand-over had been requested.
+    Continue,
+    /// The hand-over is complete and the run continues at this server.
+    Done(Place),
+    /// The run cannot be resumed; the caller's answer is cut off.
+    Lost,
+}
+
+/// The step after the source's answer.
+pub fn after_move(answer: MoveAnswer) -> Step {
+    match answer {
+        MoveAnswer::Copied { handle } => Step::Resume {
+            at: Place::Target,
+            handle,
+        },
+        MoveAnswer::Kept { handle } => Step::Resume {
+            at: Place::Source,
+            handle,
+        },
+        // If the run has stopped after all, its stream breaks off, and there is no handle to resume
+        // it.
+        MoveAnswer::NotStopped | MoveAnswer::Unknown => Step::Continue,
+    }
+}
+
+/// The step after the answer of a server that was asked to resume.
+///
+/// A handle serves once: after a lost answer the run may be continuing at the server that was
+/// asked, so no other one may be asked.
+pub fn after_resume(at: Place, handle: &str, answer: ResumeAnswer) -> Step {
+    match (at, answer) {
+        (_, ResumeAnswer::Resumed) => Step::Done(at),
+        (Place::Target, ResumeAnswer::NotResumed) => Step::Resume {
+            at: Place::Source,
+            handle: handle.to_string(),
+        },
+        (Place::Source, ResumeAnswer::NotResumed) | (_, ResumeAnswer::Unknown) => Step::Lost,
+    }
+}
--- /dev/null
+++ b/crates/tinbay-core/src/serving/idle_reuse.rs
@@ -0,0 +1,178 @@
+//! Learns how long a pooled connection may have been idle and still carry a request that may run
+//! only once.
+//!
+//! With many boxes before many servers, one box and one server meet only every few seconds. A
+//! server may close an idle connection earlier than it announces, and a link may drop one silently;
+//! the request that is sent on such a connection is lost, as nobody can tell whether it ran. All
+//! connections of a service share one limit, as servers of a service tend to close idle connections
+//! alike.
+//!
+//! Guarantee: of the requests that may run only once and are sent on a connection that was idle
+//! longer than [`START_MS`], at most two are lost per thousand reuses, besides those already in
+//! flight at the first loss, of which there are at most [`MOST_AT_STAKE`].
+
+use super::servers::ServerKey;
+use crate::units::Millis;
+
+/// Initial idle limit.
+pub const START_MS: Millis = 500;
+
+/// Lower bound of the idle limit: no server closes a connection between two requests of one burst,
+/// so failures of connections with less idle time have other causes.
+pub const LEAST_MS: Millis = 100;
+
+/// Upper bound of the idle limit.
+pub const MOST_MS: Millis = 8_000;
+
+/// Most unanswered requests that may run only once on connections that were idle longer than
+/// [`START_MS`]: as many are lost if all connections break silently at once.
+pub const MOST_AT_STAKE: usize = 4;
+
+/// Successful reuses after a loss before the idle limit may grow again.
+pub const REUSES_A_LOSS: u32 = 1_000;
+
+/// Successful reuses near the idle limit before it is doubled.
+const SUCCESSES_TO_GROW: u32 = 4;
+
+/// Window within which silent connections of two servers count as a common failure rather than one
+/// of a single server.
+const SILENCE_WINDOW_MS: Millis = 2_000;
+
+/// Outcome of a request on a reused connection.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum ReuseOutcome {
+    /// The head of the answer arrived.
+    Answered,
+    /// The connection was closed without an answer.
+    Broken,
+    /// The connection was found closed before anything was sent.
+    FoundClosed,
+    /// No answer arrived in time.
+    Silent,
+}
+
+impl ReuseOutcome {
+    /// Name in logs and metrics.
+    pub fn name(self) -> &'static str {
+        match self {
+            ReuseOutcome::Answered => "answered",
+            ReuseOutcome::Broken => "broken",
+            ReuseOutcome::FoundClosed => "found_closed",
+            ReuseOutcome::Silent => "silent",
+        }
+    }
+}
+
+/// One reuse of an idle connection.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct Reuse {
+    /// Server of the connection.
+    pub server: ServerKey,
+    /// How long the connection had been idle.
+    pub rested_ms: Millis,
+    /// Outcome of the request.
+    pub end: ReuseOutcome,
+}
+
+/// Idle limit for the connections of one service.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct IdleReuseLimit {
+    trusted_ms: Millis,
+    /// Bound on growth until enough reuses have succeeded.
+    ceiling_ms: Millis,
+    /// Successful reuses near the limit since it last changed.
+    near_successes: u32,
+    /// Successful reuses since the last loss.
+    successes_since_loss: u32,
+    at_risk: usize,
+    silent: Option<(ServerKey, Millis)>,
+}
+
+impl Default for IdleReuseLimit {
+    fn default() -> Self {
+        Self {
+            trusted_ms: START_MS,
+            ceiling_ms: MOST_MS,
+            near_successes: 0,
+            successes_since_loss: REUSES_A_LOSS,
+            at_risk: 0,
+            silent: None,
+        }
+    }
+}
+
+impl IdleReuseLimit {
+    /// Longest idle time of a connection that may carry a request that may run only once.
+    pub fn trusted_ms(&self) -> Millis {
+        if self.at_risk < MOST_AT_STAKE {
+            self.trusted_ms
+        } else {
+            self.trusted_ms.min(START_MS)
+        }
+    }
+
+    /// Records that a request that may run only once is sent on a connection that was idle for
+    /// `rested_ms`. Returns whether it counts as at risk; if so, [`IdleReuseLimit::release`] must be
+    /// called when its outcome is known.
+    pub fn note_at_risk(&mut self, rested_ms: Millis) -> bool {
+        let is_at_risk = rested_ms > START_MS;
+        self.at_risk += usize::from(is_at_risk);
+        is_at_risk
+    }
+
+    /// Records that the outcome of a request at risk is known.
+    pub fn release(&mut self) {
+        self.at_risk = self.at_risk.saturating_sub(1);
+    }
+
+    /// Adjusts the limit after one reuse; returns whether it was reduced.
+    pub fn note(&mut self, reuse: &Reuse, now_ms: Millis) -> bool {
+        let before_ms = self.trusted_ms;
+        match reuse.end {
+            ReuseOutcome::Answered => self.note_success(reuse.rested_ms),
+            ReuseOutcome::FoundClosed => self.near_successes = 0,
+            ReuseOutcome::Broken => self.note_loss(reuse.rested_ms),
+            ReuseOutcome::Silent => self.note_silent(reuse, now_ms),
+        }
+        self.trusted_ms < before_ms
+    }
+
+    fn note_success(&mut self, rested_ms: Millis) {
+        self.successes_since_loss = self.successes_since_loss.saturating_add(1);
+        if self.successes_since_loss >= REUSES_A_LOSS {
+            self.ceiling_ms = MOST_MS;
+        }
+        if rested_ms < self.trusted_ms / 2 {
+            return;
+        }
+        self.near_successes += 1;
+        if self.near_successes >= SUCCESSES_TO_GROW {
+            self.near_successes = 0;
+            self.trusted_ms = (self.trusted_ms * 2).min(self.ceiling_ms);
+        }
+    }
+
+    fn note_loss(&mut self, rested_ms: Millis) {
+        if rested_ms <= LEAST_MS {
+            return;
+        }
+        let is_first = self.successes_since_loss >= REUSES_A_LOSS;
+        let safe_ms = if is_first { rested_ms / 2 } else { LEAST_MS };
+        self.trusted_ms = self.trusted_ms.min(safe_ms).max(LEAST_MS);
+        self.ceiling_ms = self.trusted_ms;
+        self.near_successes = 0;
+        self.successes_since_loss = 0;
+    }
+
+    /// A silent connection counts as a loss only if another server's connection fell silent as
+    /// well: a single server may have crashed, which says nothing about the others.
+    fn note_silent(&mut self, reuse: &Reuse, now_ms: Millis) {
+        let before = self.silent.replace((reuse.server, now_ms));
+        let is_shared = before.is_some_and(|(server, silent_ms)| {
+            server != reuse.server && now_ms < silent_ms + SILENCE_WINDOW_MS
+        });
+        if is_shared {
+            self.note_loss(reuse.rested_ms);
+        }
+    }
+}
--- a/crates/tinbay-core/src/serving/mod.rs
+++ b/crates/tinbay-core/src/serving/mod.rs
@@ -1,28 +1,28 @@
-//! Decisions of the direct path: a box sends requests straight to back end servers.
+//! Decisions of the direct path, on which a box sends requests straight to backend servers.
 //!
-//! Like the rest of the core this does no I/O and reads no clock: times come in as
-//! milliseconds of a monotonic clock, decisions go out as values.
+//! Like the rest of the core this does no I/O and reads no clock: times come in as milliseconds of
+//! a monotonic clock, and decisions are returned as values.
 
 pub mod budget;
 pub mod capacity;
 pub mod claims;
 pub mod configuration;
 pub mod contents;
-pub mod fading;
-pub mod homes;
+pub mod decay;
+pub mod idle_reuse;
 pub mod lateness;
 pub mod notices;
 pub mod pacing;
+pub mod placement;
 pub mod position;
+pub mod prefill;
 pub mod prompt;
-pub mod reading;
 pub mod relays;
 pub mod routes;
 pub mod server_limit;
 pub mod servers;
 pub mod spread;
-pub mod stream_sight;
+pub mod stream_timing;
 pub mod subscribers;
-pub mod trusted_rest;
 pub mod versions;
-pub mod wants;
+pub mod wanted_loads;
--- a/crates/tinbay-core/tests/common/mod.rs
+++ b/crates/tinbay-core/tests/common/mod.rs
@@ -1,13 +1,13 @@
-//! A small engine on virtual time, driven by a scheduler.
-#![allow(dead_code)] // Not every test file uses all of it.
+//! A fake engine on virtual time, driven by a scheduler.
+#![allow(dead_code)] // Not every test file uses all items.
 
 use std::collections::BTreeMap;
 
-use tinbay_core::engine::{Ask, Command, EngineContents, EngineShape, Event, Scheduler};
+use tinbay_core::engine::{Command, EngineContents, EngineShape, Event, QueuedRequest, Scheduler};
 use tinbay_core::ids::{ModelRef, RequestId};
 use tinbay_core::units::Millis;
 
-/// Time of a load and of a request in the small engine.
+/// Duration of a load and of a request in the fake engine.
 pub const LOAD_MS: Millis = 100;
 pub const RUN_MS: Millis = 50;
 
@@ -17,8 +17,14 @@
 }
 
 /// A request that waits up to `wait_ms`.
-pub fn ask(id: u64, number: usize, urgent: bool, arrived_ms: Millis, wait_ms: Millis) -> Ask {
-    Ask {
+pub fn ask(
+    id: u64,
+    number: usize,
+    urgent: bool,
+    arrived_ms: Millis,
+    wait_ms: Millis,
+) -> QueuedRequest {
+    QueuedRequest {
         id: RequestId(id),
         model: model(number),
         organisation: format!("organisation-{number}"),
@@ -29,28 +35,28 @@
     }
 }
 
-/// What became of a request.
+/// Outcome of a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Fate {
     Ran { model: ModelRef, at_ms: Millis },
     Refused { at_ms: Millis },
 }
 
-/// Drives one scheduler with a fake engine that obeys it and checks what it is told.
+/// Drives a scheduler with a fake engine that carries out its commands and checks them.
 pub struct Bench {
     pub scheduler: Box<dyn Scheduler>,
     pub fates: BTreeMap<RequestId, Fate>,
     pub loaded: Vec<ModelRef>,
-    /// Orders that no engine could follow: each is a fault of the scheduler.
+    /// Commands that no engine could carry out; each is a fault of the scheduler.
     pub faults: Vec<String>,
     pub unloads: Vec<ModelRef>,
-    asks: BTreeMap<RequestId, Ask>,
+    asks: BTreeMap<RequestId, QueuedRequest>,
     running: BTreeMap<RequestId, ModelRef>,
     due: BTreeMap<(Millis, u64), Event>,
     next: u64,
     shape: EngineShape,
     pub now_ms: Millis,
-    /// Loads that are to fail, by model.
+    /// Models whose loads fail.
     pub failing: Vec<ModelRef>,
 }
 
@@ -74,12 +80,12 @@
         bench
     }
 
-    pub fn submit(&mut self, ask: Ask) {
+    pub fn submit(&mut self, ask: QueuedRequest) {
         self.asks.insert(ask.id, ask.clone());
         self.give(Event::Submit(ask));
     }
 
-    /// Asks again for every refused request, as an entry box does at the next engine.
+    /// Submits every refused request again, as a box does at the next engine.
     pub fn submit_refused_again(&mut self) {
         let refused: Vec<RequestId> = self
             .fates
@@ -94,7 +100,7 @@
         }
     }
 
-    /// Lets time pass, ticking every 20 ms.
+    /// Advances the time, with a tick every 20 ms.
     pub fn run_until(&mut self, until_ms: Millis) {
         while self.now_ms < until_ms {
             let tick_ms = self.now_ms + 20;
@@ -112,7 +118,7 @@
         }
     }
 
-    /// The engine restarts empty: what ran has ended, orders under way fail.
+    /// Restarts the engine empty: running requests end, and loads and unloads in progress fail.
     pub fn restart(&mut self) {
         self.loaded.clear();
         let running = std::mem::take(&mut self.running);
--- a/crates/tinbay-core/tests/handover_test.rs
+++ b/crates/tinbay-core/tests/handover_test.rs
@@ -1,13 +1,14 @@
-//! Hand-over of running streams: the events that pass, when it is needed, who reads, what follows.
+//! Hand-over of running streams: scanning events, detecting the need, assigning roles, and the
+//! steps.
 
 use quickcheck::quickcheck;
-use tinbay_core::handover::course::{
+use tinbay_core::handover::events::EventScanner;
+use tinbay_core::handover::need::PrefillNeed;
+use tinbay_core::handover::reading_room::can_prefill_beside_streams;
+use tinbay_core::handover::roles::{Engine, Role, assign_roles, has_places_for_two};
+use tinbay_core::handover::transitions::{
     MoveAnswer, Place, ResumeAnswer, Step, after_move, after_resume,
 };
-use tinbay_core::handover::events::EventScanner;
-use tinbay_core::handover::need::ReadingNeed;
-use tinbay_core::handover::reading_room::reads_beside;
-use tinbay_core::handover::roles::{Engine, Role, draw_roles, has_places_for_two};
 
 const STREAM: &str = "id: 1\ndata: a\n\nweight-versions: 2\nid: 2\ndata: b\n\n";
 
@@ -29,7 +30,7 @@
 }
 
 #[test]
-fn scan_drops_the_part_that_comes_again() {
+fn drop_partial_discards_incomplete_event() {
     let mut scanner = EventScanner::default();
     scanner.scan(b"id: 1\ndata: a\n\nid: 7\nda");
     scanner.drop_partial();
@@ -38,7 +39,7 @@
 }
 
 #[test]
-fn scan_line_that_never_ends_takes_no_memory() {
+fn scan_endless_line_is_bounded() {
     let mut scanner = EventScanner::default();
     for _ in 0..10_000 {
         assert_eq!(scanner.scan(&[b'x'; 1_000]), 0);
@@ -61,22 +62,22 @@
     }
 }
 
-fn need_after(streams: usize, late_one_of: usize) -> ReadingNeed {
-    let mut need = ReadingNeed::default();
+fn need_after(streams: usize, late_one_of: usize) -> PrefillNeed {
+    let mut need = PrefillNeed::default();
     for number in 0..streams {
         need.note_stream(number % late_one_of == 0, 1_000 + number as u64 * 50);
     }
     need
 }
 
-/// Load: prompts beside streams make every second stream late.
+/// Prompts prefilled beside streams make every second stream late.
 #[test]
 fn need_shows_when_many_are_late() {
     let need = need_after(40, 2);
     assert!(need.is_needed(3_000));
 }
 
-/// Load: single streams are late, as servers fail at times.
+/// Single streams are late because servers fail at times.
 #[test]
 fn need_does_not_show_when_few_are_late() {
     let need = need_after(200, 10);
@@ -100,9 +101,9 @@
 
 #[test]
 fn reads_beside_short_prompts_alone() {
-    assert!(reads_beside(40.0, 300));
-    assert!(!reads_beside(110.0, 300));
-    assert!(!reads_beside(f64::NAN, 300));
+    assert!(can_prefill_beside_streams(40.0, 300));
+    assert!(!can_prefill_beside_streams(110.0, 300));
+    assert!(!can_prefill_beside_streams(f64::NAN, 300));
 }
 
 fn addresses(count: usize) -> Vec<String> {
@@ -133,42 +134,42 @@
 fn roles_each_zone_has_all_of_them() {
     let addresses = addresses(90);
     let engines = engines(&addresses);
-    let roles = draw_roles(&engines);
+    let roles = assign_roles(&engines);
     for zone in ["a", "b", "c", "d"] {
-        for role in [Role::Reader, Role::Home] {
+        for role in [Role::Prefill, Role::Decode] {
             let mut of_zone = engines.iter().zip(&roles);
             assert!(of_zone.any(|(engine, of)| engine.zone == zone && *of == role));
         }
     }
 }
 
-/// All boxes draw alike, in whatever order they know the servers.
+/// All boxes assign the same roles, in whatever order they know the servers.
 #[test]
 fn roles_do_not_depend_on_order() {
     let addresses = addresses(90);
     let engines = engines(&addresses);
     let mut reversed = engines.clone();
     reversed.reverse();
-    let mut roles = draw_roles(&reversed);
+    let mut roles = assign_roles(&reversed);
     roles.reverse();
-    assert_eq!(roles, draw_roles(&engines));
+    assert_eq!(roles, assign_roles(&engines));
 }
 
-/// Half of the servers are lost: the others share the roles anew.
+/// After half of the servers are lost, the others are assigned both roles again.
 #[test]
 fn roles_after_half_of_the_servers_are_lost() {
     let addresses = addresses(44);
-    let roles = draw_roles(&engines(&addresses));
-    assert!(count(&roles, Role::Reader) >= 12);
-    assert!(count(&roles, Role::Home) >= 24);
+    let roles = assign_roles(&engines(&addresses));
+    assert!(count(&roles, Role::Prefill) >= 12);
+    assert!(count(&roles, Role::Decode) >= 24);
 }
 
 #[test]
-fn roles_one_server_that_goes_moves_few() {
+fn roles_change_little_when_a_server_leaves() {
     let addresses = addresses(88);
     let engines = engines(&addresses);
-    let before = draw_roles(&engines);
-    let after = draw_roles(&engines[1..]);
+    let before = assign_roles(&engines);
+    let after = assign_roles(&engines[1..]);
     let moved = before[1..]
         .iter()
         .zip(&after)
@@ -177,14 +178,14 @@
 }
 
 #[test]
-fn roles_few_servers_serve_alike() {
+fn roles_of_few_servers_are_the_same() {
     let addresses = addresses(8);
-    let roles = draw_roles(&engines(&addresses));
-    assert_eq!(count(&roles, Role::Home), 8);
+    let roles = assign_roles(&engines(&addresses));
+    assert_eq!(count(&roles, Role::Decode), 8);
 }
 
 #[test]
-fn roles_need_places_for_adapters_at_two_engines() {
+fn roles_need_slots_for_adapters_at_two_engines() {
     assert!(has_places_for_two(0, 90, 11));
     assert!(has_places_for_two(495, 90, 11));
     assert!(!has_places_for_two(496, 90, 11));
@@ -200,7 +201,7 @@
 }
 
 #[test]
-fn course_copy_goes_on_at_the_target() {
+fn steps_copy_resumes_at_the_target() {
     let step = after_move(MoveAnswer::Copied { handle: "h".into() });
     assert_eq!(step, resume(Place::Target));
     let step = after_resume(Place::Target, "h", ResumeAnswer::Resumed);
@@ -208,28 +209,28 @@
 }
 
 #[test]
-fn course_no_room_at_the_target_goes_back() {
+fn steps_no_room_at_the_target_resumes_at_the_source() {
     let step = after_move(MoveAnswer::Kept { handle: "h".into() });
     assert_eq!(step, resume(Place::Source));
 }
 
 #[test]
-fn course_target_that_declines_goes_back() {
+fn steps_refusing_target_resumes_at_the_source() {
     let step = after_resume(Place::Target, "h", ResumeAnswer::NotResumed);
     assert_eq!(step, resume(Place::Source));
 }
 
-/// A run that may go on somewhere is asked for nowhere else.
+/// A run that may be continuing at a server is not resumed at another one.
 #[test]
-fn course_lost_answer_is_never_asked_for_again() {
+fn steps_lost_answer_is_never_retried() {
     for at in [Place::Target, Place::Source] {
         assert_eq!(after_resume(at, "h", ResumeAnswer::Unknown), Step::Lost);
     }
-    assert_eq!(after_move(MoveAnswer::Unknown), Step::GoOn);
+    assert_eq!(after_move(MoveAnswer::Unknown), Step::Continue);
 }
 
 #[test]
-fn course_nobody_takes_it_up() {
+fn steps_refusing_source_loses_the_run() {
     let step = after_resume(Place::Source, "h", ResumeAnswer::NotResumed);
     assert_eq!(step, Step::Lost);
 }
--- a/crates/tinbay-core/tests/memory_test.rs
+++ b/crates/tinbay-core/tests/memory_test.rs
@@ -1,10 +1,10 @@
-//! Decisions on memory held for requests and answers, without a network.
+//! Tests of the memory bounds for requests and answers.
 
 use quickcheck::QuickCheck;
 use tinbay_core::memory::cuts::{UnreadAnswer, first_to_cut, to_cut};
 use tinbay_core::memory::ledger::{Holder, Ledger, MemoryShort};
 use tinbay_core::memory::reader::{
-    BEHIND_AFTER_MS, CutCause, LATE_PATIENCE_MS, LONGEST_LATE_MS, ReaderSight, ReaderTerms, Taken,
+    BEHIND_AFTER_MS, CutCause, LATE_PATIENCE_MS, LONGEST_LATE_MS, ReadTracker, ReaderTerms, Taken,
     unread_limit_ms,
 };
 use tinbay_core::memory::terms::MemoryTerms;
@@ -14,7 +14,7 @@
 
 const MB: u64 = 1_000_000;
 
-/// A box as the platform gives it.
+/// Memory of a box on the platform.
 const MEMORY_MB: f64 = 260.0;
 
 const GREEDY: Option<u32> = Some(1);
@@ -84,7 +84,7 @@
     assert_eq!(ledger.admit(&terms(), holder(Some(3), 3), MB), Ok(()));
 }
 
-/// Whatever is added and taken off again, the sums agree and end at nothing.
+/// For any sequence of additions and removals, the sums agree and return to 0.
 #[test]
 fn ledger_sums_agree() {
     fn agree(steps: Vec<(u8, u8, u16)>) -> bool {
@@ -149,7 +149,8 @@
     assert_eq!(first_to_cut(&[]), None);
 }
 
-/// No more is cut than the excess asks for, and as much where there is enough.
+/// The selected answers free the excess, if all answers together suffice, and no answer is selected
+/// needlessly.
 #[test]
 fn to_cut_frees_what_is_asked() {
     fn frees(held: Vec<(u8, u16, u16)>, excess_bytes: u32) -> bool {
@@ -190,7 +191,7 @@
 
 #[test]
 fn is_behind_reader_that_waits_for_more() {
-    let mut sight = ReaderSight::begin(0);
+    let mut sight = ReadTracker::begin(0);
     let waits = true;
     sight.look(Taken { bytes: 10, waits }, 1_000);
     sight.look(Taken { bytes: 10, waits }, 60_000);
@@ -199,7 +200,7 @@
 
 #[test]
 fn is_behind_reader_that_takes_nothing() {
-    let mut sight = ReaderSight::begin(0);
+    let mut sight = ReadTracker::begin(0);
     sight.look(taken(10), 50);
     sight.look(taken(10), 50 + BEHIND_AFTER_MS - 1);
     assert!(!sight.is_behind(50 + BEHIND_AFTER_MS - 1));
@@ -208,15 +209,15 @@
 
 #[test]
 fn judge_nothing_read_for_as_long_as_the_route_allows() {
-    let sight = ReaderSight::begin(0);
+    let sight = ReadTracker::begin(0);
     assert_eq!(sight.judge(&READER, false, 1_999), None);
     assert_eq!(sight.judge(&READER, false, 2_000), Some(CutCause::Unread));
 }
 
-/// A caller takes 100 bytes each second: its request ends by its time, not later and not sooner.
+/// The answer of a caller that reads 100 bytes per second is aborted exactly at the deadline.
 #[test]
 fn judge_slow_trickle_reader() {
-    let mut sight = ReaderSight::begin(0);
+    let mut sight = ReadTracker::begin(0);
     let mut cut = None;
     for step in 1..600 {
         let now_ms: Millis = step * 100;
@@ -232,14 +233,14 @@
 
 #[test]
 fn judge_whole_answer_waits_for_its_caller_until_its_time() {
-    let sight = ReaderSight::begin(0);
+    let sight = ReadTracker::begin(0);
     assert_eq!(sight.judge(&READER, true, 4_999), None);
     assert_eq!(sight.judge(&READER, true, 5_000), Some(CutCause::Unread));
 }
 
 #[test]
 fn judge_whole_answer_is_delivered_late() {
-    let mut sight = ReaderSight::begin(0);
+    let mut sight = ReadTracker::begin(0);
     for step in 1..=60 {
         let now_ms: Millis = step * 100;
         sight.look(taken(now_ms), now_ms);
@@ -249,7 +250,7 @@
 
 #[test]
 fn judge_whole_answer_late_and_unread() {
-    let mut sight = ReaderSight::begin(0);
+    let mut sight = ReadTracker::begin(0);
     sight.look(taken(1), 5_000);
     assert_eq!(sight.judge(&READER, true, 5_000), None);
     let end_ms = 5_000 + LATE_PATIENCE_MS;
@@ -258,7 +259,7 @@
 
 #[test]
 fn judge_whole_answer_trickled_for_too_long() {
-    let mut sight = ReaderSight::begin(0);
+    let mut sight = ReadTracker::begin(0);
     let end_ms = READER.time_up_ms + LONGEST_LATE_MS;
     sight.look(taken(1), end_ms - 1);
     assert_eq!(sight.judge(&READER, true, end_ms - 1), None);
@@ -266,10 +267,10 @@
     assert_eq!(sight.judge(&READER, true, end_ms), Some(CutCause::TimeUp));
 }
 
-/// A caller who always takes some and never stands still: it ends as well.
+/// The answer of a caller that never stops reading is aborted as well.
 #[test]
 fn is_overdue_steady_reader() {
-    let mut sight = ReaderSight::begin(0);
+    let mut sight = ReadTracker::begin(0);
     let end_ms = READER.time_up_ms + LONGEST_LATE_MS;
     for now_ms in (0..end_ms).step_by(50) {
         sight.look(taken(now_ms), now_ms);
--- a/crates/tinbay-core/tests/serving_pacing_test.rs
+++ b/crates/tinbay-core/tests/serving_pacing_test.rs
@@ -1,9 +1,9 @@
-//! The weight store's allowance: never more loads within any window than allowed.
+//! The weight store's allowance: no window holds more loads than allowed.
 
 use std::collections::BTreeMap;
 
 use quickcheck::QuickCheck;
-use tinbay_core::serving::pacing::{LoadBound, LoadPace, deal};
+use tinbay_core::serving::pacing::{LoadBound, LoadQuotaCounter, split_quotas};
 
 const BOUND: LoadBound = LoadBound {
     window_ms: 5_000,
@@ -26,22 +26,22 @@
 }
 
 #[test]
-fn deal_gives_out_all_and_no_more() {
-    let quotas = deal(54, &engines(&[3, 3, 5, 1, 2, 4]));
+fn deal_distributes_all_and_no_more() {
+    let quotas = split_quotas(54, &engines(&[3, 3, 5, 1, 2, 4]));
     assert_eq!(quotas.values().sum::<usize>(), 54);
     assert_eq!(quotas["box-2"], 15);
 }
 
 #[test]
 fn deal_without_engines_is_empty() {
-    assert!(deal(54, &BTreeMap::new()).is_empty());
+    assert!(split_quotas(54, &BTreeMap::new()).is_empty());
 }
 
 #[test]
 fn deal_same_for_every_box() {
     fn property(counts: Vec<u8>) -> bool {
         let counts: Vec<usize> = counts.iter().map(|count| usize::from(count % 20)).collect();
-        let quotas = deal(54, &engines(&counts));
+        let quotas = split_quotas(54, &engines(&counts));
         let total: usize = counts.iter().sum();
         let dealt: usize = quotas.values().sum();
         dealt == if total == 0 { 0 } else { 54 }
@@ -49,7 +49,8 @@
     QuickCheck::new().quickcheck(property as fn(Vec<u8>) -> bool);
 }
 
-/// All holders take whenever they may, from any start; every window holds no more than allowed.
+/// All holders take loads whenever they may, starting at arbitrary times; no window holds more
+/// loads than allowed.
 #[test]
 fn take_never_exceeds_window() {
     fn property(counts: Vec<u8>, starts: Vec<u16>) -> bool {
@@ -58,10 +59,10 @@
             .take(9)
             .map(|count| usize::from(count % 9))
             .collect();
-        let quotas = deal(BOUND.allowed(RATE_PER_S), &engines(&counts));
+        let quotas = split_quotas(BOUND.allowed(RATE_PER_S), &engines(&counts));
         let mut begun: Vec<u64> = Vec::new();
         for (number, quota) in quotas.values().enumerate() {
-            let mut pace = LoadPace::default();
+            let mut pace = LoadQuotaCounter::default();
             let start_ms = u64::from(starts.get(number).copied().unwrap_or(0));
             for now_ms in (start_ms..start_ms + 20_000).step_by(10) {
                 if pace.take(*quota, BOUND.window_ms, now_ms) {
@@ -85,12 +86,12 @@
         .quickcheck(property as fn(Vec<u8>, Vec<u16>) -> bool);
 }
 
-/// Nothing of a grown quota counts while what others began with it may be in the window, and
-/// all of it does a window later.
+/// No part of a quota's increase takes effect while loads that other holders began under it may be
+/// in the window, and all of it does a window later.
 #[test]
 fn take_grown_quota_counts_a_window_later() {
-    let mut pace = LoadPace::default();
-    let taken = |pace: &mut LoadPace, quota, from_ms: u64, to_ms: u64| {
+    let mut pace = LoadQuotaCounter::default();
+    let taken = |pace: &mut LoadQuotaCounter, quota, from_ms: u64, to_ms: u64| {
         (from_ms..to_ms)
             .step_by(10)
             .filter(|now_ms| pace.take(quota, BOUND.window_ms, *now_ms))
@@ -101,8 +102,8 @@
     assert_eq!(taken(&mut pace, 20, 10_260, 15_000), 20);
 }
 
-/// Engines go from box to box at any times, and all boxes take whenever they may: every window
-/// holds no more than allowed.
+/// Engines move between boxes at arbitrary times, and all boxes take loads whenever they may; no
+/// window holds more loads than allowed.
 #[test]
 fn take_never_exceeds_window_when_engines_move() {
     QuickCheck::new()
@@ -110,8 +111,8 @@
         .quickcheck(holds_window_when_engines_move as fn(Vec<(u8, u8, u8)>, Vec<u8>) -> bool);
 }
 
-/// Two moves shortly after each other: the second step of a quota must not count as freed since
-/// the first. Found by the property above, beside load.
+/// Two moves in quick succession: the second increase of a quota must not count as available since
+/// the first.
 #[test]
 fn take_never_exceeds_window_after_two_moves() {
     assert!(holds_window_when_engines_move(
@@ -125,7 +126,8 @@
     let mut counts: Vec<usize> = (0..BOXES)
         .map(|number| usize::from(starts.get(number).copied().unwrap_or(3) % 5))
         .collect();
-    let mut paces: Vec<LoadPace> = (0..BOXES).map(|_| LoadPace::default()).collect();
+    let mut paces: Vec<LoadQuotaCounter> =
+        (0..BOXES).map(|_| LoadQuotaCounter::default()).collect();
     let mut moves = moves.into_iter();
     let mut next_move_ms = 3_000;
     let mut begun: Vec<u64> = Vec::new();
@@ -141,7 +143,7 @@
             }
             next_move_ms = now_ms + 400 + u64::from(pause) * 40;
         }
-        let quotas = deal(BOUND.allowed(RATE_PER_S), &engines(&counts));
+        let quotas = split_quotas(BOUND.allowed(RATE_PER_S), &engines(&counts));
         for (number, pace) in paces.iter_mut().enumerate() {
             let quota = quotas.get(&format!("box-{number}")).copied().unwrap_or(0);
             if pace.take(quota, BOUND.window_ms, now_ms) {
--- a/crates/tinbay-core/tests/serving_routes_test.rs
+++ b/crates/tinbay-core/tests/serving_routes_test.rs
@@ -1,7 +1,7 @@
-//! Routes, splits and the budget of second sends.
+//! Routes, traffic splits, the budget of extra attempts, and how long callers wait for streams.
 
 use quickcheck::QuickCheck;
-use tinbay_core::serving::budget::{BudgetTerms, SendBudget};
+use tinbay_core::serving::budget::{AttemptBudget, BudgetTerms};
 use tinbay_core::serving::configuration::{Configuration, Route, RouteKind, Target};
 use tinbay_core::serving::routes::RouteTable;
 
@@ -82,7 +82,7 @@
     window_ms: 10_000,
 };
 
-/// Boxes that count for themselves never send a second time more than the users allow.
+/// Boxes that count on their own never make more extra attempts in total than allowed.
 #[test]
 fn take_second_within_terms_over_all_boxes() {
     fn property(boxes: u8, firsts: Vec<u16>) -> bool {
@@ -90,15 +90,15 @@
         let mut taken = 0;
         let mut first_count = 0;
         for _ in 0..boxes {
-            let mut budget = SendBudget::default();
+            let mut budget = AttemptBudget::default();
             let mut times: Vec<u64> = firsts.iter().map(|time| u64::from(time % 5_000)).collect();
             times.sort_unstable();
             for time in &times {
-                budget.note_first(*time);
+                budget.note_first_attempt(*time);
                 first_count += 1;
             }
             taken += (0..100)
-                .filter(|_| budget.take_second(&TERMS, boxes, 5_000))
+                .filter(|_| budget.take_retry(&TERMS, boxes, 5_000))
                 .count();
         }
         taken as f64 <= TERMS.ratio * f64::from(first_count) + TERMS.extra
@@ -107,14 +107,14 @@
 }
 
 #[test]
-fn take_second_comes_back_after_the_window() {
-    let mut budget = SendBudget::default();
+fn take_second_is_allowed_again_after_the_window() {
+    let mut budget = AttemptBudget::default();
     let taken = (0..100)
-        .filter(|_| budget.take_second(&TERMS, 1, 1_000))
+        .filter(|_| budget.take_retry(&TERMS, 1, 1_000))
         .count();
     assert!(taken > 0);
-    assert!(!budget.take_second(&TERMS, 1, 1_000));
-    assert!(budget.take_second(&TERMS, 1, 11_001));
+    assert!(!budget.take_retry(&TERMS, 1, 1_000));
+    assert!(budget.take_retry(&TERMS, 1, 11_001));
 }
 
 #[test]
--- a/crates/tinbay-experiment/src/run.rs
+++ b/crates/tinbay-experiment/src/run.rs
@@ -3,9 +3,11 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap};
 
-use tinbay_core::engine::{Ask, Command, EngineContents, EngineShape, Event, Refusal, Scheduler};
+use tinbay_core::engine::{
+    Command, EngineContents, EngineShape, Event, QueuedRequest, Refusal, Scheduler,
+};
 use tinbay_core::ids::{EngineId, ModelRef, RequestId};
-use tinbay_core::loads::{LoadArbiter, LoadWish};
+use tinbay_core::loads::{LoadArbiter, LoadRequest};
 use tinbay_core::policy::{Policy, PolicyRequest, Treatment};
 use tinbay_core::units::Millis;
 
@@ -271,7 +273,7 @@
             return;
         };
         let arrival = &self.arrivals[request.arrival];
-        let ask = Ask {
+        let ask = QueuedRequest {
             id,
             model: arrival.model.clone(),
             organisation: arrival.organisation.to_string(),
@@ -394,7 +396,7 @@
             self.give(engine, Event::LoadGranted(model));
             return;
         }
-        self.arbiter.ask(LoadWish {
+        self.arbiter.ask(LoadRequest {
             rank,
             since_ms: self.now_ms,
             engine: engine_id(engine),
--- a/crates/tinbay-gateway/src/front/adapters.rs
+++ b/crates/tinbay-gateway/src/front/adapters.rs
@@ -1,98 +1,101 @@
-//! Waits until a server holds the adapter of a request.
+//! Finds a server for a request, waiting for its adapter to be loaded where necessary.
 
 use std::rc::Rc;
 use std::time::Duration;
 
 use log::Level;
 use serde::Serialize;
-use tinbay_core::serving::wants::Want;
+use tinbay_core::serving::wanted_loads::WantedLoad;
 use tinbay_core::units::Millis;
 
-use super::choice::{self, Asked, Choice};
-use super::question::Question;
+use super::choice::{self, Choice, HolderRequests};
+use super::inbound::InboundRequest;
 use super::refusal::{NotRunReason, Refusal};
 use crate::events::{self, part};
 use crate::limits::permits;
 use crate::node::Node;
 use crate::servers::Server;
 
-/// Longest pause between looks; the status from the server's holder ends it.
+/// Longest interval between two choices of a server while waiting for a load. A status report from
+/// the box that manages the server ends the wait early.
 const LOOK_PAUSE: Duration = Duration::from_millis(100);
 
-/// Longest wait for a server's status where the request could be sent without it.
+/// Longest wait for a server's status when the request could be sent without it.
 const ANSWER_WAIT: Duration = Duration::from_millis(20);
 
-/// When a caller comes back that should use another box.
+/// `Retry-After` of a leaving box: short, as another box can take the request at once.
 const RETRY_ELSEWHERE_MS: Millis = 20;
 
-/// The server that should run a request, once it holds what the request needs.
+/// Returns the server that should run a request, once it holds the adapter or model.
 ///
 /// # Errors
-/// When no server will in time.
+/// When no server takes work, the adapter can't be loaded in time or this box is leaving.
 pub async fn find_server(
     node: &Rc<Node>,
-    question: &Question,
+    inbound: &InboundRequest,
     tried: &[String],
 ) -> Result<Rc<Server>, Refusal> {
-    let mut asked = Asked::default();
+    let mut asked = HolderRequests::default();
     loop {
-        match choice::choose(node, question, tried, &asked) {
+        match choice::choose(node, inbound, tried, &asked) {
             Choice::Send { server, copy } => {
                 if let Some(copy) = copy {
-                    node.request_load(&copy, want(node, question, true));
+                    node.request_load(&copy, want(node, inbound, true));
                 }
-                if question.model_key.is_none() || !is_to_ask(node, &server, &asked) {
+                if inbound.model_key.is_none() || !needs_status(node, &server, &asked) {
                     return Ok(server);
                 }
                 refresh_status(node, &server, &mut asked).await;
             }
             Choice::Load(server) => {
-                let last_send_ms = last_send_ms(node, question);
-                check_prospect(node, &mut asked, &server, last_send_ms)?;
+                let last_send_ms = last_send_ms(node, inbound);
+                check_load_in_time(node, &mut asked, &server, last_send_ms)?;
                 if asked.loads.is_empty() {
-                    log_wait(node, question, &server);
+                    log_wait(node, inbound, &server);
                 }
                 let left = Duration::from_millis(last_send_ms.saturating_sub(node.now_ms()));
-                wait_for_load(node, question, &server, LOOK_PAUSE.min(left), &mut asked).await;
+                wait_for_load(node, inbound, &server, LOOK_PAUSE.min(left), &mut asked).await;
             }
             Choice::Nowhere => {
-                let retry_after_ms = permits::return_in_ms(node, &question.service);
+                let retry_after_ms = permits::caller_retry_after_ms(node, &inbound.service);
                 return Err(Refusal::NoServer { retry_after_ms });
             }
         }
     }
 }
 
-/// Whether a server's holder is to be asked how it stands before a request goes there.
-pub(super) fn is_to_ask(node: &Node, server: &Server, asked: &Asked) -> bool {
+/// Whether to ask the server's holder, the box that manages the server, for a current status before
+/// the request is sent. Asked at most once per request and server.
+pub(super) fn needs_status(node: &Node, server: &Server, asked: &HolderRequests) -> bool {
     let is_refreshed = asked.status_requests.contains_key(&server.key);
     !is_refreshed && node.should_ask(server)
 }
 
-/// Asks the server's holder for its status, and waits a moment for the answer.
-pub(super) async fn refresh_status(node: &Node, server: &Server, asked: &mut Asked) {
-    let status_came = server.status_came.notified();
+/// Requests the status of a server from its holder and waits up to `ANSWER_WAIT` for it.
+pub(super) async fn refresh_status(node: &Node, server: &Server, asked: &mut HolderRequests) {
+    let status_received = server.status_received.notified();
     node.request_status(server);
     asked.status_requests.insert(server.key, node.now_ms());
-    let _ = tokio::time::timeout(ANSWER_WAIT, status_came).await;
+    let _ = tokio::time::timeout(ANSWER_WAIT, status_received).await;
 }
 
-/// Until when a request can be sent so that its first piece still finds the caller. Its own
-/// reading alone counts: what else a server has to read is an estimate, and by a wrong one all
-/// requests were refused for 13 s on a small fleet while the engines had places.
-fn last_send_ms(node: &Node, question: &Question) -> Millis {
-    let own_ms = node.reading_ms(&question.service, question.prompt.tokens) as Millis;
-    let most_ms = question.route.objective_ms;
-    question
+/// Latest time to send a request so that its first chunk still reaches the caller.
+///
+/// Only the prefill of its own prompt is deducted. The prefill queue of a server is an estimate;
+/// when it was deducted too, a wrong estimate refused all requests of a small fleet for 13 s while
+/// the engines had free places.
+fn last_send_ms(node: &Node, inbound: &InboundRequest) -> Millis {
+    let own_ms = node.reading_ms(&inbound.service, inbound.prompt.tokens) as Millis;
+    let most_ms = inbound.route.objective_ms;
+    inbound
         .first_piece_by_ms
         .saturating_sub(own_ms.min(most_ms))
 }
 
-/// Refuses a request at once that is known not to be served: its adapter comes too late, or the
-/// box is leaving.
-fn check_prospect(
+/// Refuses a request early if its adapter will be loaded too late or the box is leaving.
+fn check_load_in_time(
     node: &Node,
-    asked: &mut Asked,
+    asked: &mut HolderRequests,
     server: &Server,
     last_send_ms: Millis,
 ) -> Result<(), Refusal> {
@@ -105,7 +108,7 @@
     let now_ms = node.now_ms();
     let wait_ms = node.load_wait_ms(server);
     let asked_ms = asked.loads.get(&server.key).map(|load| load.first_ms);
-    if asked_ms.is_some_and(|asked_ms| node.is_told_since(server, asked_ms)) {
+    if asked_ms.is_some_and(|asked_ms| node.has_status_since(server, asked_ms)) {
         asked.note_wait(server.key, wait_ms);
     }
     let expected_ms = asked.expected_ms(server.key).unwrap_or(now_ms);
@@ -119,33 +122,34 @@
     })
 }
 
-/// Has the server's holder load the adapter, unless it was asked lately, and waits until its status
-/// comes or the adapter can serve somewhere.
+/// Requests the load from the server's holder unless that was done recently, then waits until a
+/// status of the server arrives, the adapter becomes ready on any server, or `pause` has passed.
 pub(super) async fn wait_for_load(
     node: &Node,
-    question: &Question,
+    inbound: &InboundRequest,
     server: &Server,
     pause: Duration,
-    asked: &mut Asked,
+    asked: &mut HolderRequests,
 ) {
-    let adapter = node.waiters.join(question.model_key.unwrap_or_default());
+    let adapter = node.waiters.join(inbound.model_key.unwrap_or_default());
     let adapter_ready = adapter.notified();
-    let status_came = server.status_came.notified();
+    let status_received = server.status_received.notified();
     let now_ms = node.now_ms();
     if asked.takes_load_request(server.key, now_ms) {
-        node.request_load(server, want(node, question, false));
+        node.request_load(server, want(node, inbound, false));
     }
     tokio::select! {
         () = adapter_ready => {}
-        () = status_came => {}
+        () = status_received => {}
         () = tokio::time::sleep(pause) => {}
     }
 }
 
-pub(super) fn want(node: &Node, question: &Question, is_copy: bool) -> Want {
-    Want {
-        adapter: question.model.clone().unwrap_or_default(),
-        version: question.named_version(node),
+/// The load request for the adapter of a caller's request; `is_copy` asks for an additional copy.
+pub(super) fn want(node: &Node, inbound: &InboundRequest, is_copy: bool) -> WantedLoad {
+    WantedLoad {
+        adapter: inbound.model.clone().unwrap_or_default(),
+        version: inbound.named_version(node),
         is_copy,
     }
 }
@@ -161,16 +165,16 @@
     age_ms: Millis,
 }
 
-fn log_wait(node: &Node, question: &Question, home: &Server) {
+fn log_wait(node: &Node, inbound: &InboundRequest, home: &Server) {
     let holder = node.holder_of(home);
     let event = WaitEvent {
-        request: &question.id,
-        model: question.model.as_deref(),
-        version: question.named_version(node),
+        request: &inbound.id,
+        model: inbound.model.as_deref(),
+        version: inbound.named_version(node),
         server: &home.record().id,
         holder: holder.as_deref(),
         has_holder: node.has_holder(home),
-        age_ms: node.now_ms() - question.arrived_ms,
+        age_ms: node.now_ms() - inbound.arrived_ms,
     };
     events::emit(part::FRONT, Level::Info, "wait", &event);
 }
--- a/crates/tinbay-gateway/src/front/filters/account_limit.rs
+++ b/crates/tinbay-gateway/src/front/filters/account_limit.rs
@@ -1,4 +1,4 @@
-//! Lets a request in within the limit of its client account.
+//! Enforces the rate limits of client accounts.
 
 use std::rc::Rc;
 
@@ -6,27 +6,27 @@
 use tinbay_core::limits::denied::CallerTry;
 use tinbay_core::serving::prompt::TokenCount;
 
-use super::{Exchange, Filter, Filtering, Step};
-use crate::front::question::{AdmittedUnits, Question};
+use super::{Exchange, Filter, FilterFuture, Step};
+use crate::front::inbound::{AdmittedUnits, InboundRequest};
 use crate::front::refusal::Refusal;
 use crate::limits::{self, limited::Limited};
 use crate::node::Node;
 
-/// Lets a request in within the limit of its client account over all boxes.
+/// Admits a request within the rate limit of its client account, which holds across all boxes.
 pub struct AccountLimit;
 
 impl Filter for AccountLimit {
-    fn apply<'a>(&'a self, node: &'a Rc<Node>, exchange: &'a mut Exchange) -> Filtering<'a> {
+    fn apply<'a>(&'a self, node: &'a Rc<Node>, exchange: &'a mut Exchange) -> FilterFuture<'a> {
         Box::pin(async move {
-            admit(node, &exchange.question).await?;
+            admit(node, &exchange.inbound).await?;
             Ok(Step::Next)
         })
     }
 
-    /// A request that was not run counts nothing.
-    fn take_back(&self, node: &Rc<Node>, question: &Question) {
-        let admitted = question.admitted.take();
-        let account = question.client_account();
+    /// Returns the units of the request to the account's limit.
+    fn roll_back(&self, node: &Rc<Node>, inbound: &InboundRequest) {
+        let admitted = inbound.admitted.take();
+        let account = inbound.client_account();
         let limited = account.and_then(|account| Limited::of_account(node, account));
         if let (Some(admitted), Some(limited)) = (admitted, limited) {
             limits::give_back(node, &limited, admitted.units);
@@ -34,30 +34,30 @@
     }
 }
 
-async fn admit(node: &Node, question: &Question) -> Result<(), Refusal> {
-    let Some(account) = question.client_account() else {
+async fn admit(node: &Node, inbound: &InboundRequest) -> Result<(), Refusal> {
+    let Some(account) = inbound.client_account() else {
         return Ok(());
     };
     let Some(limited) = Limited::of_account(node, account) else {
         return Ok(());
     };
-    let units = units(account, question.prompt.count)?;
-    let of = question.digest.get().map(|digest| CallerTry {
+    let units = units(account, inbound.prompt.count)?;
+    let of = inbound.digest.get().map(|digest| CallerTry {
         digest: digest.short(),
-        objective_ms: question.route.objective_ms,
+        objective_ms: inbound.route.objective_ms,
     });
     let admitted = limits::admit(node, &limited, units, of).await;
     let by = admitted.map_or("refused", |by| by.name());
     node.metrics.count_limit(&account.name, by);
     let by = admitted.map_err(|retry_after_ms| Refusal::LimitReached { retry_after_ms })?;
-    question.admitted.set(Some(AdmittedUnits { units, by }));
+    inbound.admitted.set(Some(AdmittedUnits { units, by }));
     Ok(())
 }
 
 fn units(account: &Account, count: TokenCount) -> Result<f64, Refusal> {
     match (account.unit, count) {
         (LimitUnit::Tokens { .. }, TokenCount::Unreadable) => Err(Refusal::TokensUnreadable),
-        (unit, TokenCount::Said(tokens)) => Ok(unit.cost(Some(tokens))),
+        (unit, TokenCount::Declared(tokens)) => Ok(unit.cost(Some(tokens))),
         (unit, _) => Ok(unit.cost(None)),
     }
 }
--- a/crates/tinbay-gateway/src/front/filters/delivery.rs
+++ b/crates/tinbay-gateway/src/front/filters/delivery.rs
@@ -1,31 +1,31 @@
-//! Brings a request to a server and its answer back.
+//! Sends a request to a server and returns its answer.
 
 use std::rc::Rc;
 
-use super::{Exchange, Filter, Filtering, Step};
+use super::{Exchange, Filter, FilterFuture, Step};
 use crate::front::deliver;
-use crate::front::question::Question;
+use crate::front::inbound::InboundRequest;
 use crate::front::refusal::Refusal;
 use crate::node::Node;
 
-/// Brings a request to a server and its answer back; the last filter.
+/// Sends a request to a server and returns its answer; the last filter of the chain.
 pub struct Delivery;
 
 impl Filter for Delivery {
-    fn apply<'a>(&'a self, node: &'a Rc<Node>, exchange: &'a mut Exchange) -> Filtering<'a> {
+    fn apply<'a>(&'a self, node: &'a Rc<Node>, exchange: &'a mut Exchange) -> FilterFuture<'a> {
         Box::pin(async move {
             let body = exchange.body.take().ok_or(Refusal::CallerBrokeOff)?;
-            note_first_send(node, &exchange.question);
-            let answer = deliver::deliver(node, &exchange.question, body).await?;
+            note_first_send(node, &exchange.inbound);
+            let answer = deliver::deliver(node, &exchange.inbound, body).await?;
             Ok(Step::Answer(answer))
         })
     }
 }
 
-/// Second sends are allowed in proportion to the first ones.
-fn note_first_send(node: &Node, question: &Question) {
+/// Adds to the retry budget, which is proportional to the number of first sends.
+fn note_first_send(node: &Node, inbound: &InboundRequest) {
     let now_ms = node.now_ms();
     let mut budgets = node.budgets.borrow_mut();
-    let budget = budgets.entry(question.service.clone()).or_default();
-    budget.note_first(now_ms);
+    let budget = budgets.entry(inbound.service.clone()).or_default();
+    budget.note_first_attempt(now_ms);
 }
--- a/crates/tinbay-gateway/src/front/moving/mod.rs
+++ b/crates/tinbay-gateway/src/front/moving/mod.rs
@@ -1,4 +1,4 @@
-//! Hands runs of this box's requests over to other servers.
+//! Hands over the runs of this box's requests from one server to another.
 
 mod mover;
 mod successor;
@@ -14,88 +14,91 @@
 use serde::Serialize;
 use tinbay_core::handover::roles::has_places_for_two;
 use tinbay_core::serving::configuration::RouteKind;
-use tinbay_core::serving::stream_sight::StreamSight;
+use tinbay_core::serving::stream_timing::StreamTiming;
 
 use self::mover::NodeMover;
 use self::successor::RunSuccessor;
 use self::target::Target;
 use super::adapters;
-use super::choice::Asked;
+use super::choice::HolderRequests;
 use super::deliver::held_version;
-use super::question::{Handover, Question};
+use super::inbound::{Handover, InboundRequest};
 use crate::events::{self, part};
 use crate::http::body::{BodyError, RequestBody};
 use crate::http::relay::Successor;
 use crate::node::Node;
 use crate::servers::{RunningRequest, Server};
 
-/// What may go on with an answer that has begun; none where it stays with its server.
+/// The handover of an answer that has begun; `None` if its run stays where it is. Only a stream
+/// from a reader is handed over, and only if its length is not known in advance.
 pub fn successor(
     node: &Rc<Node>,
-    question: &Rc<Question>,
+    inbound: &Rc<InboundRequest>,
     head: &Parts,
     running: &Rc<RefCell<RunningRequest>>,
     body: Option<RequestBody>,
 ) -> Option<Box<dyn Successor>> {
-    let is_stream = question.route.kind == RouteKind::Streaming;
+    let is_stream = inbound.route.kind == RouteKind::Streaming;
     let is_whole_known = head.headers.contains_key(CONTENT_LENGTH);
     if !is_stream || is_whole_known || head.status != StatusCode::OK {
         return None;
     }
-    if !moves_runs(node, &question.service) {
+    if !moves_runs(node, &inbound.service) {
         return None;
     }
     let source = running.borrow().server();
     if !node.splits.is_reader(&node.servers, &source, node.now_ms()) {
         return None;
     }
-    let mover = NodeMover::new(node, question, running, body?);
+    let mover = NodeMover::new(node, inbound, running, body?);
     Some(Box::new(RunSuccessor::new(mover)))
 }
 
-/// Has the server that will go on with a run load its adapter while another one reads the prompt.
-pub fn prepare(node: &Node, question: &Question, reader: &Server) {
+/// Has the server that will continue a run load the adapter while the reader prefills the prompt.
+pub fn prepare(node: &Node, inbound: &InboundRequest, reader: &Server) {
     let is_reader = node.splits.is_reader(&node.servers, reader, node.now_ms());
-    if !is_reader || question.route.kind != RouteKind::Streaming {
+    if !is_reader || inbound.route.kind != RouteKind::Streaming {
         return;
     }
-    let version = held_version(node, question, reader).unwrap_or_default();
-    match target::choose(node, question, &Asked::default(), version) {
+    let version = held_version(node, inbound, reader).unwrap_or_default();
+    match target::choose(node, inbound, &HolderRequests::default(), version) {
         Target::Later(home) => {
-            node.request_load(&home, adapters::want(node, question, false));
+            node.request_load(&home, adapters::want(node, inbound, false));
         }
         Target::At {
             copy: Some(copy), ..
         } => {
-            node.request_load(&copy, adapters::want(node, question, true));
+            node.request_load(&copy, adapters::want(node, inbound, true));
         }
         Target::At { .. } | Target::Nowhere => {}
     }
 }
 
-/// Notes a stream that has ended, by which it is judged whether engines should read for others.
+/// Records a stream that ended where it began. Whether the engines of its service are split into
+/// readers and homes depends on how many streams paused for too long.
 pub fn note_stream(
     node: &Node,
-    question: &Question,
-    sight: StreamSight,
+    inbound: &InboundRequest,
+    sight: StreamTiming,
     end: Result<(), BodyError>,
 ) {
-    let is_moved = question.handover.get() == Some(Handover::Moved);
-    let allowed_ms = question.route.objective_gap_ms;
+    let is_moved = inbound.handover.get() == Some(Handover::Moved);
+    let allowed_ms = inbound.route.objective_gap_ms;
     if end.is_err() || is_moved || sight.pieces() < 2 || allowed_ms.is_none() {
         return;
     }
-    if !moves_runs(node, &question.service) {
+    if !moves_runs(node, &inbound.service) {
         return;
     }
     let is_late = sight.has_long_pause(allowed_ms);
     let now_ms = node.now_ms();
-    if node.splits.note_stream(&question.service, is_late, now_ms) {
-        log_split(&question.service);
+    if node.splits.note_stream(&inbound.service, is_late, now_ms) {
+        log_split(&inbound.service);
     }
 }
 
-/// Whether runs of a service may move: its engines offer it, and its adapters have places enough.
+/// Whether runs of a service may be handed over: its engines support it, and have enough places to
+/// hold each adapter on two of them.
 fn moves_runs(node: &Node, service: &str) -> bool {
     let Some(engine) = node.engine_spec(service).filter(|engine| engine.moves_runs) else {
         return false;
--- a/crates/tinbay-gateway/src/front/moving/mover.rs
+++ b/crates/tinbay-gateway/src/front/moving/mover.rs
@@ -1,4 +1,4 @@
-//! Moves one run between servers, by calls to them.
+//! Performs the calls to servers that hand over one run.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -9,7 +9,7 @@
 use hyper::{Method, Request, StatusCode};
 use log::Level;
 use serde::Serialize;
-use tinbay_core::handover::course::{MoveAnswer, Place};
+use tinbay_core::handover::transitions::{MoveAnswer, Place};
 use tinbay_core::units::Millis;
 use tokio::sync::oneshot;
 
@@ -17,11 +17,11 @@
 use crate::events::{self, part};
 use crate::front::adapters;
 use crate::front::attempt::{AttemptResult, AttemptTerms, attempt};
-use crate::front::choice::Asked;
+use crate::front::choice::HolderRequests;
 use crate::front::deliver::{held_version, most_open};
 use crate::front::headers::{self, Resumption, ServerHeaders};
-use crate::front::question::{Handover, Question};
-use crate::handover::drive::{Doing, Outcome, Resumed, RunMover};
+use crate::front::inbound::{Handover, InboundRequest};
+use crate::handover::drive::{LocalFuture, Outcome, Resumed, RunMover};
 use crate::http::body::RequestBody;
 use crate::http::call::{CallError, Reply};
 use crate::http::pool::Trust;
@@ -31,47 +31,47 @@
 use crate::node::Node;
 use crate::servers::{RunningRequest, Server};
 
-/// Longest time for which a run waits for a server that can go on with it.
-const LONGEST_SEARCH_MS: Millis = 1_500;
+/// Longest search for a server that can continue a run.
+const MAX_SEARCH_MS: Millis = 1_500;
 
-/// Pause between looks for one.
+/// Longest interval between two attempts to choose that server.
 const LOOK_PAUSE: Duration = Duration::from_millis(100);
 
-/// Longest time of a copy; most take some tens of milliseconds.
+/// Time-out of the call that copies a run; most copies take some tens of milliseconds.
 const MOVE_WITHIN: Duration = Duration::from_millis(1_000);
 
-/// Longest time until a server goes on.
+/// Time-out until a server resumes the stream.
 const RESUME_WITHIN: Duration = Duration::from_millis(1_500);
 
-/// Longest time of the call that frees a copy.
+/// Time-out of the call that frees a copy.
 const FREE_WITHIN: Duration = Duration::from_millis(500);
 
-/// Moves one run.
+/// Hands over one run by calls to its servers.
 pub struct NodeMover {
     node: Rc<Node>,
-    question: Rc<Question>,
+    inbound: Rc<InboundRequest>,
     running: Rc<RefCell<RunningRequest>>,
     body: RequestBody,
     source: Rc<Server>,
     target: RefCell<Option<Rc<Server>>>,
-    /// Version of the adapter at the source.
+    /// Version of the adapter on the source; 0 if unknown.
     version: u64,
     begun_ms: Cell<Millis>,
 }
 
 impl NodeMover {
-    /// A mover of the run of a request.
+    /// Creates a mover for the run of a request.
     pub fn new(
         node: &Rc<Node>,
-        question: &Rc<Question>,
+        inbound: &Rc<InboundRequest>,
         running: &Rc<RefCell<RunningRequest>>,
         body: RequestBody,
     ) -> Self {
         let source = running.borrow().server();
-        let version = held_version(node, question, &source).unwrap_or_default();
+        let version = held_version(node, inbound, &source).unwrap_or_default();
         Self {
             node: Rc::clone(node),
-            question: Rc::clone(question),
+            inbound: Rc::clone(inbound),
             running: Rc::clone(running),
             body,
             source,
@@ -82,11 +82,13 @@
     }
 
     async fn search(&self) -> bool {
-        let end_ms = self.node.now_ms() + LONGEST_SEARCH_MS;
-        let mut asked = Asked::default();
+        let end_ms = self.node.now_ms() + MAX_SEARCH_MS;
+        let mut asked = HolderRequests::default();
         while self.node.now_ms() < end_ms {
-            match target::choose(&self.node, &self.question, &asked, self.version) {
-                Target::At { server, .. } if adapters::is_to_ask(&self.node, &server, &asked) => {
+            match target::choose(&self.node, &self.inbound, &asked, self.version) {
+                Target::At { server, .. }
+                    if adapters::needs_status(&self.node, &server, &asked) =>
+                {
                     adapters::refresh_status(&self.node, &server, &mut asked).await;
                 }
                 Target::At { server, .. } => {
@@ -96,7 +98,7 @@
                 Target::Later(server) => {
                     adapters::wait_for_load(
                         &self.node,
-                        &self.question,
+                        &self.inbound,
                         &server,
                         LOOK_PAUSE,
                         &mut asked,
@@ -114,9 +116,9 @@
             return MoveAnswer::NotStopped;
         };
         self.begun_ms.set(self.node.now_ms());
-        self.question.handover.set(Some(Handover::Begun));
+        self.inbound.handover.set(Some(Handover::Begun));
         let dialect = &self.node.dialect;
-        let body = dialect.encode_move(&self.question.id, target.record().address);
+        let body = dialect.encode_move(&self.inbound.id, target.record().address);
         let request = call_to(
             &self.node,
             &self.source,
@@ -124,17 +126,18 @@
             dialect.move_path(),
             body,
         );
-        let most_open = most_open(&self.node, &self.question);
+        let most_open = most_open(&self.node, &self.inbound);
         let pool = Rc::clone(&self.source.pool);
         let node = Rc::clone(&self.node);
-        let freeing = self.freeing();
+        let copies = self.source_copies();
         let (sender, receiver) = oneshot::channel();
-        // The caller may leave before the answer is there: whoever reads it has to free the copy then.
+        // The caller may leave before the reply arrives, so the call runs in a task of its own.
+        // `CopiedRun` frees the copy if nobody takes the reply.
         tokio::task::spawn_local(async move {
             let reply = call_pooled(&pool, most_open, request, MOVE_WITHIN).await;
             let copied = CopiedRun {
                 answer: Some(read_move(&node, reply)),
-                freeing,
+                copies,
             };
             let _ = sender.send(copied);
         });
@@ -144,11 +147,10 @@
         }
     }
 
-    /// What frees a copy at the source.
-    fn freeing(&self) -> Freeing {
-        Freeing {
+    fn source_copies(&self) -> SourceCopies {
+        SourceCopies {
             node: Rc::clone(&self.node),
-            question: Rc::clone(&self.question),
+            inbound: Rc::clone(&self.inbound),
             source: Rc::clone(&self.source),
         }
     }
@@ -159,26 +161,26 @@
             Place::Target => self.target.borrow().clone(),
         };
         let (Some(server), Some(body)) = (server, self.body.repeat()) else {
-            return Resumed::Not;
+            return Resumed::Declined;
         };
         let Some(permit) = permits::take(&self.node, &server).await else {
-            return Resumed::Not;
+            return Resumed::Declined;
         };
         let source = self.source.record().address;
         let copy_source = self.node.dialect.encode_copy_source(source, handle);
         let record = server.record();
         let now_ms = self.node.now_ms();
-        let left_ms = self.question.time_up_ms.saturating_sub(now_ms);
+        let left_ms = self.inbound.time_up_ms.saturating_sub(now_ms);
         let terms = AttemptTerms {
             server: &server,
-            most_open: most_open(&self.node, &self.question),
+            most_open: most_open(&self.node, &self.inbound),
             trust: Trust::RunsOnce,
             headers: ServerHeaders {
                 deadline_ms: left_ms,
                 server_id: &record.id,
-                priority: self.question.rank(),
+                priority: self.inbound.rank(),
                 version: Some(self.version).filter(|version| *version > 0),
-                account: self.question.client_account().map(|account| &*account.name),
+                account: self.inbound.client_account().map(|account| &*account.name),
                 resumption: Some(Resumption {
                     copy_source: &copy_source,
                     last_event_id: last_id,
@@ -189,15 +191,15 @@
             head_within: RESUME_WITHIN.min(Duration::from_millis(left_ms)),
             silent_after: RESUME_WITHIN,
         };
-        match attempt(&self.node, &self.question, body, terms).await {
+        match attempt(&self.node, &self.inbound, body, terms).await {
             AttemptResult::Begun(answer) if answer.response.status() == StatusCode::OK => {
                 *self.running.borrow_mut() = answer.running;
                 let (parts, incoming) = answer.response.into_parts();
-                Resumed::Goes(ContinuedAnswer {
+                Resumed::Answering(ContinuedAnswer {
                     incoming,
                     connection: answer.connection,
                     pool: Rc::clone(&server.pool),
-                    rest: headers::allowed_rest(&parts.headers),
+                    rest: headers::keep_alive_timeout(&parts.headers),
                     may_keep: headers::keeps_connection(&parts.headers),
                 })
             }
@@ -205,11 +207,11 @@
             AttemptResult::Declined { .. }
             | AttemptResult::Displaced
             | AttemptResult::Withdrawn { .. }
-            | AttemptResult::NotSent { .. } => Resumed::Not,
+            | AttemptResult::NotSent { .. } => Resumed::Declined,
         }
     }
 
-    /// Notes how it ended.
+    /// Records the outcome on the request, in the metrics and in the log.
     pub fn note_outcome(&self, outcome: &Outcome<ContinuedAnswer>) {
         let handover = match outcome {
             Outcome::Stays => Handover::Stayed,
@@ -219,7 +221,7 @@
             },
             Outcome::Lost => Handover::Lost,
         };
-        self.question.handover.set(Some(handover));
+        self.inbound.handover.set(Some(handover));
         let outcome = handover.name();
         let handovers = &self.node.metrics.handovers;
         handovers.with_label_values(&[outcome]).inc();
@@ -227,12 +229,12 @@
         let target = target.as_ref().map(|server| server.record());
         let now_ms = self.node.now_ms();
         let event = HandoverEvent {
-            request: &self.question.id,
+            request: &self.inbound.id,
             source: &self.source.record().id,
             target: target.as_ref().map(|record| record.id.as_str()),
             outcome,
             took_ms: target.as_ref().map(|_| now_ms - self.begun_ms.get()),
-            age_ms: now_ms - self.question.arrived_ms,
+            age_ms: now_ms - self.inbound.arrived_ms,
         };
         let level = match handover {
             Handover::Moved => Level::Debug,
@@ -255,11 +257,11 @@
 impl RunMover for NodeMover {
     type Answer = ContinuedAnswer;
 
-    fn find_target(&self) -> Doing<'_, bool> {
+    fn find_target(&self) -> LocalFuture<'_, bool> {
         Box::pin(self.search())
     }
 
-    fn ask_move(&self) -> Doing<'_, MoveAnswer> {
+    fn ask_move(&self) -> LocalFuture<'_, MoveAnswer> {
         Box::pin(self.move_run())
     }
 
@@ -268,23 +270,23 @@
         at: Place,
         handle: &'a str,
         last_id: u64,
-    ) -> Doing<'a, Resumed<ContinuedAnswer>> {
+    ) -> LocalFuture<'a, Resumed<ContinuedAnswer>> {
         Box::pin(self.resume_at(at, handle, last_id))
     }
 
     fn free(&self, handle: &str) {
-        self.freeing().free(handle);
+        self.source_copies().free(handle);
     }
 }
 
-/// Frees copies at the server that made them.
-struct Freeing {
+/// Frees copies on the server that made them.
+struct SourceCopies {
     node: Rc<Node>,
-    question: Rc<Question>,
+    inbound: Rc<InboundRequest>,
     source: Rc<Server>,
 }
 
-impl Freeing {
+impl SourceCopies {
     fn free(&self, handle: &str) {
         let path = self.node.dialect.copy_path(handle);
         let request = call_to(
@@ -295,18 +297,18 @@
             Bytes::new(),
         );
         let pool = Rc::clone(&self.source.pool);
-        let most_open = most_open(&self.node, &self.question);
-        // Servers free it by themselves where this call is lost.
+        let most_open = most_open(&self.node, &self.inbound);
+        // If this call fails, the server frees the copy by itself after a while.
         tokio::task::spawn_local(async move {
             let _ = call_pooled(&pool, most_open, request, FREE_WITHIN).await;
         });
     }
 }
 
-/// The answer to a move; a copy that nobody takes on is freed.
+/// The answer to a move request. If it is dropped before it is taken, the copy is freed.
 struct CopiedRun {
     answer: Option<MoveAnswer>,
-    freeing: Freeing,
+    copies: SourceCopies,
 }
 
 impl CopiedRun {
@@ -319,7 +321,7 @@
     fn drop(&mut self) {
         let handle = self.answer.as_ref().and_then(MoveAnswer::handle);
         if let Some(handle) = handle {
-            self.freeing.free(handle);
+            self.copies.free(handle);
         }
     }
 }
@@ -338,7 +340,7 @@
     }
 }
 
-/// A call to a server that concerns a run there.
+/// Builds a call to a server about a run.
 fn call_to(
     node: &Node,
     server: &Server,
--- a/crates/tinbay-gateway/src/front/moving/target.rs
+++ b/crates/tinbay-gateway/src/front/moving/target.rs
@@ -1,46 +1,52 @@
-//! Chooses the server that goes on with a run.
+//! Chooses the server that continues a run after a handover.
 
 use std::rc::Rc;
 
 use tinbay_core::serving::contents::{AdapterKey, HeldState};
 
-use crate::front::choice::{self, Asked, Choice, Survey};
-use crate::front::question::Question;
+use crate::front::choice::{self, Choice, HolderRequests, Survey};
+use crate::front::inbound::InboundRequest;
 use crate::node::Node;
 use crate::servers::Server;
 
-/// Where a run should go on.
+/// Where a run should be continued.
 pub enum Target {
-    /// There.
+    /// On a server that can take it now.
     At {
-        /// The server.
+        /// The server that can take it.
         server: Rc<Server>,
-        /// A server that should load the adapter as well.
+        /// Another server that should load the adapter too.
         copy: Option<Rc<Server>>,
     },
-    /// There, once it holds the adapter.
+    /// On a server that first has to load the adapter.
     Later(Rc<Server>),
-    /// Nowhere now.
+    /// On no server for now.
     Nowhere,
 }
 
-/// The server that should go on with a run; `version` is that of its adapter at the source.
-pub fn choose(node: &Node, question: &Question, asked: &Asked, version: u64) -> Target {
+/// Chooses the server that should continue a run; `version` is the adapter version on the source,
+/// which the target must hold too.
+pub fn choose(
+    node: &Node,
+    inbound: &InboundRequest,
+    asked: &HolderRequests,
+    version: u64,
+) -> Target {
     let now_ms = node.now_ms();
-    let ready = node.servers.borrow().ready(&question.service);
+    let ready = node.servers.borrow().ready(&inbound.service);
     let split = node
         .splits
-        .split(&node.servers, &question.service, &ready, now_ms);
+        .split(&node.servers, &inbound.service, &ready, now_ms);
     let Some(split) = split else {
         return Target::Nowhere;
     };
-    if adapter_of(question).is_none() {
-        return choose_for_model(node, question, &split.homes);
+    if adapter_of(inbound).is_none() {
+        return choose_for_model(node, inbound, &split.homes);
     }
-    let homes = Survey::make(node, question, &split.homes, asked);
+    let homes = Survey::make(node, inbound, &split.homes, asked);
     match homes.to_choice(homes.pick()) {
         Choice::Send { server, copy } => {
-            let is_there = is_fit(node, &server) && holds(node, question, &server, version);
+            let is_there = is_fit(node, &server) && holds(node, inbound, &server, version);
             match copy {
                 _ if is_there => Target::At { server, copy },
                 Some(copy) => Target::Later(copy),
@@ -52,31 +58,31 @@
     }
 }
 
-fn choose_for_model(node: &Node, question: &Question, homes: &[Rc<Server>]) -> Target {
-    let model = question.model.as_deref().unwrap_or_default();
+fn choose_for_model(node: &Node, inbound: &InboundRequest, homes: &[Rc<Server>]) -> Target {
+    let model = inbound.model.as_deref().unwrap_or_default();
     let holding = choice::holding(model, homes);
-    let server = choice::least_loaded(node, &holding, question.route.objective_ms);
+    let server = choice::least_loaded(node, &holding, inbound.route.objective_ms);
     match server.filter(|server| is_fit(node, server)) {
         Some(server) => Target::At { server, copy: None },
         None => Target::Nowhere,
     }
 }
 
-/// Whether a server has a place for a run, and takes it without leave.
+/// Whether a server has a free slot for a run and requires no permit.
 fn is_fit(node: &Node, server: &Server) -> bool {
     server.limit_per_s().is_none() && node.running(server) < server.record().slots
 }
 
-fn holds(node: &Node, question: &Question, server: &Server, version: u64) -> bool {
-    let Some(key) = adapter_of(question) else {
+fn holds(node: &Node, inbound: &InboundRequest, server: &Server, version: u64) -> bool {
+    let Some(key) = adapter_of(inbound) else {
         return true;
     };
     node.entry(server, key)
         .is_some_and(|entry| entry.state == HeldState::Ready && entry.version == version)
 }
 
-/// The key of a request's adapter; none where it names a base model alone.
-pub fn adapter_of(question: &Question) -> Option<AdapterKey> {
-    let model = question.model.as_deref()?;
-    model.contains('/').then_some(question.model_key).flatten()
+/// The key of a request's adapter; `None` if the request names only a base model.
+pub fn adapter_of(inbound: &InboundRequest) -> Option<AdapterKey> {
+    let model = inbound.model.as_deref()?;
+    model.contains('/').then_some(inbound.model_key).flatten()
 }
--- a/crates/tinbay-gateway/src/front/request_log.rs
+++ b/crates/tinbay-gateway/src/front/request_log.rs
@@ -1,13 +1,13 @@
-//! The lines that tell a request's story: one a try, one at its end.
+//! The request log: an event for each attempt and one for the end of a request.
 
 use hyper::StatusCode;
 use log::Level;
 use serde::Serialize;
 use tinbay_core::units::{MS_PER_SECOND, Millis};
 
-use super::answer_sight::{AnswerEnd, AnswerSight};
+use super::answer_timing::{AnswerEnd, AnswerTiming};
 use super::attempt::AttemptResult;
-use super::question::Question;
+use super::inbound::InboundRequest;
 use super::refusal::Refusal;
 use crate::events::{self, part};
 use crate::http::body::BodyError;
@@ -29,8 +29,8 @@
     named_age_ms: Option<Millis>,
 }
 
-/// Writes the line of one try.
-pub fn log_try(node: &Node, question: &Question, server: &Server, result: &AttemptResult) {
+/// Logs an attempt.
+pub fn log_try(node: &Node, inbound: &InboundRequest, server: &Server, result: &AttemptResult) {
     let cause = match result {
         AttemptResult::Unknown { cause } => Some(cause.name()),
         _ => None,
@@ -51,15 +51,15 @@
         AttemptResult::NotSent { .. } => ("not_sent", None, Level::Info),
         AttemptResult::Unknown { .. } => ("unknown", None, Level::Info),
     };
-    let sent = question.last_send.get();
+    let sent = inbound.last_send.get();
     let event = TryEvent {
-        request: &question.id,
+        request: &inbound.id,
         server: &server.record().id,
         outcome,
         cause,
         status,
         running: server.running(node.now_ms()),
-        age_ms: node.now_ms() - question.arrived_ms,
+        age_ms: node.now_ms() - inbound.arrived_ms,
         expected_version: sent.and_then(|sent| sent.expected_version),
         named_version: sent.and_then(|sent| sent.named_version),
         named_age_ms: sent.and_then(|sent| sent.named_age_ms),
@@ -69,11 +69,11 @@
 
 /// How an answer ended.
 pub enum Ending {
-    /// Whole.
+    /// The server's answer was relayed completely.
     Whole,
-    /// Cut.
+    /// The server's answer was cut off.
     Cut(BodyError),
-    /// An answer of our own.
+    /// The box itself answered.
     Refused(Refusal),
 }
 
@@ -91,16 +91,16 @@
     admitted_by: Option<&'static str>,
     #[serde(skip_serializing_if = "Option::is_none")]
     units: Option<f64>,
-    /// How its run was handed over.
+    /// State of the run's handover.
     #[serde(skip_serializing_if = "Option::is_none")]
     handover: Option<&'static str>,
-    /// Servers passed over as their limits had no room.
+    /// Number of servers passed over because they were at their rate limit.
     #[serde(skip_serializing_if = "Option::is_none")]
     at_limits: Option<u32>,
-    /// What let it in while its server had too little room, or turned it away.
+    /// What admitted or refused the request on an overloaded server.
     #[serde(skip_serializing_if = "Option::is_none")]
     room: Option<&'static str>,
-    /// How long it waited for room.
+    /// Time spent waiting for that decision.
     #[serde(skip_serializing_if = "Option::is_none")]
     room_wait_ms: Option<Millis>,
     model: Option<&'a str>,
@@ -120,14 +120,14 @@
     named_age_ms: Option<Millis>,
     head_ms: Option<Millis>,
     #[serde(flatten)]
-    sight: AnswerSight,
+    timing: AnswerTiming,
     total_ms: Millis,
 }
 
-/// Writes the line that ends a request's story.
+/// Logs the end of a request and records its metrics.
 pub fn log_end(
     node: &Node,
-    question: &Question,
+    inbound: &InboundRequest,
     server: Option<&str>,
     status: u16,
     head_ms: Option<Millis>,
@@ -139,25 +139,25 @@
         Ending::Cut(error) => ("cut", Some(error.to_string())),
         Ending::Refused(refusal) => (refusal.name(), Some(refusal.to_string())),
     };
-    let sent = question.last_send.get();
+    let sent = inbound.last_send.get();
     let now_ms = node.now_ms();
-    let sight = AnswerSight::new(question, answer_end(status, ending), now_ms);
+    let timing = AnswerTiming::new(inbound, answer_end(status, ending), now_ms);
     let is_served = matches!(ending, Ending::Whole);
-    let digest = question.digest.get().filter(|_| !is_served);
+    let digest = inbound.digest.get().filter(|_| !is_served);
     let event = EndEvent {
-        request: &question.id,
-        route: &question.route.name,
-        service: &question.service,
-        configuration: question.in_force.configuration.version,
-        account: question.client_account().map(|account| &*account.name),
-        admitted_by: question.admitted.get().map(|admitted| admitted.by.name()),
-        units: question.admitted.get().map(|admitted| admitted.units),
-        handover: question.handover.get().map(|handover| handover.name()),
-        room: question.room.outcome().map(|outcome| outcome.name()),
-        room_wait_ms: question.room.wait_ms(),
-        at_limits: Some(question.at_limits.get()).filter(|count| *count > 0),
-        proof_age_ms: question.account.get().map(|shown| shown.proof_age_ms),
-        model: question.model.as_deref(),
+        request: &inbound.id,
+        route: &inbound.route.name,
+        service: &inbound.service,
+        configuration: inbound.in_force.configuration.version,
+        account: inbound.client_account().map(|account| &*account.name),
+        admitted_by: inbound.admitted.get().map(|admitted| admitted.by.name()),
+        units: inbound.admitted.get().map(|admitted| admitted.units),
+        handover: inbound.handover.get().map(|handover| handover.name()),
+        room: inbound.room.outcome().map(|outcome| outcome.name()),
+        room_wait_ms: inbound.room.wait_ms(),
+        at_limits: Some(inbound.at_limits.get()).filter(|count| *count > 0),
+        proof_age_ms: inbound.account.get().map(|shown| shown.proof_age_ms),
+        model: inbound.model.as_deref(),
         server,
         status,
         outcome,
@@ -168,33 +168,33 @@
         named_version: sent.and_then(|sent| sent.named_version),
         named_age_ms: sent.and_then(|sent| sent.named_age_ms),
         head_ms,
-        sight,
-        total_ms: now_ms - question.arrived_ms,
+        timing,
+        total_ms: now_ms - inbound.arrived_ms,
     };
-    measure(node, question, outcome, head_ms, &sight);
+    record_metrics(node, inbound, outcome, head_ms, &timing);
     events::emit(part::FRONT, Level::Info, "request", &event);
 }
 
-fn measure(
+fn record_metrics(
     node: &Node,
-    question: &Question,
+    inbound: &InboundRequest,
     outcome: &str,
     head_ms: Option<Millis>,
-    sight: &AnswerSight,
+    timing: &AnswerTiming,
 ) {
     let metrics = &node.metrics;
-    let kind = question.kind();
+    let kind = inbound.kind();
     let seconds = |time_ms: Millis| time_ms as f64 / MS_PER_SECOND as f64;
     metrics.requests.with_label_values(&[kind, outcome]).inc();
     if let Some(head_ms) = head_ms {
         let heads = metrics.head_seconds.with_label_values(&[kind]);
         heads.observe(seconds(head_ms));
     }
-    if let Some(sent) = question.last_send.get() {
+    if let Some(sent) = inbound.last_send.get() {
         let stalls = metrics.stall_seconds.with_label_values(&[kind]);
         stalls.observe(seconds(sent.after_ms));
     }
-    if let Some(answer) = sight.measured(question) {
+    if let Some(answer) = timing.measured(inbound) {
         metrics.count_answer(answer);
     }
 }
--- a/crates/tinbay-gateway/src/front/room.rs
+++ b/crates/tinbay-gateway/src/front/room.rs
@@ -1,101 +1,103 @@
-//! Takes room for a request at the server that was chosen for it.
+//! Asks for room for a request on an overloaded server, which is shared between client accounts.
 
 use std::rc::Rc;
 
 use tinbay_core::serving::prompt::TokenCount;
 use tinbay_core::units::Millis;
 
-use super::choice::{self, Asked, Choice};
-use super::question::Question;
+use super::choice::{self, Choice, HolderRequests};
+use super::inbound::InboundRequest;
 use super::refusal::Refusal;
 use crate::members::box_fingerprint;
 use crate::node::Node;
 use crate::servers::Server;
-use crate::sharing::asking::{self, RoomWish};
-use crate::sharing::links::RoomLinks;
+use crate::sharing::asking::{self, RoomRequest};
+use crate::sharing::links::RoomContext;
 
-/// Servers whose holders are asked for room for one request: what the second one has no place for either
-/// finds none in time.
-const MOST_ASKED: usize = 2;
+/// Most servers whose holders are asked for room for one request. A request refused by two finds no
+/// room in time on a third.
+const MAX_ASKED: usize = 2;
 
-/// Where there is room for a request.
+/// Where a request finds room.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Room {
-    /// At the server that was chosen.
+    /// On the chosen server.
     Here,
-    /// Not there; another one is to be chosen.
+    /// Possibly on another server, which has to be chosen.
     Elsewhere,
 }
 
-/// Takes room for a request at the server that was chosen for it, where that has too little for all.
+/// Asks for room for a request on the chosen server if that server is overloaded.
 ///
 /// # Errors
-/// When no server has room in time: the request has not run, and its caller is told its turn.
+/// When no server has room in time. The request has not run, and the refusal tells the caller when
+/// its account's turn is.
 pub async fn take(
     node: &Rc<Node>,
-    question: &Question,
+    inbound: &InboundRequest,
     server: &Rc<Server>,
     tried: &[String],
 ) -> Result<Room, Refusal> {
-    let Some(wish) = wish(node, question) else {
+    let Some(wish) = wish(node, inbound) else {
         return Ok(Room::Here);
     };
     let began_ms = node.now_ms();
     let Some(answered) = asking::ask(&**node, server, wish).await else {
         return Ok(Room::Here);
     };
-    question
+    inbound
         .room
         .note(answered.outcome, node.now_ms() - began_ms);
-    count(node, question, answered.outcome.name());
-    let Some(retry_after_ms) = answered.turn_in_ms else {
+    count(node, inbound, answered.outcome.name());
+    let Some(retry_after_ms) = answered.retry_after_ms else {
         return Ok(Room::Here);
     };
-    question.room.note_without(server.key);
-    let may_ask_more = question.room.without_count() < MOST_ASKED;
-    if may_ask_more && has_other_room(node, question, tried) {
+    inbound.room.note_full(server.key);
+    let may_ask_more = inbound.room.full_count() < MAX_ASKED;
+    if may_ask_more && has_other_room(node, inbound, tried) {
         return Ok(Room::Elsewhere);
     }
     Err(Refusal::NoRoom { retry_after_ms })
 }
 
-/// What a request of a client account asks for; nothing for one without account or adapter: nobody deals
-/// the room of plain servers.
-fn wish(node: &Node, question: &Question) -> Option<RoomWish> {
-    let account = question.client_account()?;
-    question.model_key?;
-    let units = match question.prompt.count {
-        TokenCount::Said(tokens) => u32::try_from(tokens).unwrap_or(u32::MAX),
-        TokenCount::NotSaid | TokenCount::Unreadable => question.prompt.tokens,
+/// The room that a request needs. `None` for a request without client account or model: servers
+/// without models are not shared between accounts.
+fn wish(node: &Node, inbound: &InboundRequest) -> Option<RoomRequest> {
+    let account = inbound.client_account()?;
+    inbound.model_key?;
+    let units = match inbound.prompt.count {
+        TokenCount::Declared(tokens) => u32::try_from(tokens).unwrap_or(u32::MAX),
+        TokenCount::Undeclared | TokenCount::Unreadable => inbound.prompt.tokens,
     };
-    let reading_ms = node.reading_ms(&question.service, question.prompt.tokens) as Millis;
-    Some(RoomWish {
+    let reading_ms = node.reading_ms(&inbound.service, inbound.prompt.tokens) as Millis;
+    Some(RoomRequest {
         account: box_fingerprint(&account.name),
-        rank: question.rank(),
+        rank: inbound.rank(),
         units,
         reading_ms,
-        in_time_ms: in_time_ms(question, reading_ms, node.now_ms()),
-        digest: question.digest.get().map_or(0, |digest| digest.short()),
+        in_time_ms: in_time_ms(inbound, reading_ms, node.now_ms()),
+        digest: inbound.digest.get().map_or(0, |digest| digest.short()),
     })
 }
 
-/// Time within which a request must begin so that its first piece is in time: its own reading is left.
-fn in_time_ms(question: &Question, reading_ms: Millis, now_ms: Millis) -> Millis {
-    let objective_ms = question.route.objective_ms;
-    let begin_by_ms = question.arrived_ms + objective_ms - reading_ms.min(objective_ms / 2);
+/// Time within which a request must start for its first chunk to meet the objective, after
+/// deducting its own prefill.
+fn in_time_ms(inbound: &InboundRequest, reading_ms: Millis, now_ms: Millis) -> Millis {
+    let objective_ms = inbound.route.objective_ms;
+    let begin_by_ms = inbound.arrived_ms + objective_ms - reading_ms.min(objective_ms / 2);
     begin_by_ms.saturating_sub(now_ms)
 }
 
-/// Whether another server may take it that has room, as far as this box knows.
-fn has_other_room(node: &Node, question: &Question, tried: &[String]) -> bool {
-    match choice::choose(node, question, tried, &Asked::default()) {
+/// Whether another server that is not overloaded, as far as this box knows, could take the request.
+fn has_other_room(node: &Node, inbound: &InboundRequest, tried: &[String]) -> bool {
+    match choice::choose(node, inbound, tried, &HolderRequests::default()) {
         Choice::Send { server, .. } | Choice::Load(server) => !node.is_scarce(&server),
         Choice::Nowhere => false,
     }
 }
 
-fn count(node: &Node, question: &Question, outcome: &str) {
-    if let Some(account) = question.client_account() {
+fn count(node: &Node, inbound: &InboundRequest, outcome: &str) {
+    if let Some(account) = inbound.client_account() {
         node.metrics.count_room(&account.name, outcome);
     }
 }
--- a/crates/tinbay-gateway/src/http/reuse.rs
+++ b/crates/tinbay-gateway/src/http/reuse.rs
@@ -7,8 +7,8 @@
 use log::Level;
 use prometheus::IntCounterVec;
 use serde::Serialize;
+use tinbay_core::serving::idle_reuse::{self, IdleReuseLimit, ReuseOutcome};
 use tinbay_core::serving::servers::ServerKey;
-use tinbay_core::serving::trusted_rest::{self, ReuseEnd, TrustedRest};
 use tinbay_core::units::Millis;
 
 use crate::clock::Clock;
@@ -23,7 +23,7 @@
 pub struct ReuseLedger {
     service: String,
     clock: Clock,
-    trusted: RefCell<TrustedRest>,
+    trusted: RefCell<IdleReuseLimit>,
     measure: Option<IntCounterVec>,
 }
 
@@ -58,7 +58,7 @@
 
     /// Counts a resting connection that the server had closed.
     pub fn note_found_closed(&self, server: ServerKey, rested_ms: Millis) {
-        self.note(server, rested_ms, ReuseEnd::FoundClosed);
+        self.note(server, rested_ms, ReuseOutcome::FoundClosed);
     }
 
     fn count(&self, outcome: &str) {
@@ -67,9 +67,9 @@
         }
     }
 
-    fn note(&self, server: ServerKey, rested_ms: Millis, end: ReuseEnd) {
+    fn note(&self, server: ServerKey, rested_ms: Millis, end: ReuseOutcome) {
         self.count(end.name());
-        let reuse = trusted_rest::Reuse {
+        let reuse = idle_reuse::Reuse {
             server,
             rested_ms,
             end,
@@ -108,7 +108,7 @@
         runs_once: bool,
         silent_ms: &Rc<Cell<Millis>>,
     ) -> Self {
-        let is_at_stake = runs_once && ledger.trusted.borrow_mut().stake(rested_ms);
+        let is_at_stake = runs_once && ledger.trusted.borrow_mut().note_at_risk(rested_ms);
         Self {
             ledger: Rc::clone(ledger),
             server,
@@ -120,18 +120,18 @@
 
     /// The head of the answer came.
     pub fn note_answered(self) {
-        self.note(ReuseEnd::Answered);
+        self.note(ReuseOutcome::Answered);
     }
 
     /// It was seen to be closed before the request went out.
     pub fn note_found_closed(self) {
-        self.note(ReuseEnd::FoundClosed);
+        self.note(ReuseOutcome::FoundClosed);
     }
 
     /// It was closed so long after the request went out.
     pub fn note_closed(self, after_ms: Millis) {
         if after_ms <= FORGOTTEN_WITHIN_MS {
-            self.note(ReuseEnd::Broken);
+            self.note(ReuseOutcome::Broken);
         }
     }
 
@@ -139,10 +139,10 @@
     /// trusted any more.
     pub fn note_silent(self) {
         self.silent_ms.set(self.ledger.clock.now_ms());
-        self.note(ReuseEnd::Silent);
+        self.note(ReuseOutcome::Silent);
     }
 
-    fn note(&self, end: ReuseEnd) {
+    fn note(&self, end: ReuseOutcome) {
         self.ledger.note(self.server, self.rested_ms, end);
     }
 }
--- a/crates/tinbay-gateway/src/node.rs
+++ b/crates/tinbay-gateway/src/node.rs
@@ -8,24 +8,24 @@
 use tinbay_core::accounts::account::Account;
 use tinbay_core::accounts::priority::PriorityRanks;
 use tinbay_core::memory::terms::MemoryTerms;
-use tinbay_core::serving::budget::SendBudget;
+use tinbay_core::serving::budget::AttemptBudget;
 use tinbay_core::serving::claims::{ClaimTable, ClaimTerms, Proof};
 use tinbay_core::serving::configuration::{Configuration, EngineSpec, Limits};
 use tinbay_core::serving::contents::AdapterKey;
-use tinbay_core::serving::pacing::LoadPace;
+use tinbay_core::serving::pacing::LoadQuotaCounter;
 use tinbay_core::serving::position::Era;
-use tinbay_core::serving::reading::ReadingPace;
+use tinbay_core::serving::prefill::PrefillRate;
 use tinbay_core::serving::routes::RouteTable;
 use tinbay_core::serving::servers::{Fingerprint, ServerKey};
 use tinbay_core::serving::versions::NamedVersions;
-use tinbay_core::serving::wants::Want;
+use tinbay_core::serving::wanted_loads::WantedLoad;
 use tinbay_core::sharing::weights::AccountWeights;
 use tinbay_core::units::Millis;
 use tokio::sync::Notify;
 
 use crate::clock::Clock;
 use crate::crashes::Crashes;
-use crate::front::question::Question;
+use crate::front::inbound::InboundRequest;
 use crate::front::slow_callers::SlowCallers;
 use crate::handover::split::Splits;
 use crate::http::call::Caller;
@@ -173,7 +173,7 @@
     /// What the servers hold whose claims this box holds.
     pub held_servers: RefCell<HashMap<ServerKey, Rc<HeldServer>>>,
     /// This box's share of the weight store's rate, by service.
-    pub paces: RefCell<HashMap<String, LoadPace>>,
+    pub paces: RefCell<HashMap<String, LoadQuotaCounter>>,
     /// Requests that wait for an adapter.
     pub waiters: Waiters,
     /// What is to be told to other boxes.
@@ -189,7 +189,7 @@
     /// Connections of callers that are open.
     pub connections: Cell<usize>,
     /// How fast engines read prompts, by service.
-    pub reading: RefCell<HashMap<String, ReadingPace>>,
+    pub reading: RefCell<HashMap<String, PrefillRate>>,
     /// Requests under which servers crash.
     pub crashes: Crashes,
     /// Limits over all boxes.
@@ -199,7 +199,7 @@
     /// Requests that ask for scarce room.
     pub sharing: Sharing,
     /// Second sends by service.
-    pub budgets: RefCell<HashMap<String, SendBudget>>,
+    pub budgets: RefCell<HashMap<String, AttemptBudget>>,
     /// What is held for requests and answers.
     pub memory: Rc<BoxMemory>,
     /// Answers on their way to callers.
@@ -218,7 +218,8 @@
     ) -> Self {
         let members = Members::new(&settings.zone);
         let clock = Clock::start();
-        let servers = ServerTable::new(clock).with_measure(metrics.server_connections.clone());
+        let servers =
+            ServerTable::new(clock).with_connection_metric(metrics.server_connections.clone());
         let memory_terms = MemoryTerms::of_memory(settings.resources.memory_mb);
         let memory = Rc::new(BoxMemory::new(memory_terms, metrics.held_bytes.clone()));
         let cuts = Box::new(SlowCallers::new(metrics.slow_cuts.clone()));
@@ -442,7 +443,7 @@
         if !servers.ready(service).is_empty() {
             return None;
         }
-        let end_ms = servers.first_rest_end_ms(service)?;
+        let end_ms = servers.first_available_ms(service)?;
         Some(end_ms.saturating_sub(self.now_ms()))
     }
 
@@ -452,7 +453,7 @@
     }
 
     /// Has the holder of a server told what a request needs there.
-    pub fn request_load(&self, server: &Server, want: Want) {
+    pub fn request_load(&self, server: &Server, want: WantedLoad) {
         let now_ms = self.now_ms();
         if let Some(held) = self.held_server(server.key) {
             let own_id = self.settings.borrow().box_id.clone();
@@ -484,12 +485,12 @@
 
     /// Has a server's holder look whether it has started again: it refused a request for an adapter that
     /// it should hold.
-    pub fn note_contradiction(&self, server: &Server) {
+    pub fn report_contents_mismatch(&self, server: &Server) {
         if let Some(held) = self.held_server(server.key) {
-            held.is_contradicted.set(true);
+            held.restart_check_due.set(true);
             server.order_due.notify_one();
         } else if let Some(holder) = self.holder_of(server) {
-            let part = FramePart::Contradiction(server.fingerprint());
+            let part = FramePart::ContentsMismatch(server.fingerprint());
             self.outbox.post(&holder, part);
         }
     }
@@ -515,9 +516,9 @@
     }
 
     /// Whether the holder of a server has told how it stands since `asked_ms`.
-    pub fn is_told_since(&self, server: &Server, asked_ms: Millis) -> bool {
+    pub fn has_status_since(&self, server: &Server, asked_ms: Millis) -> bool {
         let is_held = self.held_server(server.key).is_some();
-        is_held || server.view.borrow().is_told_since(asked_ms)
+        is_held || server.view.borrow().has_status_since(asked_ms)
     }
 
     /// Whether asking how busy a server is would tell this box more than it knows.
@@ -586,10 +587,10 @@
     }
 
     /// Notes how long a request's first byte took at a server that had so much to read before.
-    pub fn note_reading(&self, question: &Question, backlog_ms: f64, took_ms: Millis) {
+    pub fn note_reading(&self, inbound: &InboundRequest, backlog_ms: f64, took_ms: Millis) {
         let mut paces = self.reading.borrow_mut();
-        let pace = paces.entry(question.service.clone()).or_default();
-        pace.note_answer(question.prompt.tokens, backlog_ms, took_ms as f64);
+        let pace = paces.entry(inbound.service.clone()).or_default();
+        pace.note_answer(inbound.prompt.tokens, backlog_ms, took_ms as f64);
     }
 
     /// Time in which an engine of a service reads so many tokens.
@@ -603,16 +604,16 @@
     pub fn begin_request(
         &self,
         server: &Rc<Server>,
-        question: &Question,
+        inbound: &InboundRequest,
         tokens: u32,
     ) -> RunningRequest {
-        if question.model_key.is_some() {
-            let reading_ms = self.reading_ms(&question.service, tokens);
+        if inbound.model_key.is_some() {
+            let reading_ms = self.reading_ms(&inbound.service, tokens);
             let mut view = server.view.borrow_mut();
             view.note_begun(reading_ms, self.now_ms());
-            self.outbox.tell_uses(server.key);
+            self.outbox.post_usage(server.key);
         }
-        server.begin_request(question.model_key, tokens)
+        server.begin_request(inbound.model_key, tokens)
     }
 
     /// The box that holds the claim on a server.
--- /dev/null
+++ b/crates/tinbay-gateway/src/sharing/outcome.rs
@@ -0,0 +1,74 @@
+//! Outcomes of one request's attempts to get capacity at scarce servers, for its log line and its
+//! retries.
+
+use std::cell::{Cell, RefCell};
+
+use tinbay_core::serving::servers::ServerKey;
+use tinbay_core::units::Millis;
+
+/// Outcome of a request for capacity at a scarce server.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum RoomOutcome {
+    /// The server's holder admitted the request.
+    Holder,
+    /// The holder did not answer; admitted as this box had no request running there.
+    OwnPart,
+    /// The holder rejected the request.
+    Rejected,
+    /// The holder did not answer; rejected as this box had requests running there.
+    NoAnswer,
+}
+
+impl RoomOutcome {
+    /// Name in logs and metrics.
+    pub fn name(self) -> &'static str {
+        match self {
+            RoomOutcome::Holder => "holder",
+            RoomOutcome::OwnPart => "own_part",
+            RoomOutcome::Rejected => "turned_away",
+            RoomOutcome::NoAnswer => "no_answer",
+        }
+    }
+}
+
+/// Outcomes of one request's attempts to get capacity.
+#[derive(Debug, Default)]
+pub struct RoomOutcomes {
+    outcome: Cell<Option<RoomOutcome>>,
+    wait_ms: Cell<Option<Millis>>,
+    without: RefCell<Vec<ServerKey>>,
+}
+
+impl RoomOutcomes {
+    /// Records the outcome of an attempt and how long it took.
+    pub fn note(&self, outcome: RoomOutcome, took_ms: Millis) {
+        self.outcome.set(Some(outcome));
+        let before_ms = self.wait_ms.get().unwrap_or_default();
+        self.wait_ms.set(Some(before_ms + took_ms));
+    }
+
+    /// Records a server that had no capacity for the request.
+    pub fn note_full(&self, server: ServerKey) {
+        self.without.borrow_mut().push(server);
+    }
+
+    /// Whether a server had no capacity for the request.
+    pub fn is_full(&self, server: ServerKey) -> bool {
+        self.without.borrow().contains(&server)
+    }
+
+    /// Number of servers that had no capacity for the request.
+    pub fn full_count(&self) -> usize {
+        self.without.borrow().len()
+    }
+
+    /// Outcome of the last attempt; `None` if there was none.
+    pub fn outcome(&self) -> Option<RoomOutcome> {
+        self.outcome.get()
+    }
+
+    /// Total time spent waiting for decisions; `None` if there was no attempt.
+    pub fn wait_ms(&self) -> Option<Millis> {
+        self.wait_ms.get()
+    }
+}
--- a/crates/tinbay-node/src/state.rs
+++ b/crates/tinbay-node/src/state.rs
@@ -18,11 +18,11 @@
 use tokio::sync::{Notify, mpsc};
 
 use crate::control::{ASK_WITHIN, ControlClient, ControlError};
-use crate::controllers::{BoxLease, Loads, Members, PolicyCache};
+use crate::controllers::{BoxLease, LoadLimiter, Members, PolicyCache};
 use crate::logging::part;
 use crate::metrics::Metrics;
 use crate::options::Options;
-use crate::owners::{OrderJob, Owners};
+use crate::owners::{OrderJob, OwnedEngines};
 use crate::platform::{BoxListService, KvService};
 use crate::util::clock::{Clock, wall_ms};
 use crate::util::sync::{lock, read, write};
@@ -53,7 +53,7 @@
     /// The other boxes.
     pub members: RwLock<Members>,
     /// The engines owned.
-    pub owners: Owners,
+    pub owners: OwnedEngines,
     /// Successions told by owners, for takeovers while the key-value service is out.
     pub successions: Mutex<HashMap<EngineId, Succession>>,
     /// Engines found without an owner.
@@ -61,7 +61,7 @@
     /// The keys of which this box is the home.
     pub keys: Mutex<KeyTable>,
     /// The shared allowance of the weight store.
-    pub loads: Loads,
+    pub loads: LoadLimiter,
     /// The lease under which orders go to engines that do not check them.
     pub lease: BoxLease,
     /// Compiled policies.
@@ -116,11 +116,11 @@
             incarnation: me.incarnation,
             config: ConfigStore::default(),
             members: RwLock::new(Members::new(me.clone())),
-            owners: Owners::default(),
+            owners: OwnedEngines::default(),
             successions: Mutex::default(),
             vacancies: Mutex::default(),
             keys: Mutex::new(KeyTable::new(me.id.clone(), me.incarnation)),
-            loads: Loads::default(),
+            loads: LoadLimiter::default(),
             lease: BoxLease::default(),
             policies: PolicyCache::default(),
             budgets: Mutex::default(),
@@ -305,7 +305,7 @@
     /// Whether an order to an engine may go out now. Engines that check fences judge for
     /// themselves; for others the lease is read against the monotonic clock right here.
     pub fn may_order(&self, engine: &EngineSpec) -> bool {
-        engine.checks_orders || self.lease.is_sure(self.clock.now_ms())
+        engine.checks_orders || self.lease.is_certainly_held(self.clock.now_ms())
     }
 
     /// Gives an engine up after another box has taken it.
