--- a/crates/tinbay-node/tests/platform_test.rs
+++ b/crates/tinbay-node/tests/platform_test.rs
@@ -1,5 +1,5 @@
-//! The real program before stand-ins of the platform; the cases spell the platform's names
-//! and so stand in its folder.
+//! Tests of the real program against stand-ins of the platform. They are kept in the platform's
+//! directory because they use its names.
 
 #[path = "../../../platform/cases/mod.rs"]
 mod cases;
