--- a/crates/tinbay-cli/src/commands/apply.rs
+++ b/crates/tinbay-cli/src/commands/apply.rs
@@ -15,24 +15,24 @@
 use crate::options::{ApplyOptions, CommonOptions};
 use crate::report::print_json;
 
-/// Objects in one change; the boxes take up to 100.
-const ITEMS_PER_CHANGE: usize = 100;
+/// Maximum number of objects in one change that boxes accept.
+const MAX_ITEMS_PER_CHANGE: usize = 100;
 
-/// What was applied.
+/// Result of applying objects.
 #[derive(Debug, Clone, Serialize)]
 pub struct Applied {
-    /// Objects written.
+    /// Number of objects written.
     pub objects: usize,
-    /// Changes made.
+    /// Ids of the changes.
     pub changes: Vec<String>,
-    /// The revision of the last one.
+    /// Revision of the last change.
     pub revision: Revision,
 }
 
-/// Applies a file.
+/// Writes the objects of a file.
 ///
 /// # Errors
-/// As the calls it makes.
+/// Returns the errors of [`ConfigFile::read`] and of [`Api`].
 pub fn run(common: &CommonOptions, options: &ApplyOptions) -> Result<(), CliError> {
     let objects = ConfigFile::read(&options.file)?.objects();
     let api = api(common);
@@ -60,23 +60,23 @@
     Ok(())
 }
 
-/// Writes objects, up to 100 a change; further changes are named `ID.2`, `ID.3` and so on.
+/// Writes objects in changes of up to 100; the ids of further changes are `ID.2`, `ID.3` and so on.
 ///
 /// # Errors
-/// As the first change that is refused; those before it stay.
+/// Returns the error of the first change that fails; earlier changes stay in effect.
 pub async fn apply_objects(
     api: &Api,
     change_id: &str,
     operator: &str,
     objects: Vec<ConfigObject>,
 ) -> Result<Applied, CliError> {
-    let seen = seen_revisions(api).await?;
+    let revisions = current_revisions(api).await?;
     let mut applied = Applied {
         objects: objects.len(),
         changes: Vec::new(),
         revision: 0,
     };
-    for (index, part) in objects.chunks(ITEMS_PER_CHANGE).enumerate() {
+    for (index, chunk) in objects.chunks(MAX_ITEMS_PER_CHANGE).enumerate() {
         let id = match index {
             0 => change_id.to_owned(),
             _ => format!("{change_id}.{}", index + 1),
@@ -84,7 +84,10 @@
         let change = ChangeRequest {
             change_id: id.clone(),
             operator: operator.to_owned(),
-            items: part.iter().map(|object| put(object, &seen)).collect(),
+            items: chunk
+                .iter()
+                .map(|object| put_item(object, &revisions))
+                .collect(),
         };
         applied.revision = api.change(&change).await?.revision;
         applied.changes.push(id);
@@ -92,27 +95,31 @@
     Ok(applied)
 }
 
-/// The revision of each object as this operator sees it; a change made by another in the
-/// meantime is then a conflict instead of being overwritten unseen.
-async fn seen_revisions(api: &Api) -> Result<HashMap<ConfigKey, Revision>, CliError> {
+/// Returns the current revision of each object. Sent as the expected revisions, they make a
+/// concurrent change by another operator a conflict instead of silently overwriting it.
+async fn current_revisions(api: &Api) -> Result<HashMap<ConfigKey, Revision>, CliError> {
     let records = api.objects(None, None).await?;
-    let keyed = records.into_iter();
-    Ok(keyed
+    let records = records.into_iter();
+    Ok(records
         .map(|record| (record.object.key(), record.revision))
         .collect())
 }
 
-fn put(object: &ConfigObject, seen: &HashMap<ConfigKey, Revision>) -> ChangeItem {
+fn put_item(object: &ConfigObject, revisions: &HashMap<ConfigKey, Revision>) -> ChangeItem {
     ChangeItem::Put {
         object: object.clone(),
-        expected: Some(seen.get(&object.key()).copied().unwrap_or(0)),
+        expected: Some(revisions.get(&object.key()).copied().unwrap_or(0)),
     }
 }
 
-/// A name for a change that was given none.
+/// Generates the id of a change.
 pub fn new_change_id() -> String {
-    let age = SystemTime::now()
+    let since_epoch = SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap_or_default();
-    format!("change-{:x}-{:04x}", age.as_millis(), rand::random::<u16>())
+    format!(
+        "change-{:x}-{:04x}",
+        since_epoch.as_millis(),
+        rand::random::<u16>()
+    )
 }
--- a/crates/tinbay-cli/src/commands/audit.rs
+++ b/crates/tinbay-cli/src/commands/audit.rs
@@ -7,10 +7,10 @@
 use crate::options::CommonOptions;
 use crate::report::{Table, print_json};
 
-/// Shows the audit trail.
+/// Prints the audit trail.
 ///
 /// # Errors
-/// As the call it makes.
+/// Returns the errors of [`Api`](crate::api::Api).
 pub fn run(common: &CommonOptions, change: Option<&str>) -> Result<(), CliError> {
     let api = api(common);
     let change = change.map(str::to_owned);
@@ -32,23 +32,24 @@
                 .refused
                 .clone()
                 .unwrap_or_else(|| "accepted".to_owned()),
-            objects(record),
+            object_summary(record),
         ]);
     }
     print!("{table}");
     Ok(())
 }
 
-fn objects(record: &AuditRecord) -> String {
-    let named: Vec<String> = record
+/// Lists the first three objects of a change and the number of further ones.
+fn object_summary(record: &AuditRecord) -> String {
+    let keys: Vec<String> = record
         .items
         .iter()
         .take(3)
         .map(|item| item.key.to_string())
         .collect();
-    let more = record.items.len().saturating_sub(named.len());
+    let more = record.items.len().saturating_sub(keys.len());
     match more {
-        0 => named.join(" "),
-        more => format!("{} and {more} more", named.join(" ")),
+        0 => keys.join(" "),
+        more => format!("{} and {more} more", keys.join(" ")),
     }
 }
--- a/crates/tinbay-cli/src/commands/delete.rs
+++ b/crates/tinbay-cli/src/commands/delete.rs
@@ -11,7 +11,7 @@
 /// Deletes an object.
 ///
 /// # Errors
-/// As the calls it makes.
+/// Returns the errors of [`Api`](crate::api::Api).
 pub fn run(common: &CommonOptions, options: &DeleteOptions) -> Result<(), CliError> {
     let api = api(common);
     let job = options.clone();
--- a/crates/tinbay-cli/src/commands/demo.rs
+++ b/crates/tinbay-cli/src/commands/demo.rs
@@ -1,4 +1,4 @@
-//! `tinbay demo`: the whole path in one process.
+//! `tinbay demo`: runs a complete system in one process.
 
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
 use std::time::{Duration, Instant};
@@ -24,22 +24,22 @@
 use crate::options::CommonOptions;
 use crate::report::{Table, print_json};
 
-/// The sample configuration, without the addresses that are known only at run time.
+/// Sample configuration; addresses are filled in once the stand-ins listen.
 const SAMPLE: &str = include_str!("../../samples/demo.toml");
 
 /// Zones of the boxes and engines.
 const ZONES: [&str; 3] = ["zone-a", "zone-b", "zone-c"];
 
-/// How long the boxes may take to be ready and to have the configuration in force.
-const READY_WITHIN: Duration = Duration::from_secs(8);
+/// Longest wait until the boxes are ready, and until the configuration is in force on them.
+const READY_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// Time between looks.
-const POLL: Duration = Duration::from_millis(50);
+/// Time between two checks whether the boxes are ready.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// How long callers follow answers that say "not run, come back".
-const PATIENCE: Duration = Duration::from_secs(3);
+/// Time within which callers retry requests that were not run.
+const RETRY_WITHIN: Duration = Duration::from_secs(3);
 
-/// Requests of the demo: class and model.
+/// Class and model of each request of the demo.
 const REQUESTS: [(&str, &str); 8] = [
     ("counter", "fund-1@v1"),
     ("counter", "fund-1@v1"),
@@ -51,14 +51,14 @@
     ("batch", "bid-hydro@v1"),
 ];
 
-/// Everything the demo runs; dropping it stops it.
+/// Running stand-ins and boxes; dropping them stops them.
 struct Demo {
     _standins: Vec<ServerHandle>,
     nodes: Vec<NodeHandle>,
-    entries: Vec<String>,
+    addresses: Vec<String>,
 }
 
-/// What the demo shows.
+/// Results of the demo's requests.
 #[derive(Debug, Serialize)]
 struct DemoReport {
     requests: Vec<Outcome>,
@@ -69,23 +69,24 @@
 /// Runs the demo.
 ///
 /// # Errors
-/// [`CliError::WrongAnswers`] when a request got a wrong answer or none.
+/// Returns [`CliError::WrongAnswers`] if a request got a wrong answer or none, and other errors if
+/// the demo cannot be started or configured.
 pub fn run(common: &CommonOptions, stay: bool) -> Result<(), CliError> {
-    let began = Instant::now();
+    let started = Instant::now();
     let (demo, config) = start()?;
     let api = Api::new(&CommonOptions {
-        servers: demo.entries.clone(),
+        servers: demo.addresses.clone(),
         token: None,
         json: false,
     });
     await_ready(&demo)?;
     let objects = config.objects();
-    let entries = demo.entries.clone();
+    let addresses = demo.addresses.clone();
     let (outcomes, call) = block_on(move || async move {
         let applied = apply_objects(&api, "demo", "demo", objects).await?;
-        let within_ms = READY_WITHIN.as_millis() as u64;
+        let within_ms = READY_TIMEOUT.as_millis() as u64;
         api.wait_in_force(applied.revision, within_ms).await?;
-        Ok(send_requests(entries).await)
+        Ok(send_requests(addresses).await)
     })?;
     let right = outcomes.iter().filter(|outcome| outcome.is_right()).count();
     let wrong = outcomes.len() - right + usize::from(!call.answered);
@@ -97,10 +98,10 @@
     if common.json {
         print_json(&report)?;
     } else {
-        print_report(&report, began.elapsed());
+        print_report(&report, started.elapsed());
     }
     if stay {
-        print_invitation(&demo);
+        print_examples(&demo);
         wait_for_interrupt();
     }
     demo.stop();
@@ -113,23 +114,23 @@
 fn start() -> Result<(Demo, ConfigFile), CliError> {
     let mut config = ConfigFile::parse("demo.toml", SAMPLE)?;
     let mut standins = Vec::new();
-    let mut begin = |kind, settings: &StandinSettings| -> Result<SocketAddr, CliError> {
-        let handle = tinbay_standin::start(kind, any_port()?, settings)?;
+    let mut start_standin = |kind, settings: &StandinSettings| -> Result<SocketAddr, CliError> {
+        let handle = tinbay_standin::start(kind, bind_any_port()?, settings)?;
         let address = handle.address();
         standins.push(handle);
         Ok(address)
     };
-    let plain = StandinSettings::default();
-    let kv = begin(Kind::Kv, &plain)?;
-    let box_list = begin(Kind::Boxes, &plain)?;
-    let weights = begin(Kind::Weights, &plain)?;
-    let mut settings = StandinSettings::default();
-    settings.engine.weight_store = Some(weights.to_string());
+    let default_settings = StandinSettings::default();
+    let kv = start_standin(Kind::Kv, &default_settings)?;
+    let box_list = start_standin(Kind::Boxes, &default_settings)?;
+    let weights = start_standin(Kind::Weights, &default_settings)?;
+    let mut engine_settings = StandinSettings::default();
+    engine_settings.engine.weight_store = Some(weights.to_string());
     for engine in &mut config.engine {
-        engine.address = begin(Kind::Engine, &settings)?.to_string();
+        engine.address = start_standin(Kind::Engine, &engine_settings)?.to_string();
     }
     for service in &mut config.service {
-        service.addresses = vec![begin(Kind::Service, &plain)?.to_string()];
+        service.addresses = vec![start_standin(Kind::Service, &default_settings)?.to_string()];
     }
     let mut nodes = Vec::new();
     for (index, zone) in ZONES.iter().enumerate() {
@@ -139,39 +140,39 @@
     let listed: Vec<ListedBox> = nodes
         .iter()
         .enumerate()
-        .map(|(index, node)| to_listed(index, node))
+        .map(|(index, node)| to_listed_box(index, node))
         .collect();
     block_on(move || async move {
         for entry in listed {
             let url = format!("http://{box_list}/control/set");
-            let _: ListedBox = post_json(&url, &entry, READY_WITHIN).await?;
+            let _: ListedBox = post_json(&url, &entry, READY_TIMEOUT).await?;
         }
         Ok(())
     })?;
-    let entries = nodes
+    let addresses = nodes
         .iter()
         .map(|node| node.address().to_string())
         .collect();
     let demo = Demo {
         _standins: standins,
         nodes,
-        entries,
+        addresses,
     };
     Ok((demo, config))
 }
 
-fn any_port() -> Result<TcpListener, CliError> {
+fn bind_any_port() -> Result<TcpListener, CliError> {
     Ok(TcpListener::bind((Ipv4Addr::LOCALHOST, 0))?)
 }
 
 fn node_options(id: &str, zone: &str, kv: SocketAddr, box_list: SocketAddr) -> NodeOptions {
-    let any = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
+    let any_port = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
     NodeOptions {
         box_id: BoxId::new(id),
         zone: ZoneId::new(zone),
         region: "main".to_owned(),
-        listen: any,
-        control_listen: any,
+        listen: any_port,
+        control_listen: any_port,
         advertise: None,
         control_advertise: None,
         kv,
@@ -187,7 +188,7 @@
     }
 }
 
-fn to_listed(index: usize, node: &NodeHandle) -> ListedBox {
+fn to_listed_box(index: usize, node: &NodeHandle) -> ListedBox {
     ListedBox {
         id: BoxId::new(format!("box-{}", index + 1)),
         zone: ZoneId::new(ZONES[index]),
@@ -198,23 +199,24 @@
     }
 }
 
-/// Waits until every box has met the others; the first change needs no configuration yet.
+/// Waits until every box has discovered all others. The boxes have no configuration yet, which the
+/// first change does not need.
 fn await_ready(demo: &Demo) -> Result<(), CliError> {
-    let until = Instant::now() + READY_WITHIN;
+    let deadline = Instant::now() + READY_TIMEOUT;
     let boxes = demo.nodes.len();
-    while Instant::now() < until {
+    while Instant::now() < deadline {
         if demo.nodes.iter().all(|node| node.boxes_known() == boxes) {
             return Ok(());
         }
-        std::thread::sleep(POLL);
+        std::thread::sleep(POLL_INTERVAL);
     }
     Err(CliError::Start(std::io::Error::other(
-        "the boxes did not find each other",
+        "the boxes did not discover each other",
     )))
 }
 
-async fn send_requests(entries: Vec<String>) -> (Vec<Outcome>, ServiceOutcome) {
-    let caller = Caller::new(entries);
+async fn send_requests(addresses: Vec<String>) -> (Vec<Outcome>, ServiceOutcome) {
+    let caller = Caller::new(addresses);
     let mut outcomes = Vec::new();
     for (index, (class, model)) in REQUESTS.iter().enumerate() {
         let Ok(model) = model.parse::<ModelRef>() else {
@@ -229,7 +231,7 @@
                 class: Some((*class).to_owned()),
             },
             keyed: true,
-            patience: PATIENCE,
+            patience: RETRY_WITHIN,
         };
         outcomes.push(caller.complete(&wanted).await);
     }
@@ -239,7 +241,7 @@
     (outcomes, call)
 }
 
-fn print_report(report: &DemoReport, took: Duration) {
+fn print_report(report: &DemoReport, elapsed: Duration) {
     let mut table = Table::new(&[
         "CLASS",
         "ADAPTER@VERSION",
@@ -278,12 +280,12 @@
         "{} of {} answers right, 3 boxes, 3 engines, {:.1} s in all",
         report.right,
         report.requests.len(),
-        took.as_secs_f64()
+        elapsed.as_secs_f64()
     );
 }
 
-fn print_invitation(demo: &Demo) {
-    let Some(entry) = demo.entries.first() else {
+fn print_examples(demo: &Demo) {
+    let Some(entry) = demo.addresses.first() else {
         return;
     };
     println!("\nThe boxes stay up until you press Ctrl-C. To try:");
@@ -308,7 +310,7 @@
 }
 
 impl Demo {
-    /// Stops the boxes together, since each waits for its callers first.
+    /// Stops all boxes concurrently, as each waits for its requests in progress to finish.
     fn stop(self) {
         let threads: Vec<_> = self
             .nodes
--- a/crates/tinbay-cli/src/commands/diff.rs
+++ b/crates/tinbay-cli/src/commands/diff.rs
@@ -11,13 +11,13 @@
 use crate::options::CommonOptions;
 use crate::report::print_json;
 
-/// How an object of a file differs from the one in force.
+/// How an object of a file differs from the configuration in force.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 enum Change {
-    /// It does not exist yet.
+    /// The object does not exist yet.
     Added,
-    /// It exists with other content.
+    /// The object exists with different content.
     Changed,
 }
 
@@ -30,18 +30,19 @@
 /// Compares a file with the configuration in force.
 ///
 /// # Errors
-/// [`CliError::Differs`] when anything differs.
+/// Returns [`CliError::Differs`] if there is any difference, and the errors of
+/// [`ConfigFile::read`] and of [`Api`](crate::api::Api).
 pub fn run(common: &CommonOptions, file: &str) -> Result<(), CliError> {
     let wanted = ConfigFile::read(file)?.objects();
     let api = api(common);
     let records = block_on(move || async move { api.objects(None, None).await })?;
-    let found: HashMap<ConfigKey, ConfigObject> = records
+    let in_force: HashMap<ConfigKey, ConfigObject> = records
         .into_iter()
         .map(|record| (record.object.key(), record.object))
         .collect();
     let differences: Vec<Difference> = wanted
         .iter()
-        .filter_map(|object| compare(object, &found))
+        .filter_map(|object| compare(object, &in_force))
         .collect();
     if common.json {
         print_json(&differences)?;
@@ -54,11 +55,14 @@
     }
 }
 
-fn compare(object: &ConfigObject, found: &HashMap<ConfigKey, ConfigObject>) -> Option<Difference> {
+fn compare(
+    object: &ConfigObject,
+    in_force: &HashMap<ConfigKey, ConfigObject>,
+) -> Option<Difference> {
     let key = object.key();
-    let change = match found.get(&key) {
+    let change = match in_force.get(&key) {
         None => Change::Added,
-        Some(known) if known != object => Change::Changed,
+        Some(existing) if existing != object => Change::Changed,
         Some(_) => return None,
     };
     Some(Difference {
--- a/crates/tinbay-cli/src/commands/drain.rs
+++ b/crates/tinbay-cli/src/commands/drain.rs
@@ -6,29 +6,29 @@
 use crate::options::CommonOptions;
 use crate::report::print_json;
 
-/// Makes a box leave; it is found by name through any other box.
+/// Drains a box, whose address is looked up by name at any box.
 ///
 /// # Errors
-/// As the calls it makes.
+/// Returns [`CliError::Option`] if no box has this name, and the errors of [`Api`].
 pub fn run(common: &CommonOptions, id: &str) -> Result<(), CliError> {
     let api = api(common);
     let token = common.token.clone();
-    let wanted = id.to_owned();
+    let id = id.to_owned();
     let answer = block_on(move || async move {
         let status = api.status().await?;
-        let found = status.boxes.iter().find(|b| b.record.id.as_str() == wanted);
+        let found = status.boxes.iter().find(|b| b.record.id.as_str() == id);
         let address = found.map(|entry| entry.record.address.clone());
         let address = address.ok_or(CliError::Option {
             option: "box",
-            value: wanted,
-            allowed: "give a box that status shows",
+            value: id,
+            allowed: "give a box that `tinbay status` shows",
         })?;
-        let there = Api::new(&CommonOptions {
+        let box_api = Api::new(&CommonOptions {
             servers: vec![address],
             token,
             json: false,
         });
-        there.drain().await
+        box_api.drain().await
     })?;
     if common.json {
         return print_json(&answer);
--- a/crates/tinbay-cli/src/commands/experiment.rs
+++ b/crates/tinbay-cli/src/commands/experiment.rs
@@ -14,7 +14,7 @@
 use crate::options::{CommonOptions, ExperimentOptions};
 use crate::report::{Table, print_json};
 
-/// One workload's runs.
+/// Results of all runs of one workload.
 #[derive(Debug, Serialize)]
 struct ExperimentReport {
     workload: String,
@@ -23,10 +23,10 @@
     runs: BTreeMap<&'static str, Vec<Measures>>,
 }
 
-/// Runs every strategy over every seed of a workload file and compares.
+/// Runs every strategy with every seed of the workload files and prints a comparison.
 ///
 /// # Errors
-/// [`CliError::File`] or [`CliError::Workload`].
+/// Returns [`CliError::File`] if a file cannot be read and [`CliError::Workload`] if it is invalid.
 pub fn run(common: &CommonOptions, options: &ExperimentOptions) -> Result<(), CliError> {
     for file in &options.files {
         let report = run_file(file, options)?;
@@ -40,17 +40,17 @@
 }
 
 fn run_file(file: &str, options: &ExperimentOptions) -> Result<ExperimentReport, CliError> {
-    let wrong = |source| CliError::Workload {
+    let invalid = |source| CliError::Workload {
         path: file.to_owned(),
         source,
     };
-    let mut workload = Workload::parse(&read_text(file)?).map_err(wrong)?;
+    let mut workload = Workload::parse(&read_text(file)?).map_err(invalid)?;
     if let Some(skew) = options.skew {
         workload.adapters.skew = skew;
     }
     let policy_path = Path::new(file).with_extension("rhai");
     let policy_text = read_text(&policy_path.display().to_string())?;
-    let policy = Workload::compile_policy(&policy_text).map_err(wrong)?;
+    let policy = Workload::compile_policy(&policy_text).map_err(invalid)?;
     let seeds = if options.judge {
         &workload.judging_seeds
     } else {
@@ -58,21 +58,21 @@
     };
     let mut runs = BTreeMap::new();
     thread::scope(|scope| {
-        let started: Vec<_> = StrategyKind::ALL
+        let handles: Vec<_> = StrategyKind::ALL
             .into_iter()
             .map(|kind| {
                 let (workload, policy) = (&workload, &policy);
-                let running = scope.spawn(move || {
-                    let each = seeds
+                let handle = scope.spawn(move || {
+                    let measures = seeds
                         .iter()
                         .map(|seed| run_strategy(workload, policy, kind, *seed));
-                    each.collect::<Vec<Measures>>()
+                    measures.collect::<Vec<Measures>>()
                 });
-                (kind, running)
+                (kind, handle)
             })
             .collect();
-        for (kind, running) in started {
-            runs.insert(kind.as_str(), running.join().unwrap_or_default());
+        for (kind, handle) in handles {
+            runs.insert(kind.as_str(), handle.join().unwrap_or_default());
         }
     });
     Ok(ExperimentReport {
@@ -88,7 +88,7 @@
 
 fn print_report(report: &ExperimentReport) {
     println!(
-        "{} over seeds {:?}; mean ±95% confidence, times in ms",
+        "{} with seeds {:?}; mean ±95% confidence interval, times in ms",
         report.workload, report.seeds
     );
     let classes: Vec<String> = report
@@ -110,7 +110,7 @@
     ]);
     for kind in StrategyKind::ALL {
         let runs = &report.runs[kind.as_str()];
-        let column = |of: &dyn Fn(&Measures) -> f64, digits| cell(runs, of, digits);
+        let column = |value: &dyn Fn(&Measures) -> f64, digits| cell(runs, value, digits);
         table.add(vec![
             kind.as_str().to_owned(),
             column(&|m| m.batch_efficiency, 3),
@@ -123,22 +123,22 @@
 }
 
 fn print_class(report: &ExperimentReport, class: &str) {
-    let bounds: Vec<f64> = report
+    let stall_bounds: Vec<f64> = report
         .bounds
         .iter()
         .filter_map(|bound| bound.stall_p99_ms.get(class).copied())
         .collect();
-    let hits: Vec<f64> = report
+    let hit_share_bounds: Vec<f64> = report
         .bounds
         .iter()
         .filter_map(|bound| bound.hit_share.get(class).copied())
         .collect();
-    let bound = match bounds.is_empty() {
+    let bound = match stall_bounds.is_empty() {
         true => String::new(),
         false => format!(
-            "; bound of the p99 stall {:.0}, of adapters found loaded {:.1}%",
-            mean_and_spread(&bounds).0,
-            100.0 * mean_and_spread(&hits).0
+            "; bound of the p99 stall {:.0}, of requests with the adapter loaded {:.1}%",
+            mean_and_spread(&stall_bounds).0,
+            100.0 * mean_and_spread(&hit_share_bounds).0
         ),
     };
     println!("\nclass {class}{bound}");
@@ -155,20 +155,20 @@
     ]);
     for kind in StrategyKind::ALL {
         let runs = &report.runs[kind.as_str()];
-        let column = |of: &dyn Fn(&tinbay_experiment::ClassMeasures) -> f64, digits| {
+        let column = |value: &dyn Fn(&tinbay_experiment::ClassMeasures) -> f64, digits| {
             cell(
                 runs,
-                &|m: &Measures| m.classes.get(class).map_or(0.0, of),
+                &|m: &Measures| m.classes.get(class).map_or(0.0, value),
                 digits,
             )
         };
-        let share = |part: u64, of: u64| 100.0 * part as f64 / of.max(1) as f64;
+        let percent = |part: u64, total: u64| 100.0 * part as f64 / total.max(1) as f64;
         table.add(vec![
             kind.as_str().to_owned(),
             column(&|c| c.came as f64, 0),
-            column(&|c| share(c.in_time, c.came), 1),
-            column(&|c| share(c.late, c.came), 1),
-            column(&|c| share(c.refused, c.came), 1),
+            column(&|c| percent(c.in_time, c.came), 1),
+            column(&|c| percent(c.late, c.came), 1),
+            column(&|c| percent(c.refused, c.came), 1),
             column(&|c| c.stall.p50_ms, 0),
             column(&|c| c.stall.p95_ms, 0),
             column(&|c| c.stall.p99_ms, 0),
@@ -178,8 +178,9 @@
     print!("{table}");
 }
 
-fn cell(runs: &[Measures], of: &dyn Fn(&Measures) -> f64, digits: usize) -> String {
-    let values: Vec<f64> = runs.iter().map(of).collect();
+/// Formats the mean of a value over runs, with its confidence interval.
+fn cell(runs: &[Measures], value: &dyn Fn(&Measures) -> f64, digits: usize) -> String {
+    let values: Vec<f64> = runs.iter().map(value).collect();
     let (mean, spread) = mean_and_spread(&values);
     format!("{mean:.digits$} ±{spread:.digits$}")
 }
--- a/crates/tinbay-cli/src/commands/get.rs
+++ b/crates/tinbay-cli/src/commands/get.rs
@@ -8,10 +8,10 @@
 use crate::options::CommonOptions;
 use crate::report::{Table, print_json};
 
-/// Shows objects.
+/// Prints configuration objects.
 ///
 /// # Errors
-/// As the call it makes.
+/// Returns the errors of [`Api`](crate::api::Api), or [`CliError::Output`].
 pub fn run(common: &CommonOptions, kind: Option<Kind>, name: Option<&str>) -> Result<(), CliError> {
     let api = api(common);
     let name = name.map(str::to_owned);
@@ -31,7 +31,7 @@
     Ok(())
 }
 
-/// The object without the kind that is in its key already.
+/// Returns the object's content as JSON, without the kind, which its key already shows.
 fn content(record: &ObjectRecord) -> Result<String, CliError> {
     let value = serde_json::to_value(&record.object)?;
     let inner = value.as_object().and_then(|map| map.values().next());
--- a/crates/tinbay-cli/src/commands/limits.rs
+++ b/crates/tinbay-cli/src/commands/limits.rs
@@ -14,10 +14,10 @@
 use crate::report::{Table, print_json};
 
 /// Size of the plot in pixels.
-const PLOT_SIZE: (u32, u32) = (900, 420);
+const PLOT_SIZE_PX: (u32, u32) = (900, 420);
 
-/// Room for the labels of the axes in pixels.
-const LABELS: u32 = 60;
+/// Width of the area for the axis labels in pixels.
+const LABEL_AREA_PX: u32 = 60;
 
 #[derive(Debug, Serialize)]
 struct Run {
@@ -25,10 +25,11 @@
     measures: LimitMeasures,
 }
 
-/// Plays limits with each way of keeping them.
+/// Simulates limits of client accounts with each strategy for enforcing them.
 ///
 /// # Errors
-/// [`CliError::Demand`] or [`CliError::Plot`].
+/// Returns [`CliError::Demand`] if the demand cannot be generated and [`CliError::Plot`] if the
+/// plot cannot be drawn.
 pub fn run(common: &CommonOptions, options: &LimitsOptions) -> Result<(), CliError> {
     let mut runs = Vec::new();
     for strategy in LimitStrategy::ALL {
@@ -46,7 +47,7 @@
     let Some(last) = runs.last() else {
         return Ok(());
     };
-    draw(Path::new(path), &last.measures).map_err(|error| CliError::Plot {
+    draw_plot(Path::new(path), &last.measures).map_err(|error| CliError::Plot {
         path: path.clone(),
         reason: error.to_string(),
     })
@@ -84,20 +85,20 @@
     print!("{table}");
 }
 
-/// Draws what the hot account asked for, what it got and its limit, second by second.
-fn draw(path: &Path, measures: &LimitMeasures) -> Result<(), Box<dyn Error>> {
-    let area = SVGBackend::new(path, PLOT_SIZE).into_drawing_area();
+/// Plots the hot account's demand, its admitted part and its limit over time.
+fn draw_plot(path: &Path, measures: &LimitMeasures) -> Result<(), Box<dyn Error>> {
+    let area = SVGBackend::new(path, PLOT_SIZE_PX).into_drawing_area();
     area.fill(&WHITE)?;
     let seconds = measures.hot.len() as f64;
-    let highest = measures.hot.iter().map(|second| second.asked);
-    let highest = highest.fold(measures.hot_limit_per_s, f64::max) * 1.1;
+    let demand = measures.hot.iter().map(|second| second.asked);
+    let highest = demand.fold(measures.hot_limit_per_s, f64::max) * 1.1;
     let mut chart = ChartBuilder::on(&area)
-        .set_all_label_area_size(LABELS)
+        .set_all_label_area_size(LABEL_AREA_PX)
         .build_cartesian_2d(0.0..seconds, 0.0..highest)?;
     chart.configure_mesh().draw()?;
-    let points = |of: fn(&Second) -> f64| {
+    let points = |value: fn(&Second) -> f64| {
         let hot = measures.hot.iter().enumerate();
-        hot.map(move |(at, second)| (at as f64, of(second)))
+        hot.map(move |(at, second)| (at as f64, value(second)))
     };
     chart.draw_series(LineSeries::new(points(|second| second.asked), &RED))?;
     chart.draw_series(LineSeries::new(points(|second| second.admitted), &BLUE))?;
--- a/crates/tinbay-cli/src/commands/load.rs
+++ b/crates/tinbay-cli/src/commands/load.rs
@@ -16,68 +16,69 @@
 use crate::options::{CommonOptions, LoadOptions};
 use crate::report::{Table, print_json};
 
-/// How long callers follow answers that say "not run, come back": not at all, so that every
-/// refusal is counted.
-const PATIENCE: Duration = Duration::ZERO;
+/// Time within which callers retry requests that were not run; zero, so that every refusal is
+/// counted.
+const RETRY_WITHIN: Duration = Duration::ZERO;
 
-/// Time between looks at how full the batches are.
-const BATCH_SAMPLE: Duration = Duration::from_millis(200);
+/// Time between two samples of the engines' batch sizes.
+const BATCH_SAMPLE_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Quantiles of one measure, in milliseconds.
+/// Quantiles of a time.
 #[derive(Debug, Clone, Copy, Default, Serialize)]
 pub struct Quantiles {
-    /// Half are below.
+    /// Median.
     pub p50_ms: u64,
-    /// 95 in 100 are below.
+    /// 95th percentile.
     pub p95_ms: u64,
-    /// 99 in 100 are below.
+    /// 99th percentile.
     pub p99_ms: u64,
 }
 
-/// What was measured of one class.
+/// Results of one class.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct ClassReport {
-    /// Requests sent.
+    /// Number of requests sent.
     pub sent: usize,
-    /// Whole answers.
+    /// Number of complete answers.
     pub answered: usize,
-    /// Refused as not run.
+    /// Number of requests that were refused without being run.
     pub refused: usize,
-    /// Any other end.
+    /// Number of requests with any other outcome.
     pub failed: usize,
-    /// Answers that were not what the model generates; only with `--verify`.
+    /// Number of answers that differ from what the model generates; 0 without `--verify`.
     pub wrong: usize,
-    /// Wait for the adapter to be loaded.
+    /// Wait until the adapter is loaded.
     pub stall: Quantiles,
     /// Time to the first token.
     pub first_token: Quantiles,
 }
 
-/// What was measured.
+/// Results of a load run.
 #[derive(Debug, Clone, Serialize)]
 pub struct LoadReport {
-    /// By class.
+    /// Results by class.
     pub classes: BTreeMap<String, ClassReport>,
-    /// Mean share of the batch in use, over engines that ran anything.
+    /// Mean used share of the batch limit, over engines that run at least one request.
     pub batch_efficiency: f64,
 }
 
-/// Sends load and reports.
+/// Generates load and prints the results.
 ///
 /// # Errors
-/// [`CliError::WrongAnswers`] with `--verify`, else as the calls it makes.
+/// Returns [`CliError::WrongAnswers`] if `--verify` finds any, [`CliError::Option`] if there is no
+/// adapter version, and the errors of [`Api`].
 pub fn run(common: &CommonOptions, options: &LoadOptions) -> Result<(), CliError> {
     let api = api(common);
     let servers = common.servers.clone();
     let token = common.token.clone();
     let job = options.clone();
     let (outcomes, batch_efficiency) = block_on(move || async move {
-        let models = models(&api).await?;
+        let models = fetch_models(&api).await?;
         let plan = to_plan(&job, servers, models);
         let length = plan.length;
-        let running = drive(plan);
-        let sampled = sample_batches(&api, token, length);
-        Ok(futures_util::future::join(running, sampled).await)
+        let load = drive(plan);
+        let batch_efficiency = sample_batches(&api, token, length);
+        Ok(futures_util::future::join(load, batch_efficiency).await)
     })?;
     let report = LoadReport {
         classes: summarise(&outcomes, options.verify),
@@ -106,11 +107,11 @@
         max_tokens: options.max_tokens,
         seed: options.seed,
         keyed: false,
-        patience: PATIENCE,
+        patience: RETRY_WITHIN,
     }
 }
 
-async fn models(api: &Api) -> Result<Vec<ModelRef>, CliError> {
+async fn fetch_models(api: &Api) -> Result<Vec<ModelRef>, CliError> {
     let records = api.objects(Some(Kind::Version), None).await?;
     let models: Vec<ModelRef> = records
         .into_iter()
@@ -129,32 +130,33 @@
     Ok(models)
 }
 
-/// The mean share of the batch in use, over engines that run anything when looked at.
+/// Returns the mean used share of the batch limit, over samples of engines that run at least one
+/// request.
 async fn sample_batches(api: &Api, token: Option<String>, length: Duration) -> f64 {
     let Ok(status) = api.status().await else {
         return 0.0;
     };
     let limits = batch_limits(api).await;
-    let until = tokio::time::Instant::now() + length;
-    let (mut used, mut offered) = (0, 0);
-    while tokio::time::Instant::now() < until {
+    let deadline = tokio::time::Instant::now() + length;
+    let (mut running, mut capacity) = (0, 0);
+    while tokio::time::Instant::now() < deadline {
         for entry in &status.boxes {
-            let there = Api::new(&CommonOptions {
+            let box_api = Api::new(&CommonOptions {
                 servers: vec![entry.record.address.clone()],
                 token: token.clone(),
                 json: false,
             });
-            let Ok(answer) = there.status().await else {
+            let Ok(answer) = box_api.status().await else {
                 continue;
             };
             for engine in answer.engines.iter().filter(|engine| engine.running > 0) {
-                used += engine.running;
-                offered += limits.get(engine.engine.as_str()).copied().unwrap_or(0);
+                running += engine.running;
+                capacity += limits.get(engine.engine.as_str()).copied().unwrap_or(0);
             }
         }
-        tokio::time::sleep(BATCH_SAMPLE).await;
+        tokio::time::sleep(BATCH_SAMPLE_INTERVAL).await;
     }
-    used as f64 / offered.max(1) as f64
+    running as f64 / capacity.max(1) as f64
 }
 
 async fn batch_limits(api: &Api) -> BTreeMap<String, usize> {
@@ -173,7 +175,7 @@
         .collect()
 }
 
-/// Sums outcomes up by class.
+/// Summarises outcomes by class.
 pub fn summarise(outcomes: &[Outcome], verify: bool) -> BTreeMap<String, ClassReport> {
     let mut by_class: BTreeMap<String, Vec<&Outcome>> = BTreeMap::new();
     for outcome in outcomes {
--- a/crates/tinbay-cli/src/commands/locate.rs
+++ b/crates/tinbay-cli/src/commands/locate.rs
@@ -7,10 +7,10 @@
 use crate::options::CommonOptions;
 use crate::report::print_json;
 
-/// Asks which addresses a caller should use.
+/// Prints the addresses that a caller should use.
 ///
 /// # Errors
-/// As the call it makes.
+/// Returns the errors of [`Api`](crate::api::Api).
 pub fn run(common: &CommonOptions, model: Option<&ModelRef>) -> Result<(), CliError> {
     let api = api(common);
     let model = model.cloned();
--- a/crates/tinbay-cli/src/commands/mod.rs
+++ b/crates/tinbay-cli/src/commands/mod.rs
@@ -1,4 +1,4 @@
-//! One file a command.
+//! Implementations of the commands, one module each.
 
 mod apply;
 mod audit;
@@ -24,10 +24,10 @@
 use crate::options::{Action, CommonOptions, Options};
 use crate::util::worker::Worker;
 
-/// Carries out a command.
+/// Runs a command.
 ///
 /// # Errors
-/// [`CliError`] with its exit code.
+/// Returns a [`CliError`], which determines the exit code.
 pub fn run(options: &Options) -> Result<(), CliError> {
     let common = &options.common;
     match &options.action {
@@ -36,7 +36,7 @@
         Action::Diff { file } => diff::run(common, file),
         Action::Delete(delete) => delete::run(common, delete),
         Action::PolicyCheck { file } => policy::check(common, file),
-        Action::PolicyTry { file } => policy::try_at_box(common, file),
+        Action::PolicyTry { file } => policy::try_on_box(common, file),
         Action::Status => status::run(common),
         Action::Drain { id } => drain::run(common, id),
         Action::Audit { change } => audit::run(common, change.as_deref()),
@@ -59,18 +59,18 @@
     }
 }
 
-/// Runs asynchronous work of a command to its end.
+/// Runs asynchronous work on a worker thread and waits for its result.
 fn block_on<F, W, T>(work: F) -> Result<T, CliError>
 where
     F: FnOnce() -> W + Send + 'static,
     W: Future<Output = Result<T, CliError>> + 'static,
     T: Send + 'static,
 {
-    let ended = || CliError::Start(std::io::Error::other("the worker thread ended"));
-    Worker::start().run(work).ok_or_else(ended)?
+    let thread_ended = || CliError::Start(std::io::Error::other("the worker thread ended"));
+    Worker::start().run(work).ok_or_else(thread_ended)?
 }
 
-/// The interface at the options' boxes.
+/// Creates a client of the boxes given in the options.
 fn api(common: &CommonOptions) -> crate::api::Api {
     crate::api::Api::new(common)
 }
--- a/crates/tinbay-cli/src/commands/policy.rs
+++ b/crates/tinbay-cli/src/commands/policy.rs
@@ -8,36 +8,38 @@
 use crate::options::CommonOptions;
 use crate::report::print_json;
 
-/// Compiles a program here, with the same samples as a box.
+/// Compiles a program locally and checks it with the same sample requests as a box.
 ///
 /// # Errors
-/// [`CliError::Policy`] with line and column.
+/// Returns [`CliError::Policy`] with line and column if the program is invalid, and
+/// [`CliError::File`] if it cannot be read.
 pub fn check(common: &CommonOptions, file: &str) -> Result<(), CliError> {
     let program = read_text(file)?;
     let policy = Policy::compile(&program).map_err(|source| CliError::Policy {
         path: file.to_owned(),
         source,
     })?;
-    show(common, policy.settings())
+    print_settings(common, policy.settings())
 }
 
-/// Compiles a program at a box.
+/// Compiles a program on a box.
 ///
 /// # Errors
-/// As the call it makes.
-pub fn try_at_box(common: &CommonOptions, file: &str) -> Result<(), CliError> {
+/// Returns [`CliError::File`] if the program cannot be read, and the errors of
+/// [`Api`](crate::api::Api).
+pub fn try_on_box(common: &CommonOptions, file: &str) -> Result<(), CliError> {
     let program = read_text(file)?;
     let api = api(common);
     let settings = block_on(move || async move { api.try_policy(&program).await })?;
-    show(common, settings)
+    print_settings(common, settings)
 }
 
-fn show(common: &CommonOptions, settings: PolicySettings) -> Result<(), CliError> {
+fn print_settings(common: &CommonOptions, settings: PolicySettings) -> Result<(), CliError> {
     if common.json {
         return print_json(&settings);
     }
     println!(
-        "the program is good; stall_weight {}",
+        "the program is valid; stall_weight {}",
         settings.stall_weight
     );
     Ok(())
--- a/crates/tinbay-cli/src/commands/standin.rs
+++ b/crates/tinbay-cli/src/commands/standin.rs
@@ -8,7 +8,7 @@
 /// Runs a stand-in until the process is stopped.
 ///
 /// # Errors
-/// When its address cannot be listened on.
+/// Returns [`CliError::Start`] if the stand-in cannot listen on its address.
 pub fn run(options: &StandinOptions) -> Result<(), CliError> {
     let listener = TcpListener::bind(options.listen)?;
     let handle = tinbay_standin::start(options.kind, listener, &options.settings)?;
--- a/crates/tinbay-cli/src/commands/status.rs
+++ b/crates/tinbay-cli/src/commands/status.rs
@@ -9,16 +9,16 @@
 use crate::options::CommonOptions;
 use crate::report::{Table, print_json};
 
-/// Shows boxes, engines and revisions.
+/// Prints boxes, engines and revisions in force.
 ///
 /// # Errors
-/// As the calls it makes.
+/// Returns the errors of [`Api`].
 pub fn run(common: &CommonOptions) -> Result<(), CliError> {
     let api = api(common);
     let token = common.token.clone();
     let status = block_on(move || async move {
         let mut status = api.status().await?;
-        status.engines = gather_engines(&status, token).await;
+        status.engines = fetch_engines(&status, token).await;
         Ok(status)
     })?;
     if common.json {
@@ -28,8 +28,8 @@
     Ok(())
 }
 
-/// Every box's engines; a box that does not answer is left out.
-async fn gather_engines(status: &Status, token: Option<String>) -> Vec<EngineStatus> {
+/// Returns the engines of all boxes that answer.
+async fn fetch_engines(status: &Status, token: Option<String>) -> Vec<EngineStatus> {
     let mut engines = Vec::new();
     for entry in &status.boxes {
         let api = Api::new(&CommonOptions {
--- a/crates/tinbay-cli/tests/cli_test.rs
+++ b/crates/tinbay-cli/tests/cli_test.rs
@@ -1,4 +1,4 @@
-//! The command line as a user sees it.
+//! Tests the command line through its binary.
 
 mod common;
 
