--- a/crates/tinbay-cli/src/api.rs
+++ b/crates/tinbay-cli/src/api.rs
@@ -30,7 +30,7 @@
 /// Sends each request to the first of several boxes that answers.
 #[derive(Debug, Clone)]
 pub struct Api {
-    servers: Vec<String>,
+    box_addresses: Vec<String>,
     token: Option<String>,
 }
 
@@ -38,7 +38,7 @@
     /// Creates a client of the boxes given in the options.
     pub fn new(common: &CommonOptions) -> Self {
         Self {
-            servers: common.servers.clone(),
+            box_addresses: common.box_addresses.clone(),
             token: common.token.clone(),
         }
     }
@@ -164,7 +164,7 @@
         S: Fn(ClientRequest) -> ResponseFuture,
     {
         let mut last_error = CallError::NotConnected;
-        for server in &self.servers {
+        for server in &self.box_addresses {
             let url = format!("http://{server}{path}");
             let mut request = pooled_client().await.request(method.clone(), url.as_str());
             if let Some(token) = &self.token {
--- a/crates/tinbay-cli/src/commands/demo.rs
+++ b/crates/tinbay-cli/src/commands/demo.rs
@@ -75,7 +75,7 @@
     let started = Instant::now();
     let (demo, config) = start()?;
     let api = Api::new(&CommonOptions {
-        servers: demo.addresses.clone(),
+        box_addresses: demo.addresses.clone(),
         token: None,
         json: false,
     });
--- a/crates/tinbay-cli/src/commands/drain.rs
+++ b/crates/tinbay-cli/src/commands/drain.rs
@@ -24,7 +24,7 @@
             allowed: "give a box that `tinbay status` shows",
         })?;
         let box_api = Api::new(&CommonOptions {
-            servers: vec![address],
+            box_addresses: vec![address],
             token,
             json: false,
         });
--- a/crates/tinbay-cli/src/commands/load.rs
+++ b/crates/tinbay-cli/src/commands/load.rs
@@ -69,12 +69,12 @@
 /// adapter version, and the errors of [`Api`].
 pub fn run(common: &CommonOptions, options: &LoadOptions) -> Result<(), CliError> {
     let api = api(common);
-    let servers = common.servers.clone();
+    let box_addresses = common.box_addresses.clone();
     let token = common.token.clone();
     let job = options.clone();
     let (outcomes, batch_efficiency) = block_on(move || async move {
         let models = fetch_models(&api).await?;
-        let plan = to_plan(&job, servers, models);
+        let plan = to_plan(&job, box_addresses, models);
         let length = plan.length;
         let load = drive(plan);
         let batch_efficiency = sample_batches(&api, token, length);
@@ -142,7 +142,7 @@
     while tokio::time::Instant::now() < deadline {
         for entry in &status.boxes {
             let box_api = Api::new(&CommonOptions {
-                servers: vec![entry.record.address.clone()],
+                box_addresses: vec![entry.record.address.clone()],
                 token: token.clone(),
                 json: false,
             });
--- a/crates/tinbay-cli/src/commands/status.rs
+++ b/crates/tinbay-cli/src/commands/status.rs
@@ -33,7 +33,7 @@
     let mut engines = Vec::new();
     for entry in &status.boxes {
         let api = Api::new(&CommonOptions {
-            servers: vec![entry.record.address.clone()],
+            box_addresses: vec![entry.record.address.clone()],
             token: token.clone(),
             json: false,
         });
--- a/crates/tinbay-cli/src/options.rs
+++ b/crates/tinbay-cli/src/options.rs
@@ -30,7 +30,7 @@
 #[derive(Debug, Clone)]
 pub struct CommonOptions {
     /// Addresses of boxes, tried in this order.
-    pub servers: Vec<String>,
+    pub box_addresses: Vec<String>,
     /// Token for the administration interface.
     pub token: Option<String>,
     /// Whether to print JSON instead of text.
@@ -235,9 +235,9 @@
     /// # Errors
     /// Returns [`CliError::Option`] for the first invalid value.
     pub fn from_matches(matches: &ArgMatches) -> Result<Self, CliError> {
-        let servers = matches.get_many::<String>("server");
+        let box_addresses = matches.get_many::<String>("server");
         let common = CommonOptions {
-            servers: servers.into_iter().flatten().cloned().collect(),
+            box_addresses: box_addresses.into_iter().flatten().cloned().collect(),
             token: text(matches, "admin-token"),
             json: matches.get_flag("json"),
         };
--- a/crates/tinbay-cli/src/scenario/fleet.rs
+++ b/crates/tinbay-cli/src/scenario/fleet.rs
@@ -273,7 +273,7 @@
 
     fn api(&self, entries: Vec<String>) -> Api {
         Api::new(&CommonOptions {
-            servers: entries,
+            box_addresses: entries,
             token: None,
             json: false,
         })
