--- a/crates/tinbay-cli/src/commands/apply.rs
+++ b/crates/tinbay-cli/src/commands/apply.rs
@@ -36,11 +36,11 @@
 pub fn run(common: &CommonOptions, options: &ApplyOptions) -> Result<(), CliError> {
     let objects = ConfigFile::read(&options.file)?.objects();
     let api = api(common);
-    let job = options.clone();
+    let owned_options = options.clone();
     let applied = block_on(move || async move {
-        let id = job.change_id.unwrap_or_else(new_change_id);
-        let applied = apply_objects(&api, &id, &job.operator, objects).await?;
-        if let Some(wait_ms) = job.wait_ms {
+        let id = owned_options.change_id.unwrap_or_else(new_change_id);
+        let applied = apply_objects(&api, &id, &owned_options.operator, objects).await?;
+        if let Some(wait_ms) = owned_options.wait_ms {
             api.wait_in_force(applied.revision, wait_ms).await?;
         }
         Ok(applied)
--- a/crates/tinbay-cli/src/commands/delete.rs
+++ b/crates/tinbay-cli/src/commands/delete.rs
@@ -14,15 +14,17 @@
 /// Returns the errors of [`Api`](crate::api::Api).
 pub fn run(common: &CommonOptions, options: &DeleteOptions) -> Result<(), CliError> {
     let api = api(common);
-    let job = options.clone();
+    let owned_options = options.clone();
     let accepted = block_on(move || async move {
         let change = ChangeRequest {
             change_id: new_change_id(),
-            operator: job.operator,
-            items: vec![ChangeItem::Delete { key: job.key }],
+            operator: owned_options.operator,
+            items: vec![ChangeItem::Delete {
+                key: owned_options.key,
+            }],
         };
         let accepted = api.change(&change).await?;
-        if let Some(wait_ms) = job.wait_ms {
+        if let Some(wait_ms) = owned_options.wait_ms {
             api.wait_in_force(accepted.revision, wait_ms).await?;
         }
         Ok(accepted)
--- a/crates/tinbay-cli/src/commands/load.rs
+++ b/crates/tinbay-cli/src/commands/load.rs
@@ -71,10 +71,10 @@
     let api = api(common);
     let box_addresses = common.box_addresses.clone();
     let token = common.token.clone();
-    let job = options.clone();
+    let owned_options = options.clone();
     let (outcomes, batch_efficiency) = block_on(move || async move {
         let models = fetch_models(&api).await?;
-        let plan = to_plan(&job, box_addresses, models);
+        let plan = to_plan(&owned_options, box_addresses, models);
         let length = plan.length;
         let load = drive(plan);
         let batch_efficiency = sample_batches(&api, token, length);
--- a/crates/tinbay-cli/src/error.rs
+++ b/crates/tinbay-cli/src/error.rs
@@ -97,7 +97,8 @@
     /// Objects differ between the file and the boxes.
     #[error("{0} object(s) differ")]
     Differs(usize),
-    /// A stand-in, a box of the demo or the worker thread did not start.
+    /// A stand-in, a process or the worker thread did not start, or a scenario's files or processes
+    /// could not be used.
     #[error("cannot start: {0}")]
     Start(#[from] io::Error),
     /// A box failed to start.
