--- a/crates/tinbay-node/tests/soak_test.rs
+++ b/crates/tinbay-node/tests/soak_test.rs
@@ -1,5 +1,5 @@
-//! Many boxes as real processes, with faults from outside, and the promises checked by what
-//! callers and servers saw; it spells the platform's names and so stands in its folder.
+//! Soak test: runs several box processes, injects faults and checks the guarantees by what callers
+//! and servers recorded. Its code is in the platform's folder, as it uses the platform's names.
 
 #[path = "../../../platform/soak/mod.rs"]
 mod soak;
