--- a/crates/tinbay-cli/src/caller/mod.rs
+++ b/crates/tinbay-cli/src/caller/mod.rs
@@ -1,5 +1,6 @@
-//! A caller as the callers' page describes it: it locates, keeps the answer for its life,
-//! connects by itself, falls back to the other addresses, and resumes a broken answer.
+//! A client that follows the protocol for callers: it locates a box, caches the locate response for
+//! its validity, connects directly, falls back to the other addresses, and resumes an interrupted
+//! response.
 
 mod outcome;
 
@@ -18,111 +19,118 @@
 use tinbay_wire::headers;
 use tinbay_wire::locate::LocateAnswer;
 
-use outcome::AnswerPiece;
+use outcome::ResponseChunk;
 
-/// How long locate may take at one address.
-const LOCATE_WITHIN: Duration = Duration::from_secs(1);
+/// Timeout of a locate request to one address.
+const LOCATE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Longest wait for the head of an answer.
-const HEAD_WITHIN: Duration = Duration::from_secs(60);
+/// Timeout for the status and headers of a response.
+const HEAD_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Longest wait for the next piece of an answer; a box that was frozen is given up then.
-const PIECE_WITHIN: Duration = Duration::from_secs(5);
+/// Timeout for the next chunk of a response. It ends a stream from a frozen box, which keeps its
+/// connections open.
+const CHUNK_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Times a caller asks for one request, falls back and resumes included.
-const MAX_ASKS: u32 = 6;
+/// Maximum number of attempts for one request, including fallbacks and resumptions; retries that a
+/// refusal invites are not counted.
+const MAX_ATTEMPTS: u32 = 6;
 
-/// Time between asks after a box could not be reached.
-const ASK_AGAIN: Duration = Duration::from_millis(100);
+/// Delay before the next attempt if a box could not be reached.
+const RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// One completion a caller wants.
+/// One completion request and how the caller sends it.
 #[derive(Debug, Clone)]
 pub struct Wanted {
-    /// What it sends.
+    /// The request body.
     pub request: CompletionRequest,
-    /// Whether it gets a key of its own, to ask again and to resume by.
+    /// Whether it is sent with a request key, which allows repeating and resuming it.
     pub keyed: bool,
-    /// How long it follows answers that say "not run, come back".
+    /// Time for which refusals that report "not run" with a retry time are retried.
     pub patience: Duration,
 }
 
-/// Where requests go.
+/// A cached locate response.
 #[derive(Debug, Clone)]
-struct Located {
+struct CachedLocation {
     answer: LocateAnswer,
-    until: Instant,
+    valid_until: Instant,
 }
 
-/// One caller.
+/// A client that sends requests to boxes.
 pub struct Caller {
-    entries: Vec<String>,
-    /// Connects here whatever locate says.
+    box_addresses: Vec<String>,
+    /// Address to connect to instead of the located ones.
     pinned: Option<String>,
-    located: RefCell<HashMap<String, Located>>,
+    locate_cache: RefCell<HashMap<String, CachedLocation>>,
 }
 
 impl Caller {
-    /// A caller that knows some boxes to ask.
-    pub fn new(entries: Vec<String>) -> Self {
+    /// Creates a caller that sends locate requests to the given boxes.
+    pub fn new(box_addresses: Vec<String>) -> Self {
         Self {
-            entries,
+            box_addresses,
             pinned: None,
-            located: RefCell::default(),
+            locate_cache: RefCell::default(),
         }
     }
 
-    /// A caller that connects to one box only, owner or not.
-    pub fn pinned(entries: Vec<String>, address: String) -> Self {
+    /// Creates a caller that connects to one box only, even if it does not own the engine.
+    pub fn pinned(box_addresses: Vec<String>, address: String) -> Self {
         Self {
             pinned: Some(address),
-            ..Self::new(entries)
+            ..Self::new(box_addresses)
         }
     }
 
-    /// Asks for addresses; answers are kept for their life unless a key is needed.
+    /// Locates the boxes for a model, or any boxes if no model is given. Uses a cached response
+    /// while it is valid, unless `skip_cache` is set: every new response holds a new key.
     ///
     /// # Errors
-    /// The last address's error when none answers.
+    /// Returns the error of the last address if no address answers.
     pub async fn locate(
         &self,
         model: Option<&ModelRef>,
-        fresh: bool,
+        skip_cache: bool,
     ) -> Result<LocateAnswer, CallError> {
         let name = model.map(ToString::to_string).unwrap_or_default();
-        let kept = self.located.borrow().get(&name).cloned();
-        if let Some(kept) = kept
-            && !fresh
-            && Instant::now() < kept.until
+        let cached = self.locate_cache.borrow().get(&name).cloned();
+        if let Some(cached) = cached
+            && !skip_cache
+            && Instant::now() < cached.valid_until
         {
-            return Ok(kept.answer);
+            return Ok(cached.answer);
         }
-        let mut last = CallError::NotConnected;
-        for entry in &self.entries {
+        let mut last_error = CallError::NotConnected;
+        for entry in &self.box_addresses {
             let url = match model {
                 Some(model) => format!("http://{entry}/v1/locate?model={model}"),
                 None => format!("http://{entry}/v1/locate"),
             };
-            match get_json::<LocateAnswer>(&url, LOCATE_WITHIN).await {
+            match get_json::<LocateAnswer>(&url, LOCATE_TIMEOUT).await {
                 Ok(answer) => {
-                    let until = Instant::now() + Duration::from_millis(answer.valid_ms);
-                    let located = Located {
+                    let valid_until = Instant::now() + Duration::from_millis(answer.valid_ms);
+                    let cached = CachedLocation {
                         answer: answer.clone(),
-                        until,
+                        valid_until,
                     };
-                    self.located.borrow_mut().insert(name, located);
+                    self.locate_cache.borrow_mut().insert(name, cached);
                     return Ok(answer);
                 }
-                Err(error) => last = error,
+                Err(error) => last_error = error,
             }
         }
-        Err(last)
+        Err(last_error)
     }
 
-    /// Asks for a model's addresses; where locate refuses the model, for any, so that the
-    /// request itself gets the typed refusal.
-    async fn locate_for(&self, model: &ModelRef, fresh: bool) -> Result<LocateAnswer, CallError> {
-        let mut located = match self.locate(Some(model), fresh).await {
-            Err(CallError::Status(_)) => self.locate(None, fresh).await?,
+    /// Locates the boxes for a model. If locate rejects the model, uses any boxes, so that the
+    /// request itself receives the typed error.
+    async fn locate_model(
+        &self,
+        model: &ModelRef,
+        skip_cache: bool,
+    ) -> Result<LocateAnswer, CallError> {
+        let mut located = match self.locate(Some(model), skip_cache).await {
+            Err(CallError::Status(_)) => self.locate(None, skip_cache).await?,
             located => located?,
         };
         if let Some(pinned) = &self.pinned {
@@ -131,77 +139,82 @@
         Ok(located)
     }
 
-    /// Sends a request and follows it to its end.
-    pub async fn complete(&self, wanted: &Wanted) -> Outcome {
-        let began = Instant::now();
-        let mut outcome = Outcome::new(&wanted.request);
+    /// Sends a request and retries or resumes it until it has a final outcome.
+    pub async fn complete(&self, call: &Wanted) -> Outcome {
+        let started = Instant::now();
+        let mut outcome = Outcome::new(&call.request);
         let mut key = None;
         let mut avoid: Option<String> = None;
-        while outcome.asks < MAX_ASKS {
+        while outcome.asks < MAX_ATTEMPTS {
             outcome.asks += 1;
-            let fresh = (wanted.keyed && key.is_none()) || avoid.is_some();
-            let located = self.locate_for(&wanted.request.model, fresh).await;
+            let skip_cache = (call.keyed && key.is_none()) || avoid.is_some();
+            let located = self.locate_model(&call.request.model, skip_cache).await;
             let Ok(located) = located else {
-                tokio::time::sleep(ASK_AGAIN).await;
+                tokio::time::sleep(RETRY_DELAY).await;
                 continue;
             };
-            if wanted.keyed && key.is_none() {
+            if call.keyed && key.is_none() {
                 key = Some(located.key.clone());
             }
-            let Some(address) = choose(&located.addresses, avoid.as_deref()) else {
+            let Some(address) = choose_address(&located.addresses, avoid.as_deref()) else {
                 continue;
             };
-            let asked = ask(&address, wanted, key.as_deref(), &mut outcome, began).await;
-            match asked {
-                Asked::Ended => break,
-                Asked::ComeBack(wait) if began.elapsed() + wait < wanted.patience => {
+            let ended = send_attempt(&address, call, key.as_deref(), &mut outcome, started).await;
+            match ended {
+                AttemptEnd::Final => break,
+                AttemptEnd::RetryAfter(wait) if started.elapsed() + wait < call.patience => {
                     outcome.asks -= 1;
                     outcome.come_backs += 1;
                     tokio::time::sleep(wait).await;
                 }
-                Asked::ComeBack(_) => break,
-                Asked::StartOver => {
+                AttemptEnd::RetryAfter(_) => break,
+                AttemptEnd::StartOver => {
                     key = None;
-                    outcome.start_over();
+                    outcome.discard_received();
                 }
-                Asked::Broken => {
+                AttemptEnd::Interrupted => {
                     outcome.maybe_ran = true;
                     avoid = Some(address);
                     if key.is_none() {
                         break;
                     }
                 }
-                Asked::NotSent => {
+                AttemptEnd::NotSent => {
                     avoid = Some(address);
-                    tokio::time::sleep(ASK_AGAIN).await;
+                    tokio::time::sleep(RETRY_DELAY).await;
                 }
             }
         }
-        outcome.total_ms = elapsed_ms(began);
+        outcome.total_ms = elapsed_ms(started);
         outcome
     }
 
-    /// Calls a plain service once, with a key; asks again with the same key when the
-    /// outcome is not known.
-    pub async fn call_service(&self, service: &str, body: &str, asks: u32) -> ServiceOutcome {
+    /// Calls a plain service with a key and repeats a failed call with the same key at the next
+    /// address, up to `max_attempts` attempts.
+    pub async fn call_service(
+        &self,
+        service: &str,
+        body: &str,
+        max_attempts: u32,
+    ) -> ServiceOutcome {
         let mut outcome = ServiceOutcome::default();
         let Ok(located) = self.locate(None, true).await else {
             return outcome;
         };
         outcome.key = located.key.clone();
         let mut addresses = located.addresses.iter().cycle();
-        while outcome.asks < asks {
+        while outcome.attempts < max_attempts {
             let Some(address) = addresses.next() else {
                 break;
             };
-            outcome.asks += 1;
+            outcome.attempts += 1;
             let url = format!("http://{address}/v1/services/{service}/call");
             let call = fresh_client()
                 .await
                 .post(url.as_str())
                 .set_header(headers::KEY, located.key.as_str())
                 .send_body(body.to_owned());
-            let response = match await_head(call, HEAD_WITHIN).await {
+            let response = match await_head(call, HEAD_TIMEOUT).await {
                 Ok(response) => response,
                 Err(error) => {
                     outcome.maybe_ran |= !error.is_not_sent();
@@ -224,49 +237,51 @@
     }
 }
 
-/// How a call of a plain service ended.
+/// Outcome of a call of a plain service.
 #[derive(Debug, Clone, Default)]
 pub struct ServiceOutcome {
     /// The key of the call.
     pub key: String,
-    /// Times it was asked for.
-    pub asks: u32,
-    /// Whether an answer came.
+    /// Number of attempts.
+    pub attempts: u32,
+    /// Whether a successful response was received.
     pub answered: bool,
-    /// Whether an ask ended in a way that leaves open whether it ran.
+    /// Whether the call may have run in an attempt that failed.
     pub maybe_ran: bool,
-    /// The last failure.
+    /// The last error response.
     pub failure: Option<ErrorBody>,
 }
 
-/// How one ask ended.
-enum Asked {
-    /// With a whole answer or a final failure.
-    Ended,
-    /// The rest of a broken answer is gone; the caller asks for the whole one anew.
+/// How one attempt ended.
+enum AttemptEnd {
+    /// With a complete response or a final error.
+    Final,
+    /// The rest of an interrupted response is no longer available, so the caller requests the whole
+    /// response again.
     StartOver,
-    /// It did not run; the caller may come back after this time.
-    ComeBack(Duration),
-    /// The box went away in the middle.
-    Broken,
+    /// The request did not run and may be retried after this time.
+    RetryAfter(Duration),
+    /// The connection was lost or timed out after the request may have been sent.
+    Interrupted,
     /// The box could not be reached.
     NotSent,
 }
 
-fn choose(addresses: &[String], avoid: Option<&str>) -> Option<String> {
+/// Returns the first address other than `avoid`, or the first one if there is no other.
+fn choose_address(addresses: &[String], avoid: Option<&str>) -> Option<String> {
     let other = addresses
         .iter()
         .find(|address| Some(address.as_str()) != avoid);
     other.or(addresses.first()).cloned()
 }
 
-async fn ask(
+async fn send_attempt(
     address: &str,
-    wanted: &Wanted,
+    call: &Wanted,
     key: Option<&str>,
     outcome: &mut Outcome,
-    began: Instant,
-) -> Asked {
+    started: Instant,
+) -> AttemptEnd {
     let url = format!("http://{address}/v1/completions");
     let mut request = pooled_client().await.post(url.as_str());
     if let Some(key) = key {
@@ -277,58 +292,62 @@
         request = request.set_header(headers::RESUME_FROM, outcome.next_position.to_string());
         outcome.resumes += 1;
     }
-    let response = match await_head(request.send_json(&wanted.request), HEAD_WITHIN).await {
+    let response = match await_head(request.send_json(&call.request), HEAD_TIMEOUT).await {
         Ok(response) => response,
-        Err(error) if error.is_not_sent() => return Asked::NotSent,
-        Err(_) => return Asked::Broken,
+        Err(error) if error.is_not_sent() => return AttemptEnd::NotSent,
+        Err(_) => return AttemptEnd::Interrupted,
     };
     outcome.status = response.status().as_u16();
     if !response.status().is_success() {
-        return read_failure(&response, outcome).await;
+        return read_error(&response, outcome).await;
     }
-    outcome.read_head(&response);
+    outcome.read_headers(&response);
     outcome.failure = None;
-    read_pieces(&response, outcome, began).await
+    read_chunks(&response, outcome, started).await
 }
 
-async fn read_failure(response: &ClientResponse, outcome: &mut Outcome) -> Asked {
+async fn read_error(response: &ClientResponse, outcome: &mut Outcome) -> AttemptEnd {
     let Ok(body) = read_any::<ErrorBody>(response).await else {
-        return Asked::Broken;
+        return AttemptEnd::Interrupted;
     };
     let retry_after_ms = body.error.retry_after_ms;
     outcome.maybe_ran |= !body.error.not_run;
     if body.error.code == ErrorCode::CannotResume {
-        return Asked::StartOver;
+        return AttemptEnd::StartOver;
     }
     let not_run = body.error.not_run;
     outcome.failure = Some(body.error);
     match retry_after_ms {
         Some(retry_after_ms) if not_run => {
-            Asked::ComeBack(Duration::from_millis(retry_after_ms.max(1)))
+            AttemptEnd::RetryAfter(Duration::from_millis(retry_after_ms.max(1)))
         }
-        _ => Asked::Ended,
+        _ => AttemptEnd::Final,
     }
 }
 
-async fn read_pieces(response: &ClientResponse, outcome: &mut Outcome, began: Instant) -> Asked {
+async fn read_chunks(
+    response: &ClientResponse,
+    outcome: &mut Outcome,
+    started: Instant,
+) -> AttemptEnd {
     let mut reader = LineReader::new(response.take_payload());
     loop {
-        let event = match tokio::time::timeout(PIECE_WITHIN, reader.next_event()).await {
+        let event = match tokio::time::timeout(CHUNK_TIMEOUT, reader.next_event()).await {
             Ok(Ok(Some(event))) => event,
-            _ => return Asked::Broken,
+            _ => return AttemptEnd::Interrupted,
         };
         if event == DONE_EVENT.as_bytes() {
-            return Asked::Ended;
+            return AttemptEnd::Final;
         }
-        if let Ok(piece) = serde_json::from_slice::<AnswerPiece>(&event) {
-            outcome.take(&piece, elapsed_ms(began));
+        if let Ok(chunk) = serde_json::from_slice::<ResponseChunk>(&event) {
+            outcome.add_chunk(&chunk, elapsed_ms(started));
         } else if let Ok(body) = serde_json::from_slice::<ErrorBody>(&event) {
             let cannot_resume = body.error.code == ErrorCode::CannotResume;
             outcome.failure = Some(body.error);
             return if cannot_resume {
-                Asked::StartOver
+                AttemptEnd::StartOver
             } else {
-                Asked::Ended
+                AttemptEnd::Final
             };
         }
     }
--- a/crates/tinbay-cli/src/caller/outcome.rs
+++ b/crates/tinbay-cli/src/caller/outcome.rs
@@ -1,4 +1,4 @@
-//! What became of one request, as its caller saw it.
+//! Outcome of a completion request as its caller sees it.
 
 use ntex::client::ClientResponse;
 use serde::{Deserialize, Serialize};
@@ -8,75 +8,76 @@
 use tinbay_wire::error_body::ErrorDetail;
 use tinbay_wire::headers;
 
-/// One event of a streamed answer.
+/// Data of one event of a streamed response.
 #[derive(Debug, Deserialize)]
-pub struct AnswerPiece {
+pub struct ResponseChunk {
     /// The adapter and version that ran.
     pub model: ModelRef,
-    /// Place in the answer.
+    /// Position of the chunk in the response.
     pub position: u64,
-    /// The text.
-    pub choices: Vec<PieceChoice>,
+    /// The text of the chunk.
+    pub choices: Vec<ChunkChoice>,
 }
 
-/// The text of an event.
+/// The text of a response chunk.
 #[derive(Debug, Deserialize)]
-pub struct PieceChoice {
+pub struct ChunkChoice {
     /// The text.
     pub text: String,
-    /// Set at the end.
+    /// Set in the last chunk.
     pub finish_reason: Option<String>,
 }
 
-/// What became of one request.
+/// Outcome of a completion request.
 #[derive(Debug, Clone, Serialize)]
 pub struct Outcome {
-    /// Its class.
+    /// Priority class of the request.
     pub class: String,
-    /// Adapter and version named.
+    /// Requested adapter and version.
     pub model: ModelRef,
-    /// Its key, where it had one.
+    /// Request key; empty if it had none.
     pub key: String,
-    /// Last HTTP status; 0 when no box answered.
+    /// Last HTTP status; 0 if no box answered.
     pub status: u16,
-    /// The failure, when it ended with one.
+    /// The error that it ended with.
     pub failure: Option<ErrorDetail>,
     /// The text received.
     pub text: String,
-    /// Whether the end of the answer arrived.
+    /// Whether the end of the response was received.
     pub whole: bool,
-    /// Whether a piece named another model or came out of order.
+    /// Whether a chunk named another model or was out of order.
     pub mixed_up: bool,
-    /// The first position not received yet.
+    /// The first position that has not been received.
     pub next_position: u64,
-    /// The box that owned the engine.
+    /// The box that ran the request, from the response headers.
     pub box_id: String,
-    /// The engine.
+    /// The engine that ran the request, from the response headers.
     pub engine: String,
-    /// Wait for the adapter to be loaded, as the box tells it.
+    /// Time spent waiting for the adapter to be loaded, from the response headers.
     pub stall_ms: u64,
-    /// Wait before it started, as the box tells it.
+    /// Total wait before the request started, from the response headers.
     pub queue_ms: u64,
-    /// Time to the first piece as the caller measures it.
+    /// Time to the first chunk, measured by the caller.
     pub first_token_ms: f64,
-    /// Time to the end.
+    /// Time to the final outcome, measured by the caller.
     pub total_ms: f64,
-    /// Times it was asked for.
+    /// Number of attempts, without retries that a refusal invited.
     pub asks: u32,
-    /// Times it was told to come back.
+    /// Number of retries that a refusal invited.
     pub come_backs: u32,
-    /// Times it resumed.
+    /// Number of attempts that resumed the response.
     pub resumes: u32,
-    /// Times it asked for the whole answer anew, after the rest of a broken one was gone.
+    /// Number of times that the whole response was requested again because the rest of an
+    /// interrupted one was no longer available.
     pub start_overs: u32,
-    /// Whether an ask ended in a way that leaves open whether it ran.
+    /// Whether the request may have run in an attempt that failed.
     pub maybe_ran: bool,
     prompt: String,
     max_tokens: u32,
 }
 
 impl Outcome {
-    /// A request not sent yet.
+    /// Creates the outcome of a request that has not been sent.
     pub fn new(request: &CompletionRequest) -> Self {
         Self {
             class: request.class.clone().unwrap_or_default(),
@@ -104,55 +105,56 @@
         }
     }
 
-    /// Whether the whole answer arrived and is exactly what this model generates.
+    /// Returns whether the response is complete and is exactly what the stand-in engine generates.
     pub fn is_right(&self) -> bool {
         let expected = expected_text(&self.model, &self.prompt, self.max_tokens);
         self.whole && !self.mixed_up && self.text == expected
     }
 
-    /// Whether it ended with an answer that is not the right one.
+    /// Returns whether a response was received that is not the correct one.
     pub fn is_wrong(&self) -> bool {
         (self.whole && !self.is_right()) || self.mixed_up
     }
 
-    /// Whether the last word was that nothing ran.
+    /// Returns whether the final error reported that the request did not run and no earlier attempt
+    /// may have run.
     pub fn is_told_not_run(&self) -> bool {
-        let told = self.failure.as_ref().is_some_and(|failure| failure.not_run);
-        !self.whole && !self.maybe_ran && told
+        let reported = self.failure.as_ref().is_some_and(|failure| failure.not_run);
+        !self.whole && !self.maybe_ran && reported
     }
 
-    /// Forgets what was received, to ask for the whole answer anew.
-    pub fn start_over(&mut self) {
+    /// Discards the received text before the whole response is requested again.
+    pub fn discard_received(&mut self) {
         self.text.clear();
         self.next_position = 0;
         self.start_overs += 1;
     }
 
-    /// Reads where it runs.
-    pub fn read_head(&mut self, response: &ClientResponse) {
-        let text = |name: &str| {
+    /// Reads the box, the engine and the waiting times from the response headers.
+    pub fn read_headers(&mut self, response: &ClientResponse) {
+        let header = |name: &str| {
             let value = response.headers().get(name)?;
             value.to_str().ok().map(str::to_owned)
         };
-        let number = |name: &str| text(name).and_then(|value| value.parse().ok());
-        self.box_id = text(headers::BOX).unwrap_or_default();
-        self.engine = text(headers::ENGINE).unwrap_or_default();
+        let number = |name: &str| header(name).and_then(|value| value.parse().ok());
+        self.box_id = header(headers::BOX).unwrap_or_default();
+        self.engine = header(headers::ENGINE).unwrap_or_default();
         if self.next_position == 0 {
             self.stall_ms = number(headers::STALL_MS).unwrap_or(0);
             self.queue_ms = number(headers::QUEUE_MS).unwrap_or(0);
         }
     }
 
-    /// Takes a piece in.
-    pub fn take(&mut self, piece: &AnswerPiece, at_ms: f64) {
-        if piece.model != self.model || piece.position != self.next_position {
+    /// Adds a received chunk.
+    pub fn add_chunk(&mut self, chunk: &ResponseChunk, received_ms: f64) {
+        if chunk.model != self.model || chunk.position != self.next_position {
             self.mixed_up = true;
         }
         if self.next_position == 0 {
-            self.first_token_ms = at_ms;
+            self.first_token_ms = received_ms;
         }
         self.next_position += 1;
-        for choice in &piece.choices {
+        for choice in &chunk.choices {
             self.text.push_str(&choice.text);
             self.whole |= choice.finish_reason.is_some();
         }
