--- a/crates/tinbay-cli/src/drive.rs
+++ b/crates/tinbay-cli/src/drive.rs
@@ -1,4 +1,5 @@
-//! Open-loop load: requests start at their times whether or not earlier ones are answered.
+//! Open-loop load driver: requests start at their arrival times, whether or not earlier ones have
+//! completed.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -13,79 +14,79 @@
 use crate::caller::{Caller, Outcome, Wanted};
 use crate::options::ClassShare;
 
-/// What load to send.
+/// Parameters of a load.
 #[derive(Debug, Clone)]
 pub struct DrivePlan {
-    /// Boxes to ask.
+    /// Addresses of the boxes that locate requests are sent to.
     pub entries: Vec<String>,
-    /// The box to connect to whatever locate says.
+    /// Address of the box to connect to instead of the located ones.
     pub pinned: Option<String>,
-    /// Models, the most popular first.
+    /// Models in order of popularity, the most popular first.
     pub models: Vec<ModelRef>,
-    /// Requests a second.
+    /// Mean number of requests per second.
     pub rate_per_s: f64,
-    /// How long.
+    /// Duration of the load.
     pub length: Duration,
     /// Zipf exponent of the models' popularity.
     pub skew: f64,
-    /// Classes and their shares; empty for requests that name none.
+    /// Priority classes and their shares; if empty, requests name no class.
     pub classes: Vec<ClassShare>,
-    /// Tokens of each answer.
+    /// Maximum number of tokens of each response.
     pub max_tokens: u32,
-    /// Seed of random choices.
+    /// Seed of the random number generator.
     pub seed: u64,
-    /// Whether each request has a key, to ask again and to resume by.
+    /// Whether each request has a request key, which allows repeating and resuming it.
     pub keyed: bool,
-    /// How long callers follow answers that say "not run, come back".
+    /// Time for which refusals that report "not run" with a retry time are retried.
     pub patience: Duration,
 }
 
-/// One request and when it starts.
+/// A request and its arrival time.
 #[derive(Debug, Clone)]
 struct Arrival {
-    after: Duration,
+    offset: Duration,
     request: CompletionRequest,
 }
 
-/// Sends the load and waits for every request's end.
+/// Sends the load and waits for the outcome of every request.
 pub async fn drive(plan: DrivePlan) -> Vec<Outcome> {
     let entries = plan.entries.clone();
     let caller = Rc::new(match plan.pinned.clone() {
         Some(address) => Caller::pinned(entries, address),
         None => Caller::new(entries),
     });
-    let began = tokio::time::Instant::now();
-    let running = arrivals(&plan).into_iter().map(|arrival| {
+    let started = tokio::time::Instant::now();
+    let requests = generate_arrivals(&plan).into_iter().map(|arrival| {
         let caller = Rc::clone(&caller);
-        let wanted = Wanted {
+        let call = Wanted {
             request: arrival.request,
             keyed: plan.keyed,
             patience: plan.patience,
         };
         async move {
-            tokio::time::sleep_until(began + arrival.after).await;
-            caller.complete(&wanted).await
+            tokio::time::sleep_until(started + arrival.offset).await;
+            caller.complete(&call).await
         }
     });
-    join_all(running).await
+    join_all(requests).await
 }
 
-/// Poisson arrivals of requests for models of Zipf popularity.
-fn arrivals(plan: &DrivePlan) -> Vec<Arrival> {
+/// Generates Poisson arrivals of requests for models with Zipf popularity.
+fn generate_arrivals(plan: &DrivePlan) -> Vec<Arrival> {
     let mut rng = StdRng::seed_from_u64(plan.seed);
-    let (Ok(gaps), Ok(popularity)) = (
+    let (Ok(interarrival), Ok(popularity)) = (
         Exp::new(plan.rate_per_s),
         Zipf::new(plan.models.len() as f64, plan.skew),
     ) else {
         return Vec::new();
     };
     let mut arrivals = Vec::new();
-    let mut at_s = gaps.sample(&mut rng);
-    while at_s < plan.length.as_secs_f64() {
+    let mut arrival_s = interarrival.sample(&mut rng);
+    while arrival_s < plan.length.as_secs_f64() {
         let rank = popularity.sample(&mut rng) as usize;
         let model = &plan.models[rank.clamp(1, plan.models.len()) - 1];
         arrivals.push(Arrival {
-            after: Duration::from_secs_f64(at_s),
+            offset: Duration::from_secs_f64(arrival_s),
             request: CompletionRequest {
                 model: model.clone(),
                 prompt: format!("prompt {}", arrivals.len()),
@@ -94,11 +95,12 @@
                 class: choose_class(&plan.classes, &mut rng),
             },
         });
-        at_s += gaps.sample(&mut rng);
+        arrival_s += interarrival.sample(&mut rng);
     }
     arrivals
 }
 
+/// Chooses a class with a probability proportional to its share.
 fn choose_class(classes: &[ClassShare], rng: &mut StdRng) -> Option<String> {
     let total: f64 = classes.iter().map(|class| class.share).sum();
     let mut point = rng.random::<f64>() * total;
