--- a/crates/tinbay-cli/src/scenario/config_text.rs
+++ b/crates/tinbay-cli/src/scenario/config_text.rs
@@ -1,10 +1,10 @@
-//! The configuration scenarios apply, as TOML text.
+//! TOML text of the configurations that scenarios apply.
 
 use std::fmt::Write as _;
 
-use super::plans::{EnginePlan, ServicePlan};
+use super::params::{EngineParams, ServiceParams};
 
-/// Classes every scenario has.
+/// Priority classes in the configuration of every scenario.
 pub const CLASSES: &str = r#"
 [[class]]
 name = "counter"
@@ -26,19 +26,19 @@
 
 "#;
 
-/// Adds an engine.
-pub fn write_engine(text: &mut String, name: &str, address: &str, plan: &EnginePlan) {
-    // Writing into a text cannot fail.
+/// Appends an engine.
+pub fn write_engine(text: &mut String, name: &str, address: &str, params: &EngineParams) {
+    // Writing to a string cannot fail.
     let _ = write!(
         text,
         "[[engine]]\nname = \"{name}\"\naddress = \"{address}\"\nzone = \"{}\"\n\
          region = \"main\"\nbase_model = \"{}\"\nslots = {}\nbatch_limit = {}\n\
          checks_orders = {}\n\n",
-        plan.zone, plan.base_model, plan.slots, plan.batch_limit, !plan.unfenced,
+        params.zone, params.base_model, params.slots, params.batch_limit, !params.unfenced,
     );
 }
 
-/// Adds an engine that exists in the configuration only, in a region without boxes.
+/// Appends an engine that exists only in the configuration, in a region without boxes.
 pub fn write_distant_engine(text: &mut String, number: usize) {
     let _ = write!(
         text,
@@ -48,17 +48,17 @@
     );
 }
 
-/// Adds a plain service.
-pub fn write_service(text: &mut String, name: &str, address: &str, plan: &ServicePlan) {
+/// Appends a plain service.
+pub fn write_service(text: &mut String, name: &str, address: &str, params: &ServiceParams) {
     let _ = write!(
         text,
         "[[service]]\nname = \"{name}\"\naddresses = [\"{address}\"]\n\
          repeatable = {}\ntimeout_ms = {}\n\n",
-        plan.repeatable, plan.timeout_ms,
+        params.repeatable, params.timeout_ms,
     );
 }
 
-/// Adds an adapter with a version.
+/// Appends an adapter with one version.
 pub fn write_adapter(text: &mut String, number: usize) {
     let _ = write!(
         text,
--- a/crates/tinbay-cli/src/scenario/mod.rs
+++ b/crates/tinbay-cli/src/scenario/mod.rs
@@ -1,12 +1,10 @@
-//! Scripted scenarios: Rhai programs that start boxes and stand-ins as processes, send
-//! requests, kill, freeze and cut, and check what was promised.
-//!
-//! The functions a scenario may call are listed in docs/scenarios.md.
+//! Scripted scenarios: Rhai programs that start boxes and stand-ins as processes, send requests,
+//! inject faults, and check the guarantees that callers rely on.
 
 mod bindings;
 mod config_text;
 mod fleet;
-mod plans;
+mod params;
 mod process;
 mod summaries;
 
@@ -21,48 +19,49 @@
 use crate::error::CliError;
 use fleet::Fleet;
 
-/// Text at the front of the error by which a scenario says that a promise is broken.
+/// Prefix of the script error of a failed check.
 const BROKEN: &str = "promise broken: ";
 
-/// Whether a scenario's promises were kept.
+/// Result of the checks of a scenario.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Verdict {
-    /// Every check held.
+    /// Every check passed.
     Kept,
-    /// A check did not hold.
+    /// A check failed.
     Broken {
-        /// The words of the check.
+        /// The message of the check.
         promise: String,
     },
 }
 
 impl Verdict {
-    /// Whether every check held.
+    /// Returns whether every check passed.
     pub fn is_kept(&self) -> bool {
         *self == Verdict::Kept
     }
 }
 
-/// A scenario that has ended.
+/// Result of a scenario run.
 #[derive(Debug)]
 pub struct Ended {
-    /// Whether its promises were kept.
+    /// Result of its checks.
     pub verdict: Verdict,
-    /// What it noted, figures above all.
+    /// Lines that the script noted, mostly measurements.
     pub notes: Vec<String>,
-    /// What was done.
+    /// Log of the actions, with the last log lines of each box at the end.
     pub trace: Vec<String>,
-    /// How long it took.
+    /// Duration of the run.
     pub took: Duration,
 }
 
-/// Runs one scenario file; with `log_dir` the log of each process is written there.
+/// Runs one scenario file; with `log_dir`, the log of each process is also written to a file there.
 ///
 /// # Errors
-/// [`CliError::File`] or [`CliError::Scenario`] when it cannot be run to a verdict.
+/// Returns [`CliError::File`] or [`CliError::Start`] if it cannot be started, and
+/// [`CliError::Scenario`] if it fails for another reason than a check.
 pub fn run_file(path: &str, seed: u64, log_dir: Option<&Path>) -> Result<Ended, CliError> {
-    let began = Instant::now();
+    let started = Instant::now();
     let program = read_text(path)?;
     let fleet = Arc::new(Mutex::new(Fleet::new(seed, log_dir)?));
     let mut engine = Engine::new();
@@ -75,7 +74,7 @@
     fleet.stop_all();
     let verdict = match outcome {
         Ok(()) => Verdict::Kept,
-        Err(error) => broken_promise(&error).ok_or_else(|| CliError::Scenario {
+        Err(error) => failed_check(&error).ok_or_else(|| CliError::Scenario {
             path: path.to_owned(),
             reason: format!("{error}\n{}", fleet.trace().join("\n")),
         })?,
@@ -84,12 +83,12 @@
         verdict,
         notes: fleet.notes().to_vec(),
         trace: fleet.trace().to_vec(),
-        took: began.elapsed(),
+        took: started.elapsed(),
     })
 }
 
-/// The promise a check named, if the error comes from a check.
-fn broken_promise(error: &EvalAltResult) -> Option<Verdict> {
+/// Returns the verdict for a failed check, or `None` for any other script error.
+fn failed_check(error: &EvalAltResult) -> Option<Verdict> {
     let text = error.to_string();
     let (_, promise) = text.split_once(BROKEN)?;
     Some(Verdict::Broken {
--- a/crates/tinbay-cli/src/scenario/plans.rs
+++ b/crates/tinbay-cli/src/scenario/params.rs
@@ -1,4 +1,4 @@
-//! What a scenario may ask for; what it leaves out stays at its default.
+//! Parameters that scripts pass as maps; missing entries take their defaults.
 
 use std::time::Duration;
 
@@ -8,27 +8,27 @@
 use crate::caller::Wanted;
 use crate::error::CliError;
 
-/// How an engine is to be set up.
+/// Parameters of an engine stand-in.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(default, deny_unknown_fields)]
-pub struct EnginePlan {
-    /// Its zone.
+pub struct EngineParams {
+    /// Availability zone.
     pub zone: String,
-    /// Its base model.
+    /// Base model.
     pub base_model: String,
-    /// Adapters at once.
+    /// Number of adapters that can be loaded at the same time.
     pub slots: u32,
-    /// Requests at once.
+    /// Number of requests that can run at the same time.
     pub batch_limit: u32,
-    /// Whether it takes every order.
+    /// Whether it accepts every order without checking its fence.
     pub unfenced: bool,
-    /// Time before the first token.
+    /// Time to the first token.
     pub prefill_ms: u64,
     /// Time between tokens.
     pub token_ms: u64,
 }
 
-impl Default for EnginePlan {
+impl Default for EngineParams {
     fn default() -> Self {
         Self {
             zone: "a".to_owned(),
@@ -42,17 +42,17 @@
     }
 }
 
-/// How a plain service is to be set up.
+/// Parameters of a plain service.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(default, deny_unknown_fields)]
-pub struct ServicePlan {
+pub struct ServiceParams {
     /// Whether its calls may be repeated.
     pub repeatable: bool,
-    /// How long a call may take.
+    /// Timeout of a call.
     pub timeout_ms: u64,
 }
 
-impl Default for ServicePlan {
+impl Default for ServiceParams {
     fn default() -> Self {
         Self {
             repeatable: false,
@@ -61,27 +61,27 @@
     }
 }
 
-/// One request.
+/// Parameters of one request.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(default, deny_unknown_fields)]
-pub struct RequestPlan {
-    /// Adapter and version.
+pub struct RequestParams {
+    /// Adapter and version, `adapter@version`.
     pub model: String,
     /// Priority class.
     pub class: String,
     /// The prompt.
     pub prompt: String,
-    /// Tokens.
+    /// Maximum number of tokens to generate.
     pub max_tokens: u32,
-    /// Whether it has a key.
+    /// Whether it has a request key.
     pub keyed: bool,
-    /// How long the caller follows "not run, come back".
+    /// Time for which a refusal that reports "not run" with a retry time is retried.
     pub patience_ms: u64,
-    /// The box to connect to whatever locate says; empty for the one located.
+    /// Name of the box to connect to; empty for the located one.
     pub at: String,
 }
 
-impl Default for RequestPlan {
+impl Default for RequestParams {
     fn default() -> Self {
         Self {
             model: "adapter-0@v1".to_owned(),
@@ -95,33 +95,33 @@
     }
 }
 
-/// Load in the background.
+/// Parameters of a background load.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(default, deny_unknown_fields)]
-pub struct LoadPlan {
-    /// Requests a second.
+pub struct LoadParams {
+    /// Mean number of requests per second.
     pub rate_per_s: f64,
-    /// How long.
+    /// Duration of the load.
     pub length_ms: u64,
-    /// Zipf exponent.
+    /// Zipf exponent of the adapters' popularity.
     pub skew: f64,
-    /// Share of the class `counter`; the rest is `batch`.
+    /// Share of requests of the class `counter`; the others are of the class `batch`.
     pub counter_share: f64,
-    /// The class of all requests, in place of the shares; empty for those.
+    /// Class of all requests; if empty, `counter_share` applies.
     pub class: String,
-    /// Adapters asked for.
+    /// Number of adapters that are requested.
     pub adapters: usize,
-    /// Tokens of each answer.
+    /// Maximum number of tokens of each response.
     pub max_tokens: u32,
-    /// Whether each request has a key.
+    /// Whether each request has a request key.
     pub keyed: bool,
-    /// How long callers follow "not run, come back".
+    /// Time for which refusals that report "not run" with a retry time are retried.
     pub patience_ms: u64,
-    /// The box to connect to whatever locate says; empty for those located.
+    /// Name of the box to connect to; empty for the located ones.
     pub at: String,
 }
 
-impl Default for LoadPlan {
+impl Default for LoadParams {
     fn default() -> Self {
         Self {
             rate_per_s: 50.0,
@@ -138,12 +138,12 @@
     }
 }
 
-impl RequestPlan {
-    /// The request as a caller sends it.
+impl RequestParams {
+    /// Converts the parameters to a request of a caller.
     ///
     /// # Errors
-    /// [`CliError::Model`] when the model is not written as it should be.
-    pub fn to_wanted(&self) -> Result<Wanted, CliError> {
+    /// Returns [`CliError::Model`] if the model is not of the form `adapter@version`.
+    pub fn to_call(&self) -> Result<Wanted, CliError> {
         Ok(Wanted {
             request: CompletionRequest {
                 model: self.model.parse()?,
--- a/crates/tinbay-cli/src/scenario/process.rs
+++ b/crates/tinbay-cli/src/scenario/process.rs
@@ -1,4 +1,4 @@
-//! Processes a scenario starts and stops, each by its id.
+//! Child processes of a scenario, each signalled by its process id.
 
 use std::fs::File;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -9,57 +9,58 @@
 
 use rustix::process::{Pid, Signal, kill_process};
 
-/// How often a wait for a process looks.
-const POLL: Duration = Duration::from_millis(10);
+/// Interval between polls for the exit of a process.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Clock ticks in a second, as Linux shows processor times.
+/// Unit of the CPU times in `/proc/PID/stat`: clock ticks per second on Linux.
 const TICKS_PER_S: u64 = 100;
 
-/// Log lines kept of each process for a failure's trace.
-const KEPT_LINES: usize = 400;
+/// Number of the latest log lines of each process that are kept in memory.
+const MAX_LOG_LINES: usize = 400;
 
-/// Why a process could not be used.
+/// Why a process could not be started.
 #[derive(Debug, thiserror::Error)]
 pub enum ProcessError {
-    /// It did not start.
+    /// The program could not be executed.
     #[error("{program}: {source}")]
     Start {
         /// The program.
         program: String,
-        /// The system's words.
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// The file for its log did not open.
+    /// Its log file could not be opened.
     #[error("{path}: {source}")]
     LogFile {
         /// The file.
         path: String,
-        /// The system's words.
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// It ended before it said where it listens.
-    #[error("{name} ended before it listened")]
+    /// It did not print its address.
+    #[error("{name} exited before it printed its address")]
     NoAddress {
-        /// Its name.
+        /// Name of the process.
         name: String,
     },
 }
 
-/// A process started by a scenario; it is killed when dropped.
+/// A child process, killed on drop.
 pub struct Process {
     child: Child,
     frozen: bool,
-    ended: bool,
-    lines: Arc<Mutex<Vec<String>>>,
-    /// The words of its first line: `listening ADDRESS ...`.
-    pub first_line: Vec<String>,
+    exited: bool,
+    log_lines: Arc<Mutex<Vec<String>>>,
+    /// Words of its first output line: `listening ADDRESS`, and `control ADDRESS` for a box.
+    pub startup_words: Vec<String>,
 }
 
 impl Process {
-    /// Starts a program and waits for its first line; its log is appended to `log_file`, if given.
+    /// Starts a program and waits for its first output line; its log is appended to `log_file`, if
+    /// given.
     ///
     /// # Errors
-    /// [`ProcessError`].
+    /// Returns a [`ProcessError`] if it does not start or does not print its address.
     pub fn start(
         name: &str,
         program: &Path,
@@ -77,23 +78,23 @@
                 program: program.display().to_string(),
                 source,
             })?;
-        let lines = Arc::new(Mutex::new(Vec::new()));
+        let log_lines = Arc::new(Mutex::new(Vec::new()));
         if let Some(stderr) = child.stderr.take() {
-            keep_lines(stderr, &lines, log_file);
+            collect_lines(stderr, &log_lines, log_file);
         }
         let mut first_line = String::new();
         if let Some(stdout) = child.stdout.take() {
             let _ = BufReader::new(stdout).read_line(&mut first_line);
         }
-        let first_line: Vec<String> = first_line.split_whitespace().map(str::to_owned).collect();
+        let startup_words: Vec<String> = first_line.split_whitespace().map(str::to_owned).collect();
         let process = Self {
             child,
             frozen: false,
-            ended: false,
-            lines,
-            first_line,
+            exited: false,
+            log_lines,
+            startup_words,
         };
-        if process.first_line.len() < 2 {
+        if process.startup_words.len() < 2 {
             return Err(ProcessError::NoAddress {
                 name: name.to_owned(),
             });
@@ -101,67 +102,68 @@
         Ok(process)
     }
 
-    /// Where it listens.
+    /// Returns the address on which it listens.
     pub fn address(&self) -> &str {
-        &self.first_line[1]
+        &self.startup_words[1]
     }
 
-    /// Ends it without warning.
+    /// Kills it with SIGKILL and waits for its exit.
     pub fn kill(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
-        self.ended = true;
+        self.exited = true;
     }
 
-    /// Stops it from running until it is woken.
+    /// Suspends it with SIGSTOP until it is woken.
     pub fn freeze(&mut self) {
         self.signal(Signal::STOP);
         self.frozen = true;
     }
 
-    /// Whether it was ended.
-    pub fn has_ended(&self) -> bool {
-        self.ended
+    /// Returns whether it was killed or its exit was awaited.
+    pub fn has_exited(&self) -> bool {
+        self.exited
     }
 
-    /// Lets it run on.
+    /// Resumes it with SIGCONT.
     pub fn wake(&mut self) {
         self.signal(Signal::CONT);
         self.frozen = false;
     }
 
-    /// Asks it to stop.
+    /// Requests a graceful stop with SIGTERM.
     pub fn terminate(&mut self) {
         self.signal(Signal::TERM);
     }
 
-    /// Waits for its end.
-    pub fn wait(&mut self, within: Duration) -> Option<ExitStatus> {
-        let until = Instant::now() + within;
-        while Instant::now() < until {
+    /// Waits for its exit; returns `None` after the timeout.
+    pub fn wait(&mut self, timeout: Duration) -> Option<ExitStatus> {
+        let deadline = Instant::now() + timeout;
+        while Instant::now() < deadline {
             if let Ok(Some(status)) = self.child.try_wait() {
-                self.ended = true;
+                self.exited = true;
                 return Some(status);
             }
-            std::thread::sleep(POLL);
+            std::thread::sleep(POLL_INTERVAL);
         }
         None
     }
 
-    /// Processor time used so far, in milliseconds; from `/proc/PID/stat` (proc(5)).
+    /// Returns the CPU time used so far in milliseconds, from `/proc/PID/stat`, see proc(5).
     pub fn cpu_ms(&self) -> u64 {
         let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.child.id()));
         let stat = stat.unwrap_or_default();
-        // The program's name stands in parentheses and may hold spaces.
-        let after = stat.rsplit(')').next().unwrap_or_default();
-        let fields: Vec<&str> = after.split_whitespace().collect();
+        // The program name is in parentheses and may contain spaces.
+        let after_name = stat.rsplit(')').next().unwrap_or_default();
+        let fields: Vec<&str> = after_name.split_whitespace().collect();
+        // utime and stime.
         let ticks = [11, 12]
             .iter()
             .filter_map(|index| fields.get(*index)?.parse::<u64>().ok());
         ticks.sum::<u64>() * 1_000 / TICKS_PER_S
     }
 
-    /// Resident memory in kibibytes; from `/proc/PID/status` (proc(5)).
+    /// Returns the resident memory in KiB, from `/proc/PID/status`, see proc(5).
     pub fn memory_kib(&self) -> u64 {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id()));
         let status = status.unwrap_or_default();
@@ -170,9 +172,9 @@
         number.and_then(|number| number.parse().ok()).unwrap_or(0)
     }
 
-    /// The last log lines.
+    /// Returns the latest log lines.
     pub fn log_lines(&self) -> Vec<String> {
-        self.lines
+        self.log_lines
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
             .clone()
@@ -202,31 +204,32 @@
     })
 }
 
-fn keep_lines(
+/// Collects log lines in memory, and in a file if given, on a thread of their own.
+fn collect_lines(
     stream: impl Read + Send + 'static,
-    lines: &Arc<Mutex<Vec<String>>>,
+    log_lines: &Arc<Mutex<Vec<String>>>,
     mut log_file: Option<File>,
 ) {
-    let lines = Arc::clone(lines);
+    let log_lines = Arc::clone(log_lines);
     std::thread::spawn(move || {
         for line in BufReader::new(stream).lines().map_while(Result::ok) {
             if let Some(file) = &mut log_file {
                 let _ = writeln!(file, "{line}");
             }
-            let mut lines = lines.lock().unwrap_or_else(PoisonError::into_inner);
-            lines.push(line);
-            if lines.len() > KEPT_LINES {
-                lines.remove(0);
+            let mut log_lines = log_lines.lock().unwrap_or_else(PoisonError::into_inner);
+            log_lines.push(line);
+            if log_lines.len() > MAX_LOG_LINES {
+                log_lines.remove(0);
             }
         }
     });
 }
 
-/// A program that was built beside this one.
-pub fn sibling(name: &str) -> PathBuf {
+/// Returns the path of a program in the build directory of the current one.
+pub fn sibling_program(name: &str) -> PathBuf {
     let mut path = std::env::current_exe().unwrap_or_default();
     path.pop();
-    // Test programs stand one folder deeper than the binaries.
+    // Test programs are in a subfolder of the folder of the binaries.
     if path.ends_with("deps") {
         path.pop();
     }
--- a/crates/tinbay-cli/src/scenario/summaries.rs
+++ b/crates/tinbay-cli/src/scenario/summaries.rs
@@ -1,4 +1,4 @@
-//! What a scenario gets to see of loads, calls and processes.
+//! Summaries of loads, calls and processes that scripts receive.
 
 use std::collections::BTreeMap;
 
@@ -7,42 +7,45 @@
 
 use crate::caller::{Outcome, ServiceOutcome};
 
-/// What became of a load.
+/// Summary of a load.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct LoadSummary {
     /// Requests sent.
     pub sent: usize,
-    /// Right and whole answers.
+    /// Complete and correct responses.
     pub right: usize,
-    /// Whole answers that are not right, or mixed up ones.
+    /// Complete responses that are not correct, and responses with a chunk that named another model
+    /// or was out of order.
     pub wrong: usize,
-    /// Told that nothing ran.
+    /// Requests reported as not run.
     pub not_run: usize,
-    /// Neither answered nor told that nothing ran.
+    /// All other requests: neither a complete response nor a report that they did not run.
     pub lost: usize,
     /// Requests that were resumed.
     pub resumed: usize,
-    /// Requests that were asked for anew, as the rest of a broken answer was gone.
+    /// Requests sent again for the whole response because the rest of an interrupted one was no
+    /// longer available.
     pub started_over: usize,
-    /// Slowest first token in milliseconds, over the right answers.
+    /// Longest time to the first token in milliseconds, over the correct responses.
     pub first_token_max_ms: f64,
-    /// 99th percentile of the time to any refusal, in milliseconds.
+    /// 99th percentile of the time to a refusal in milliseconds, over the requests reported as not
+    /// run.
     pub refusal_p99_ms: f64,
-    /// The same for those refused because they would start too late.
+    /// The same, over the requests refused because they would have started too late.
     pub overloaded_p99_ms: f64,
-    /// Right answers of the class `counter`.
+    /// Correct responses of the class `counter`.
     pub counter_right: usize,
     /// Requests of the class `counter`.
     pub counter_sent: usize,
-    /// Keys of requests told that nothing ran.
+    /// Keys of the requests reported as not run.
     pub not_run_keys: Vec<String>,
-    /// Keys of every request.
+    /// Keys of all requests.
     pub keys: Vec<String>,
-    /// Failures by code.
+    /// Number of errors by code.
     pub failures: BTreeMap<String, usize>,
 }
 
-/// What became of many calls of a plain service.
+/// Summary of calls of a plain service.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct CallSummary {
     /// Calls sent.
@@ -51,29 +54,29 @@
     pub answered: usize,
     /// Keys of all calls.
     pub keys: Vec<String>,
-    /// Keys of calls told at every ask that nothing ran.
+    /// Keys of calls of which every attempt was reported as not run.
     pub not_run_keys: Vec<String>,
 }
 
-/// What a process has used.
+/// Resource usage of a process.
 #[derive(Debug, Clone, Copy, Serialize)]
 pub struct Usage {
-    /// Processor time so far.
+    /// CPU time used so far.
     pub cpu_ms: u64,
     /// Resident memory.
     pub memory_kib: u64,
 }
 
-/// 99th percentile of the whole time of requests.
+/// Returns the 99th percentile of the time to the final outcome, or 0 without requests.
 fn p99_ms<'a>(outcomes: impl Iterator<Item = &'a Outcome>) -> f64 {
     let mut times: Vec<f64> = outcomes.map(|outcome| outcome.total_ms).collect();
     times.sort_by(f64::total_cmp);
     times.get(times.len() * 99 / 100).copied().unwrap_or(0.0)
 }
 
-/// Sums up what became of a load's requests.
-pub fn summarise(outcomes: &[Outcome]) -> LoadSummary {
-    let count = |meets: &dyn Fn(&Outcome) -> bool| outcomes.iter().filter(|o| meets(o)).count();
+/// Summarises the outcomes of a load.
+pub fn summarise_load(outcomes: &[Outcome]) -> LoadSummary {
+    let count = |matches: &dyn Fn(&Outcome) -> bool| outcomes.iter().filter(|o| matches(o)).count();
     let not_run: Vec<&Outcome> = outcomes.iter().filter(|o| o.is_told_not_run()).collect();
     let overloaded = not_run.iter().copied().filter(|o| {
         let failure = o.failure.as_ref();
@@ -112,7 +115,7 @@
     }
 }
 
-/// Sums up what became of calls of a plain service.
+/// Summarises the outcomes of calls of a plain service.
 pub fn summarise_calls(outcomes: &[ServiceOutcome]) -> CallSummary {
     let not_run = outcomes.iter().filter(|o| !o.answered && !o.maybe_ran);
     CallSummary {
@@ -123,7 +126,7 @@
     }
 }
 
-/// The sum of a metric over its labels, in a box's text format.
+/// Returns the sum of a metric over its labels, from the text that a box exposes.
 pub fn sum_metric(text: &str, metric: &str) -> f64 {
     text.lines()
         .filter(|line| line.starts_with(metric))
--- a/crates/tinbay-cli/src/util/mod.rs
+++ b/crates/tinbay-cli/src/util/mod.rs
@@ -1,3 +1,3 @@
-//! Small helpers with no home of their own.
+//! General-purpose helpers.
 
 pub mod worker;
--- a/crates/tinbay-cli/src/util/worker.rs
+++ b/crates/tinbay-cli/src/util/worker.rs
@@ -1,4 +1,4 @@
-//! A thread that runs asynchronous work for synchronous code.
+//! Runs asynchronous tasks for synchronous code on a dedicated thread.
 
 use std::future::Future;
 use std::pin::Pin;
@@ -7,22 +7,22 @@
 
 use tokio::sync::mpsc;
 
-type LocalWork = Pin<Box<dyn Future<Output = ()>>>;
-type Start = Box<dyn FnOnce() -> LocalWork + Send>;
+type LocalTask = Pin<Box<dyn Future<Output = ()>>>;
+type Job = Box<dyn FnOnce() -> LocalTask + Send>;
 
-/// Runs asynchronous work on a thread of its own.
+/// A thread with an asynchronous runtime.
 pub struct Worker {
-    starts: Option<mpsc::UnboundedSender<Start>>,
+    jobs: Option<mpsc::UnboundedSender<Job>>,
     thread: Option<JoinHandle<()>>,
 }
 
-/// Work that goes on in the background.
-pub struct Background<T> {
+/// Handle of a task that runs in the background.
+pub struct BackgroundTask<T> {
     result: std_mpsc::Receiver<T>,
 }
 
-impl<T> Background<T> {
-    /// Waits for the result; nothing if the work was dropped.
+impl<T> BackgroundTask<T> {
+    /// Waits for the result; `None` if the task was dropped.
     pub fn wait(self) -> Option<T> {
         self.result.recv().ok()
     }
@@ -37,54 +37,54 @@
 impl Worker {
     /// Starts the thread.
     pub fn start() -> Self {
-        let (starts, mut receiver) = mpsc::unbounded_channel::<Start>();
+        let (jobs, mut receiver) = mpsc::unbounded_channel::<Job>();
         let thread = std::thread::spawn(move || {
             let system = ntex::rt::System::new("worker", ntex::rt::DefaultRuntime);
             system.block_on(async move {
-                while let Some(start) = receiver.recv().await {
-                    ntex::rt::spawn(start());
+                while let Some(job) = receiver.recv().await {
+                    ntex::rt::spawn(job());
                 }
             });
         });
         Self {
-            starts: Some(starts),
+            jobs: Some(jobs),
             thread: Some(thread),
         }
     }
 
-    /// Starts work and returns at once.
-    pub fn spawn<F, W, T>(&self, work: F) -> Background<T>
+    /// Spawns a task without waiting for it.
+    pub fn spawn<F, W, T>(&self, task: F) -> BackgroundTask<T>
     where
         F: FnOnce() -> W + Send + 'static,
         W: Future<Output = T> + 'static,
         T: Send + 'static,
     {
         let (sender, result) = std_mpsc::channel();
-        let start: Start = Box::new(move || {
+        let job: Job = Box::new(move || {
             Box::pin(async move {
-                let _ = sender.send(work().await);
+                let _ = sender.send(task().await);
             })
         });
-        if let Some(starts) = &self.starts {
-            let _ = starts.send(start);
+        if let Some(jobs) = &self.jobs {
+            let _ = jobs.send(job);
         }
-        Background { result }
+        BackgroundTask { result }
     }
 
-    /// Runs work and waits for its result; nothing if the thread has ended.
-    pub fn run<F, W, T>(&self, work: F) -> Option<T>
+    /// Runs a task and waits for its result; `None` if the thread has ended.
+    pub fn run<F, W, T>(&self, task: F) -> Option<T>
     where
         F: FnOnce() -> W + Send + 'static,
         W: Future<Output = T> + 'static,
         T: Send + 'static,
     {
-        self.spawn(work).wait()
+        self.spawn(task).wait()
     }
 }
 
 impl Drop for Worker {
     fn drop(&mut self) {
-        self.starts = None;
+        self.jobs = None;
         if let Some(thread) = self.thread.take() {
             let _ = thread.join();
         }
