--- a/examples/cascade-ridge.rhai
+++ b/examples/cascade-ridge.rhai
@@ -1,12 +1,12 @@
-// Policy of the bid desk: desk traders go first, planners ask the same and can wait, memo
-// drafts fill what is left. Full batches weigh more than stalls.
+// Policy of the bid desk: desk traders come first, planners send the same requests and can wait,
+// and memo drafts use the remaining capacity. Full batches matter more than stalls.
 
 fn classify(request) {
-    // A bid offers water once.
+    // A bid offers the same water only once, so it must not be repeated.
     if request.class == "bid" {
         return #{ rank: 0, repeatable: false };
     }
-    // Long memo drafts stand behind the planners' curves.
+    // Long memo drafts rank behind the planners' curves.
     if request.class == "memo" {
         return #{ rank: if request.max_tokens > 512 { 70 } else { 60 } };
     }
--- a/examples/dochodok.rhai
+++ b/examples/dochodok.rhai
@@ -1,8 +1,8 @@
-// Policy of the statement explainer: a member who waits at the counter goes first, and a
-// load stall weighs more than a batch that is not full.
+// Policy of the statement explainer: a member who waits at the counter comes first, and a stall for
+// a load matters more than a batch that is not full.
 
 fn classify(request) {
-    // Annual statements may wait, long ones longest.
+    // Annual statements can wait, and long ones rank last.
     if request.class == "statements" {
         return #{ rank: if request.prompt_bytes > 8000 { 60 } else { 50 } };
     }
