--- a/crates/tinbay-wire/tests/decode_test.rs
+++ b/crates/tinbay-wire/tests/decode_test.rs
@@ -1,4 +1,4 @@
-//! Every decoder takes any bytes without a panic, and gives back what was encoded.
+//! Property tests: decoders accept any bytes without a panic, and decoding reverses encoding.
 
 use quickcheck::QuickCheck;
 use serde::de::DeserializeOwned;
@@ -18,8 +18,8 @@
     let _ = serde_json::from_slice::<T>(bytes);
 }
 
-/// Random bytes seldom look like JSON, so they are put inside some as well.
-fn wrapped(bytes: &[u8]) -> Vec<u8> {
+/// Embeds the bytes in JSON documents, because random bytes alone rarely are valid JSON.
+fn wrap_in_json(bytes: &[u8]) -> Vec<u8> {
     let text = String::from_utf8_lossy(bytes);
     let value = serde_json::json!({ "model": text, "kvs": [{ "key": text }], "result": text });
     value.to_string().into_bytes()
@@ -27,8 +27,8 @@
 
 #[test]
 fn decode_json_any_bytes_does_not_panic() {
-    fn holds(bytes: Vec<u8>) -> bool {
-        for input in [bytes.clone(), wrapped(&bytes)] {
+    fn property(bytes: Vec<u8>) -> bool {
+        for input in [bytes.clone(), wrap_in_json(&bytes)] {
             decode_json::<CompletionRequest>(&input);
             decode_json::<ChangeRequest>(&input);
             decode_json::<ForwardRequest>(&input);
@@ -44,24 +44,24 @@
     }
     QuickCheck::new()
         .tests(2_000)
-        .quickcheck(holds as fn(Vec<u8>) -> bool);
+        .quickcheck(property as fn(Vec<u8>) -> bool);
 }
 
 #[test]
 fn decode_control_any_bytes_does_not_panic() {
-    fn holds(bytes: Vec<u8>) -> bool {
+    fn property(bytes: Vec<u8>) -> bool {
         let _ = postcard::from_bytes::<Envelope>(&bytes);
         let _ = postcard::from_bytes::<Reply>(&bytes);
         true
     }
     QuickCheck::new()
         .tests(5_000)
-        .quickcheck(holds as fn(Vec<u8>) -> bool);
+        .quickcheck(property as fn(Vec<u8>) -> bool);
 }
 
 #[test]
 fn decode_control_encoded_round_trips() {
-    fn holds(from: String, revision: i64, incarnation: u64, nonce: u64) -> bool {
+    fn property(from: String, revision: i64, incarnation: u64, nonce: u64) -> bool {
         let envelope = Envelope {
             from: BoxId::new(from.clone()),
             revision,
@@ -75,37 +75,37 @@
         let bytes = postcard::to_stdvec(&envelope).expect("encodes");
         postcard::from_bytes::<Envelope>(&bytes) == Ok(envelope)
     }
-    QuickCheck::new().quickcheck(holds as fn(String, i64, u64, u64) -> bool);
+    QuickCheck::new().quickcheck(property as fn(String, i64, u64, u64) -> bool);
 }
 
 #[test]
 fn decode_names_any_text_does_not_panic() {
-    fn holds(text: String) -> bool {
+    fn property(text: String) -> bool {
         let _ = text.parse::<ModelRef>();
         let _ = text.parse::<Order>();
         true
     }
     QuickCheck::new()
         .tests(2_000)
-        .quickcheck(holds as fn(String) -> bool);
+        .quickcheck(property as fn(String) -> bool);
 }
 
 #[test]
 fn etcd_bytes_encoded_round_trip() {
-    fn holds(bytes: Vec<u8>) -> bool {
+    fn property(bytes: Vec<u8>) -> bool {
         let json = serde_json::to_string(&Bytes(bytes.clone())).expect("encodes");
         serde_json::from_str::<Bytes>(&json).ok() == Some(Bytes(bytes))
     }
-    QuickCheck::new().quickcheck(holds as fn(Vec<u8>) -> bool);
+    QuickCheck::new().quickcheck(property as fn(Vec<u8>) -> bool);
 }
 
 #[test]
 fn prefix_end_is_above_every_key_with_the_prefix() {
-    fn holds(prefix: String, rest: String) -> bool {
+    fn property(prefix: String, rest: String) -> bool {
         let end = prefix_end(&prefix);
         let key = format!("{prefix}{rest}");
-        // A single zero byte stands for "to the end of all keys".
+        // A single zero byte means that the range has no upper end.
         end.0 == [0] || (key.as_bytes() < end.0.as_slice() && prefix.as_bytes() < end.0.as_slice())
     }
-    QuickCheck::new().quickcheck(holds as fn(String, String) -> bool);
+    QuickCheck::new().quickcheck(property as fn(String, String) -> bool);
 }
