--- a/crates/tinbay-cli/tests/common/mod.rs
+++ b/crates/tinbay-cli/tests/common/mod.rs
@@ -1,13 +1,13 @@
-//! Helpers of the integration tests.
+//! Helpers for the integration tests.
 
 use std::path::PathBuf;
 use std::process::{Command, Output};
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-/// Fleets of processes run one at a time, so that they do not slow each other down.
-static ONE_FLEET: Mutex<()> = Mutex::new(());
+/// Held by the test that runs a fleet of processes, so that fleets do not slow each other down.
+static FLEET_LOCK: Mutex<()> = Mutex::new(());
 
-/// Runs `tinbay` with arguments.
+/// Runs `tinbay` with the arguments and waits for its exit.
 pub fn tinbay(args: &[&str]) -> Output {
     Command::new(env!("CARGO_BIN_EXE_tinbay"))
         .args(args)
@@ -15,12 +15,12 @@
         .expect("tinbay starts")
 }
 
-/// Waits for the turn of a test that starts processes.
+/// Locks out other tests that start fleets of processes until the guard is dropped.
 pub fn take_turn() -> MutexGuard<'static, ()> {
-    ONE_FLEET.lock().unwrap_or_else(PoisonError::into_inner)
+    FLEET_LOCK.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// A file of the repository.
+/// Returns the path of a file of the repository.
 pub fn repository_path(name: &str) -> String {
     let mut path = PathBuf::from(env!("CARGO_MANIFEST_DIR"));
     path.push("../..");
@@ -28,12 +28,12 @@
     path.display().to_string()
 }
 
-/// Standard output as text.
+/// Returns the standard output as text.
 pub fn stdout(output: &Output) -> String {
     String::from_utf8_lossy(&output.stdout).into_owned()
 }
 
-/// Standard error as text.
+/// Returns the standard error as text.
 pub fn stderr(output: &Output) -> String {
     String::from_utf8_lossy(&output.stderr).into_owned()
 }
--- a/crates/tinbay-cli/tests/scenarios_test.rs
+++ b/crates/tinbay-cli/tests/scenarios_test.rs
@@ -1,10 +1,10 @@
-//! Every scenario of the repository, against real processes.
+//! Runs the scenarios of the repository against real processes.
 
 mod common;
 
 use common::{repository_path, stderr, stdout, take_turn, tinbay};
 
-/// Seed of runs that need no other; another repeats a failure found elsewhere.
+/// Default seed. Tests with another seed reproduce a failure that was found with it.
 const SEED: u64 = 1;
 
 fn assert_kept(name: &str) {
@@ -45,37 +45,42 @@
     assert_kept("whole_answers");
 }
 
-// Requests between two owners used up their attempts and were refused or lost.
+// Guards against requests that use up their attempts while the engine has no owner, and are then
+// refused or lost.
 #[test]
 fn scenario_lost_owner() {
     assert_kept("lost_owner");
 }
 
-// Callers that resumed an answer between two owners were refused by the time that their class may wait to start.
+// Guards against applying the class's maximum wait for a start to callers that resume a response
+// while the engine has no owner.
 #[test]
 fn scenario_resume_between_owners() {
     assert_kept("resume_between_owners");
 }
 
-// Streams through another box were told that the rest was gone while the engine had it.
+// Guards against forwarded streams that fail as not resumable while the engine still has the rest.
 #[test]
 fn scenario_forwarded_streams() {
     assert_kept("forwarded_streams");
 }
 
-// Requests cut off before their first piece were told "outcome_unknown" while the engine ran them.
+// Guards against "outcome_unknown" for requests that are interrupted before their first chunk while
+// the engine runs them.
 #[test]
 fn scenario_cut_before_first() {
     assert_kept("cut_before_first");
 }
 
-// Requests queued at a box that died were told "outcome_unknown" once the retry budget was spent.
+// Guards against "outcome_unknown" for requests that were queued at a killed box, once the retry
+// budget is spent.
 #[test]
 fn scenario_queued_at_lost_owner() {
     assert_kept("queued_at_lost_owner");
 }
 
-// Requests passed to a box that froze stood still for 15 s and more and were then lost.
+// Guards against requests that stall for 15 s and longer, and are then lost, after they were
+// forwarded to a box that freezes.
 #[test]
 fn scenario_frozen_owner() {
     assert_kept("frozen_owner");
@@ -126,26 +131,29 @@
     assert_kept("planned_stop");
 }
 
-// A restarted box was held to own its engines for seconds before it took them over.
+// Guards against boxes that consider a restarted box the owner of its engines for seconds before it
+// has taken them over.
 #[test]
 fn scenario_restarted_box() {
     assert_kept("restarted_box");
 }
 
-// An owner that had started again was held to be dead for the silence of its former run, and asks stood still
-// at its former successor.
+// Guards against a restarted owner that is declared dead for the silence of its former run, so that
+// requests stall at its former successor.
 #[test]
 fn scenario_restarted_owner() {
     assert_kept("restarted_owner");
 }
 
-// Work that runs once was told "unknown" after it had been sent to a new run of its owner.
+// Guards against an unknown outcome for requests that must run at most once, after they were sent
+// to a new run of their owner.
 #[test]
 fn scenario_restarted_owner_once() {
     assert_kept("restarted_owner_once");
 }
 
-// A box that woke from a freeze held boxes of another zone to be alive for good and passed requests to them.
+// Guards against a woken box that never removes killed boxes of another zone from its view and
+// forwards requests to them.
 #[test]
 fn scenario_woken_box() {
     assert_kept("woken_box");
@@ -166,19 +174,22 @@
     assert_kept("platform_outage");
 }
 
-// An engine whose next owner had come after its last takeover had none until an outage ended.
+// Guards against an engine without an owner until the end of an outage, because its next owner
+// joined after its last takeover.
 #[test]
 fn scenario_outage_after_join() {
     assert_kept("outage_after_join");
 }
 
-// An owner that started again in an outage had forgotten the succession, and its engines had no owner.
+// Guards against engines without an owner because their owner restarted during an outage and no
+// longer knows the succession.
 #[test]
 fn scenario_outage_restart() {
     assert_kept("outage_restart");
 }
 
-// Boxes that joined in an outage were held to own engines that they could not take over.
+// Guards against boxes that joined during an outage being considered owners of engines that they
+// cannot take over.
 #[test]
 fn scenario_outage_new_box() {
     assert_kept("outage_new_box");
@@ -189,7 +200,7 @@
     assert_kept("overload");
 }
 
-// Series of faults that overlap, as the long soak by hand plays them with many seeds.
+// Runs a seeded series of overlapping faults; many more seeds are run by hand.
 #[test]
 fn scenario_soak_seeds_1_to_3() {
     for seed in 1..=3 {
@@ -197,31 +208,34 @@
     }
 }
 
-// Asks that ended late at a replaced owner had requests refused.
+// Guards against refused requests after attempts that end late at a replaced owner.
 #[test]
 fn scenario_soak_seed_206() {
     assert_kept_with("soak", 206);
 }
 
-// Boxes that joined as an outage began were held to own engines that they could not take over.
+// Guards against boxes that joined at the start of an outage being considered owners of engines
+// that they cannot take over.
 #[test]
 fn scenario_soak_seed_324() {
     assert_kept_with("soak", 324);
 }
 
-// An engine loses two owners within the time that its callers may wait.
+// An engine loses two owners within the time for which its callers may wait.
 #[test]
 fn scenario_soak_seed_409() {
     assert_kept_with("soak", 409);
 }
 
-// The next owner comes a few milliseconds after requests that were queued at the lost one had to start.
+// The next owner takes over a few milliseconds after the latest start time of requests that were
+// queued at the lost owner.
 #[test]
 fn scenario_soak_seed_415() {
     assert_kept_with("soak", 415);
 }
 
-// An adapter was ordered to be unloaded while it served, after a box that passed requests on had died.
+// Guards against an order to unload an adapter while it serves, after a box that forwarded requests
+// was killed.
 #[test]
 fn scenario_soak_seed_437() {
     assert_kept_with("soak", 437);
@@ -230,12 +244,12 @@
 #[test]
 fn scenario_broken_promise_is_named_with_trace_and_seed() {
     let _turn = take_turn();
-    let directory = std::env::temp_dir().join(format!("tinbay-scenario-{}", std::process::id()));
-    std::fs::create_dir_all(&directory).expect("a directory");
-    let file = directory.join("broken.rhai");
+    let dir = std::env::temp_dir().join(format!("tinbay-scenario-{}", std::process::id()));
+    std::fs::create_dir_all(&dir).expect("a directory");
+    let file = dir.join("broken.rhai");
     std::fs::write(&file, "check(1 == 2, \"one is two\");").expect("a file");
     let output = tinbay(&["scenario", "run", "--seed=7", &file.display().to_string()]);
-    std::fs::remove_dir_all(&directory).expect("removed");
+    std::fs::remove_dir_all(&dir).expect("removed");
     assert_eq!(output.status.code(), Some(5));
     let text = stdout(&output);
     assert!(
@@ -248,11 +262,11 @@
 #[test]
 fn scenario_log_dir_holds_the_log_of_each_process() {
     let _turn = take_turn();
-    let directory = std::env::temp_dir().join(format!("tinbay-logs-{}", std::process::id()));
-    std::fs::create_dir_all(&directory).expect("a directory");
-    let file = directory.join("one-box.rhai");
+    let dir = std::env::temp_dir().join(format!("tinbay-logs-{}", std::process::id()));
+    std::fs::create_dir_all(&dir).expect("a directory");
+    let file = dir.join("one-box.rhai");
     std::fs::write(&file, "start_box(\"box-1\", \"a\"); await_ready();").expect("a file");
-    let log_dir = directory.join("logs").display().to_string();
+    let log_dir = dir.join("logs").display().to_string();
     let output = tinbay(&[
         "scenario",
         "run",
@@ -260,8 +274,8 @@
         &log_dir,
         &file.display().to_string(),
     ]);
-    let log = std::fs::read_to_string(directory.join("logs/box-1.log"));
-    std::fs::remove_dir_all(&directory).expect("removed");
+    let log = std::fs::read_to_string(dir.join("logs/box-1.log"));
+    std::fs::remove_dir_all(&dir).expect("removed");
     assert!(output.status.success(), "{}", stderr(&output));
     let log = log.expect("a log of the box");
     assert!(log.contains("box box-1 listens on"), "{log}");
