--- a/crates/tinbay-cli/src/caller/mod.rs
+++ b/crates/tinbay-cli/src/caller/mod.rs
@@ -40,7 +40,7 @@
 
 /// One completion request and how the caller sends it.
 #[derive(Debug, Clone)]
-pub struct Wanted {
+pub struct CompletionCall {
     /// The request body.
     pub request: CompletionRequest,
     /// Whether it is sent with a request key, which allows repeating and resuming it.
@@ -140,7 +140,7 @@
     }
 
     /// Sends a request and retries or resumes it until it has a final outcome.
-    pub async fn complete(&self, call: &Wanted) -> Outcome {
+    pub async fn complete(&self, call: &CompletionCall) -> Outcome {
         let started = Instant::now();
         let mut outcome = Outcome::new(&call.request);
         let mut key = None;
@@ -277,7 +277,7 @@
 
 async fn send_attempt(
     address: &str,
-    call: &Wanted,
+    call: &CompletionCall,
     key: Option<&str>,
     outcome: &mut Outcome,
     started: Instant,
--- a/crates/tinbay-cli/src/commands/demo.rs
+++ b/crates/tinbay-cli/src/commands/demo.rs
@@ -18,7 +18,7 @@
 
 use super::{apply_objects, block_on};
 use crate::api::Api;
-use crate::caller::{Caller, Outcome, ServiceOutcome, Wanted};
+use crate::caller::{Caller, CompletionCall, Outcome, ServiceOutcome};
 use crate::config_file::ConfigFile;
 use crate::error::CliError;
 use crate::options::CommonOptions;
@@ -220,7 +220,7 @@
         let Ok(model) = model.parse::<ModelRef>() else {
             continue;
         };
-        let wanted = Wanted {
+        let wanted = CompletionCall {
             request: CompletionRequest {
                 model,
                 prompt: format!("explain statement {index}"),
--- a/crates/tinbay-cli/src/drive.rs
+++ b/crates/tinbay-cli/src/drive.rs
@@ -11,7 +11,7 @@
 use tinbay_core::ids::ModelRef;
 use tinbay_wire::completion::CompletionRequest;
 
-use crate::caller::{Caller, Outcome, Wanted};
+use crate::caller::{Caller, CompletionCall, Outcome};
 use crate::options::ClassShare;
 
 /// Parameters of a load.
@@ -58,7 +58,7 @@
     let started = tokio::time::Instant::now();
     let requests = generate_arrivals(&plan).into_iter().map(|arrival| {
         let caller = Rc::clone(&caller);
-        let call = Wanted {
+        let call = CompletionCall {
             request: arrival.request,
             keyed: plan.keyed,
             patience: plan.patience,
--- a/crates/tinbay-cli/src/scenario/params.rs
+++ b/crates/tinbay-cli/src/scenario/params.rs
@@ -5,7 +5,7 @@
 use serde::Deserialize;
 use tinbay_wire::completion::CompletionRequest;
 
-use crate::caller::Wanted;
+use crate::caller::CompletionCall;
 use crate::error::CliError;
 
 /// Parameters of an engine stand-in.
@@ -143,8 +143,8 @@
     ///
     /// # Errors
     /// Returns [`CliError::Model`] if the model is not of the form `adapter@version`.
-    pub fn to_call(&self) -> Result<Wanted, CliError> {
-        Ok(Wanted {
+    pub fn to_call(&self) -> Result<CompletionCall, CliError> {
+        Ok(CompletionCall {
             request: CompletionRequest {
                 model: self.model.parse()?,
                 prompt: self.prompt.clone(),
