--- a/crates/tinbay-cli/src/caller/outcome.rs
+++ b/crates/tinbay-cli/src/caller/outcome.rs
@@ -118,7 +118,7 @@
 
     /// Returns whether the final error reported that the request did not run and no earlier attempt
     /// may have run.
-    pub fn is_told_not_run(&self) -> bool {
+    pub fn is_reported_not_run(&self) -> bool {
         let reported = self.failure.as_ref().is_some_and(|failure| failure.not_run);
         !self.whole && !self.maybe_ran && reported
     }
--- a/crates/tinbay-cli/src/commands/load.rs
+++ b/crates/tinbay-cli/src/commands/load.rs
@@ -197,7 +197,7 @@
 
 fn summarise_class(outcomes: &[&Outcome], verify: bool) -> ClassReport {
     let answered: Vec<&&Outcome> = outcomes.iter().filter(|o| o.whole).collect();
-    let refused = outcomes.iter().filter(|o| o.is_told_not_run()).count();
+    let refused = outcomes.iter().filter(|o| o.is_reported_not_run()).count();
     let wrong = outcomes.iter().filter(|o| verify && o.is_wrong()).count();
     ClassReport {
         sent: outcomes.len(),
--- a/crates/tinbay-cli/src/scenario/summaries.rs
+++ b/crates/tinbay-cli/src/scenario/summaries.rs
@@ -77,7 +77,10 @@
 /// Summarises the outcomes of a load.
 pub fn summarise_load(outcomes: &[Outcome]) -> LoadSummary {
     let count = |matches: &dyn Fn(&Outcome) -> bool| outcomes.iter().filter(|o| matches(o)).count();
-    let not_run: Vec<&Outcome> = outcomes.iter().filter(|o| o.is_told_not_run()).collect();
+    let not_run: Vec<&Outcome> = outcomes
+        .iter()
+        .filter(|o| o.is_reported_not_run())
+        .collect();
     let overloaded = not_run.iter().copied().filter(|o| {
         let failure = o.failure.as_ref();
         failure.is_some_and(|failure| failure.code == ErrorCode::Overloaded)
