--- a/crates/tinbay-cli/src/commands/scenario.rs
+++ b/crates/tinbay-cli/src/commands/scenario.rs
@@ -8,7 +8,7 @@
 use crate::error::CliError;
 use crate::options::CommonOptions;
 use crate::report::print_json;
-use crate::scenario::{Ended, Verdict, run_file};
+use crate::scenario::{ScenarioResult, Verdict, run_file};
 
 /// How one scenario ended.
 #[derive(Debug, Serialize)]
@@ -52,7 +52,7 @@
     }
 }
 
-fn to_report(file: &str, seed: u64, ended: Ended) -> ScenarioReport {
+fn to_report(file: &str, seed: u64, ended: ScenarioResult) -> ScenarioReport {
     let trace = match ended.verdict {
         Verdict::Kept => Vec::new(),
         Verdict::Broken { .. } => ended.trace,
--- a/crates/tinbay-cli/src/scenario/mod.rs
+++ b/crates/tinbay-cli/src/scenario/mod.rs
@@ -44,7 +44,7 @@
 
 /// Result of a scenario run.
 #[derive(Debug)]
-pub struct Ended {
+pub struct ScenarioResult {
     /// Result of its checks.
     pub verdict: Verdict,
     /// Lines that the script noted, mostly measurements.
@@ -60,7 +60,7 @@
 /// # Errors
 /// Returns [`CliError::File`] or [`CliError::Start`] if it cannot be started, and
 /// [`CliError::Scenario`] if it fails for another reason than a check.
-pub fn run_file(path: &str, seed: u64, log_dir: Option<&Path>) -> Result<Ended, CliError> {
+pub fn run_file(path: &str, seed: u64, log_dir: Option<&Path>) -> Result<ScenarioResult, CliError> {
     let started = Instant::now();
     let program = read_text(path)?;
     let fleet = Arc::new(Mutex::new(Fleet::new(seed, log_dir)?));
@@ -79,7 +79,7 @@
             reason: format!("{error}\n{}", fleet.trace().join("\n")),
         })?,
     };
-    Ok(Ended {
+    Ok(ScenarioResult {
         verdict,
         notes: fleet.notes().to_vec(),
         trace: fleet.trace().to_vec(),
