--- a/crates/tinbay-cli/tests/cli_test.rs
+++ b/crates/tinbay-cli/tests/cli_test.rs
@@ -2,11 +2,11 @@
 
 mod common;
 
-use common::{repository_path, stderr, stdout, take_turn, tinbay};
+use common::{lock_fleets, repository_path, stderr, stdout, tinbay};
 
 #[test]
 fn demo_answers_everything_right() {
-    let _turn = take_turn();
+    let _turn = lock_fleets();
     let output = tinbay(&["demo"]);
     let text = stdout(&output);
     assert!(output.status.success(), "{text}{}", stderr(&output));
@@ -19,7 +19,7 @@
 
 #[test]
 fn demo_json_is_for_programs() {
-    let _turn = take_turn();
+    let _turn = lock_fleets();
     let output = tinbay(&["--json", "demo"]);
     let report: serde_json::Value = serde_json::from_str(&stdout(&output)).expect("JSON");
     assert_eq!(report["right"], 8);
--- a/crates/tinbay-cli/tests/common/mod.rs
+++ b/crates/tinbay-cli/tests/common/mod.rs
@@ -16,7 +16,7 @@
 }
 
 /// Locks out other tests that start fleets of processes until the guard is dropped.
-pub fn take_turn() -> MutexGuard<'static, ()> {
+pub fn lock_fleets() -> MutexGuard<'static, ()> {
     FLEET_LOCK.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
--- a/crates/tinbay-cli/tests/scenarios_test.rs
+++ b/crates/tinbay-cli/tests/scenarios_test.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{repository_path, stderr, stdout, take_turn, tinbay};
+use common::{lock_fleets, repository_path, stderr, stdout, tinbay};
 
 /// Default seed. Tests with another seed reproduce a failure that was found with it.
 const SEED: u64 = 1;
@@ -12,7 +12,7 @@
 }
 
 fn assert_kept_with(name: &str, seed: u64) {
-    let _turn = take_turn();
+    let _turn = lock_fleets();
     let file = repository_path(&format!("scenarios/{name}.rhai"));
     let output = tinbay(&["scenario", "run", &format!("--seed={seed}"), &file]);
     assert!(
@@ -243,7 +243,7 @@
 
 #[test]
 fn scenario_broken_promise_is_named_with_trace_and_seed() {
-    let _turn = take_turn();
+    let _turn = lock_fleets();
     let dir = std::env::temp_dir().join(format!("tinbay-scenario-{}", std::process::id()));
     std::fs::create_dir_all(&dir).expect("a directory");
     let file = dir.join("broken.rhai");
@@ -261,7 +261,7 @@
 
 #[test]
 fn scenario_log_dir_holds_the_log_of_each_process() {
-    let _turn = take_turn();
+    let _turn = lock_fleets();
     let dir = std::env::temp_dir().join(format!("tinbay-logs-{}", std::process::id()));
     std::fs::create_dir_all(&dir).expect("a directory");
     let file = dir.join("one-box.rhai");
