--- a/crates/tinbay-cli/src/caller/mod.rs
+++ b/crates/tinbay-cli/src/caller/mod.rs
@@ -46,7 +46,7 @@
     /// Whether it is sent with a request key, which allows repeating and resuming it.
     pub keyed: bool,
     /// Time for which refusals that report "not run" with a retry time are retried.
-    pub patience: Duration,
+    pub retry_window: Duration,
 }
 
 /// A cached locate response.
@@ -162,7 +162,7 @@
             let ended = send_attempt(&address, call, key.as_deref(), &mut outcome, started).await;
             match ended {
                 AttemptEnd::Final => break,
-                AttemptEnd::RetryAfter(wait) if started.elapsed() + wait < call.patience => {
+                AttemptEnd::RetryAfter(wait) if started.elapsed() + wait < call.retry_window => {
                     outcome.asks -= 1;
                     outcome.come_backs += 1;
                     tokio::time::sleep(wait).await;
--- a/crates/tinbay-cli/src/commands/demo.rs
+++ b/crates/tinbay-cli/src/commands/demo.rs
@@ -229,7 +229,7 @@
                 class: Some((*class).to_owned()),
             },
             keyed: true,
-            patience: PATIENCE,
+            retry_window: PATIENCE,
         };
         outcomes.push(caller.complete(&wanted).await);
     }
--- a/crates/tinbay-cli/src/commands/load.rs
+++ b/crates/tinbay-cli/src/commands/load.rs
@@ -106,7 +106,7 @@
         max_tokens: options.max_tokens,
         seed: options.seed,
         keyed: false,
-        patience: PATIENCE,
+        retry_window: PATIENCE,
     }
 }
 
--- a/crates/tinbay-cli/src/drive.rs
+++ b/crates/tinbay-cli/src/drive.rs
@@ -38,7 +38,7 @@
     /// Whether each request has a request key, which allows repeating and resuming it.
     pub keyed: bool,
     /// Time for which refusals that report "not run" with a retry time are retried.
-    pub patience: Duration,
+    pub retry_window: Duration,
 }
 
 /// A request and its arrival time.
@@ -61,7 +61,7 @@
         let call = CompletionCall {
             request: arrival.request,
             keyed: plan.keyed,
-            patience: plan.patience,
+            retry_window: plan.retry_window,
         };
         async move {
             tokio::time::sleep_until(started + arrival.offset).await;
--- a/crates/tinbay-cli/src/scenario/fleet.rs
+++ b/crates/tinbay-cli/src/scenario/fleet.rs
@@ -470,7 +470,7 @@
             max_tokens: params.max_tokens,
             seed: self.rng.random(),
             keyed: params.keyed,
-            patience: Duration::from_millis(params.patience_ms),
+            retry_window: Duration::from_millis(params.patience_ms),
         };
         self.log(&format!(
             "load {} a second for {} ms",
--- a/crates/tinbay-cli/src/scenario/params.rs
+++ b/crates/tinbay-cli/src/scenario/params.rs
@@ -153,7 +153,7 @@
                 class: Some(self.class.clone()),
             },
             keyed: self.keyed,
-            patience: Duration::from_millis(self.patience_ms),
+            retry_window: Duration::from_millis(self.patience_ms),
         })
     }
 }
