--- a/crates/tinbay-cli/src/commands/scenario.rs
+++ b/crates/tinbay-cli/src/commands/scenario.rs
@@ -62,7 +62,7 @@
         seed,
         verdict: ended.verdict,
         notes: ended.notes,
-        seconds: Duration::as_secs_f64(&ended.took),
+        seconds: Duration::as_secs_f64(&ended.duration),
         trace,
     }
 }
--- a/crates/tinbay-cli/src/scenario/mod.rs
+++ b/crates/tinbay-cli/src/scenario/mod.rs
@@ -52,7 +52,7 @@
     /// Log of the actions, with the last log lines of each box at the end.
     pub trace: Vec<String>,
     /// Duration of the run.
-    pub took: Duration,
+    pub duration: Duration,
 }
 
 /// Runs one scenario file; with `log_dir`, the log of each process is also written to a file there.
@@ -83,7 +83,7 @@
         verdict,
         notes: fleet.notes().to_vec(),
         trace: fleet.trace().to_vec(),
-        took: started.elapsed(),
+        duration: started.elapsed(),
     })
 }
 
