--- a/crates/tinbay-cli/src/commands/load.rs
+++ b/crates/tinbay-cli/src/commands/load.rs
@@ -74,7 +74,7 @@
     let (outcomes, batch_efficiency) = block_on(move || async move {
         let models = models(&api).await?;
         let plan = to_plan(&job, servers, models);
-        let length = plan.length;
+        let length = plan.duration;
         let running = drive(plan);
         let sampled = sample_batches(&api, token, length);
         Ok(futures_util::future::join(running, sampled).await)
@@ -100,7 +100,7 @@
         pinned: None,
         models,
         rate_per_s: options.rate_per_s,
-        length: Duration::from_secs(options.seconds),
+        duration: Duration::from_secs(options.seconds),
         skew: options.skew,
         classes: options.classes.clone(),
         max_tokens: options.max_tokens,
--- a/crates/tinbay-cli/src/drive.rs
+++ b/crates/tinbay-cli/src/drive.rs
@@ -26,7 +26,7 @@
     /// Mean number of requests per second.
     pub rate_per_s: f64,
     /// Duration of the load.
-    pub length: Duration,
+    pub duration: Duration,
     /// Zipf exponent of the models' popularity.
     pub skew: f64,
     /// Priority classes and their shares; if empty, requests name no class.
@@ -82,7 +82,7 @@
     };
     let mut arrivals = Vec::new();
     let mut arrival_s = interarrival.sample(&mut rng);
-    while arrival_s < plan.length.as_secs_f64() {
+    while arrival_s < plan.duration.as_secs_f64() {
         let rank = popularity.sample(&mut rng) as usize;
         let model = &plan.models[rank.clamp(1, plan.models.len()) - 1];
         arrivals.push(Arrival {
--- a/crates/tinbay-cli/src/scenario/fleet.rs
+++ b/crates/tinbay-cli/src/scenario/fleet.rs
@@ -458,7 +458,7 @@
             pinned,
             models,
             rate_per_s: params.rate_per_s,
-            length: Duration::from_millis(params.length_ms),
+            duration: Duration::from_millis(params.length_ms),
             skew: params.skew,
             classes: match params.class.as_str() {
                 "" => vec![
