--- a/crates/tinbay-cli/src/commands/load.rs
+++ b/crates/tinbay-cli/src/commands/load.rs
@@ -94,9 +94,9 @@
     }
 }
 
-fn to_plan(options: &LoadOptions, entries: Vec<String>, models: Vec<ModelRef>) -> DrivePlan {
+fn to_plan(options: &LoadOptions, box_addresses: Vec<String>, models: Vec<ModelRef>) -> DrivePlan {
     DrivePlan {
-        entries,
+        box_addresses,
         pinned: None,
         models,
         rate_per_s: options.rate_per_s,
--- a/crates/tinbay-cli/src/drive.rs
+++ b/crates/tinbay-cli/src/drive.rs
@@ -18,7 +18,7 @@
 #[derive(Debug, Clone)]
 pub struct DrivePlan {
     /// Addresses of the boxes that locate requests are sent to.
-    pub entries: Vec<String>,
+    pub box_addresses: Vec<String>,
     /// Address of the box to connect to instead of the located ones.
     pub pinned: Option<String>,
     /// Models in order of popularity, the most popular first.
@@ -50,10 +50,10 @@
 
 /// Sends the load and waits for the outcome of every request.
 pub async fn drive(plan: DrivePlan) -> Vec<Outcome> {
-    let entries = plan.entries.clone();
+    let box_addresses = plan.box_addresses.clone();
     let caller = Rc::new(match plan.pinned.clone() {
-        Some(address) => Caller::pinned(entries, address),
-        None => Caller::new(entries),
+        Some(address) => Caller::pinned(box_addresses, address),
+        None => Caller::new(box_addresses),
     });
     let started = tokio::time::Instant::now();
     let requests = generate_arrivals(&plan).into_iter().map(|arrival| {
--- a/crates/tinbay-cli/src/scenario/fleet.rs
+++ b/crates/tinbay-cli/src/scenario/fleet.rs
@@ -454,7 +454,7 @@
         };
         let pinned = (!params.at.is_empty()).then(|| self.address(&params.at));
         let drive_plan = DrivePlan {
-            entries: self.box_addresses(),
+            box_addresses: self.box_addresses(),
             pinned,
             models,
             rate_per_s: params.rate_per_s,
