--- a/crates/tinbay-cli/src/commands/load.rs
+++ b/crates/tinbay-cli/src/commands/load.rs
@@ -75,7 +75,7 @@
     let (outcomes, batch_efficiency) = block_on(move || async move {
         let models = fetch_models(&api).await?;
         let plan = to_plan(&owned_options, box_addresses, models);
-        let length = plan.length;
+        let length = plan.duration;
         let load = drive(plan);
         let batch_efficiency = sample_batches(&api, token, length);
         Ok(futures_util::future::join(load, batch_efficiency).await)
@@ -95,19 +95,19 @@
     }
 }
 
-fn to_plan(options: &LoadOptions, entries: Vec<String>, models: Vec<ModelRef>) -> DrivePlan {
+fn to_plan(options: &LoadOptions, box_addresses: Vec<String>, models: Vec<ModelRef>) -> DrivePlan {
     DrivePlan {
-        entries,
+        box_addresses,
         pinned: None,
         models,
         rate_per_s: options.rate_per_s,
-        length: Duration::from_secs(options.seconds),
+        duration: Duration::from_secs(options.seconds),
         skew: options.skew,
         classes: options.classes.clone(),
         max_tokens: options.max_tokens,
         seed: options.seed,
         keyed: false,
-        patience: RETRY_WITHIN,
+        retry_window: RETRY_WITHIN,
     }
 }
 
@@ -199,7 +199,7 @@
 
 fn summarise_class(outcomes: &[&Outcome], verify: bool) -> ClassReport {
     let answered: Vec<&&Outcome> = outcomes.iter().filter(|o| o.whole).collect();
-    let refused = outcomes.iter().filter(|o| o.is_told_not_run()).count();
+    let refused = outcomes.iter().filter(|o| o.is_reported_not_run()).count();
     let wrong = outcomes.iter().filter(|o| verify && o.is_wrong()).count();
     ClassReport {
         sent: outcomes.len(),
