--- a/crates/tinbay-cli/src/commands/demo.rs
+++ b/crates/tinbay-cli/src/commands/demo.rs
@@ -37,7 +37,7 @@
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Time within which callers retry requests that were not run.
-const RETRY_WITHIN: Duration = Duration::from_secs(3);
+const RETRY_WINDOW: Duration = Duration::from_secs(3);
 
 /// Class and model of each request of the demo.
 const REQUESTS: [(&str, &str); 8] = [
@@ -231,7 +231,7 @@
                 class: Some((*class).to_owned()),
             },
             keyed: true,
-            retry_window: RETRY_WITHIN,
+            retry_window: RETRY_WINDOW,
         };
         outcomes.push(caller.complete(&wanted).await);
     }
--- a/crates/tinbay-cli/src/commands/load.rs
+++ b/crates/tinbay-cli/src/commands/load.rs
@@ -18,7 +18,7 @@
 
 /// Time within which callers retry requests that were not run; zero, so that every refusal is
 /// counted.
-const RETRY_WITHIN: Duration = Duration::ZERO;
+const RETRY_WINDOW: Duration = Duration::ZERO;
 
 /// Time between two samples of the engines' batch sizes.
 const BATCH_SAMPLE_INTERVAL: Duration = Duration::from_millis(200);
@@ -107,7 +107,7 @@
         max_tokens: options.max_tokens,
         seed: options.seed,
         keyed: false,
-        retry_window: RETRY_WITHIN,
+        retry_window: RETRY_WINDOW,
     }
 }
 
