--- a/crates/tinbay-core/benches/decisions.rs
+++ b/crates/tinbay-core/benches/decisions.rs
@@ -257,17 +257,17 @@
         digest: u64::from(number),
     };
     for waiting in [4, 16, 64] {
-        let mut room = AdmissionQueue::default();
+        let mut admission = AdmissionQueue::default();
         for number in 0..waiting {
-            room.ask(ask(number), 1_000);
+            admission.ask(ask(number), 1_000);
         }
-        room.decide(full, &weights, 1_000);
+        admission.decide(full, &weights, 1_000);
         group.bench_function(BenchmarkId::from_parameter(waiting), |b| {
             b.iter_batched_ref(
-                || room.clone(),
-                |room| {
-                    room.ask(ask(waiting), 1_001);
-                    black_box(room.decide(full, &weights, 1_001))
+                || admission.clone(),
+                |admission| {
+                    admission.ask(ask(waiting), 1_001);
+                    black_box(admission.decide(full, &weights, 1_001))
                 },
                 BatchSize::SmallInput,
             );
--- a/crates/tinbay-core/tests/sharing_test.rs
+++ b/crates/tinbay-core/tests/sharing_test.rs
@@ -29,7 +29,7 @@
 /// A server that runs some requests concurrently and queues the others by rank and arrival, with or
 /// without admission control.
 struct World {
-    room: Option<AdmissionQueue>,
+    admission: Option<AdmissionQueue>,
     weights: AccountWeights,
     now_ms: Millis,
     /// Requests at the server: running ones, and those in its own queue.
@@ -83,7 +83,7 @@
 
     fn with_seed(is_shared: bool, seed: u64) -> Self {
         Self {
-            room: is_shared.then(AdmissionQueue::default),
+            admission: is_shared.then(AdmissionQueue::default),
             weights: AccountWeights::default(),
             now_ms: 10_000,
             running: Vec::new(),
@@ -112,15 +112,18 @@
     fn arrive(&mut self, request: Request) {
         self.next_number += 1;
         let number = self.next_number;
-        let is_scarce = self.room.as_ref().is_some_and(AdmissionQueue::is_scarce);
+        let is_scarce = self
+            .admission
+            .as_ref()
+            .is_some_and(AdmissionQueue::is_scarce);
         if !is_scarce {
             self.send(request, number % BOXES);
             return;
         }
         self.waiting.insert(number, request);
         let ask = self.ask_of(number, &request);
-        if let Some(room) = &mut self.room {
-            room.ask(ask, self.now_ms);
+        if let Some(admission) = &mut self.admission {
+            admission.ask(ask, self.now_ms);
         }
         self.decide();
     }
@@ -145,8 +148,8 @@
         self.queued.push(request);
         self.reported += 1;
         self.begin_next();
-        if let Some(room) = &mut self.room {
-            room.note_begun(box_key, 1, self.now_ms);
+        if let Some(admission) = &mut self.admission {
+            admission.note_begun(box_key, 1, self.now_ms);
         }
         self.decide();
     }
@@ -186,10 +189,10 @@
 
     fn decide(&mut self) {
         let fullness = self.fullness();
-        let Some(room) = &mut self.room else {
+        let Some(admission) = &mut self.admission else {
             return;
         };
-        let decisions = room.decide(fullness, &self.weights, self.now_ms);
+        let decisions = admission.decide(fullness, &self.weights, self.now_ms);
         for decision in decisions {
             self.take(decision);
         }
@@ -211,7 +214,10 @@
         let now_ms = self.now_ms;
         self.running.retain(|request| request.ends_ms > now_ms);
         self.begin_next();
-        let is_scarce = self.room.as_ref().is_some_and(AdmissionQueue::is_scarce);
+        let is_scarce = self
+            .admission
+            .as_ref()
+            .is_some_and(AdmissionQueue::is_scarce);
         let report_ms = if is_scarce {
             REPORT_SCARCE_MS
         } else {
@@ -228,8 +234,8 @@
                 .collect();
             for (number, request) in waiting {
                 let ask = self.ask_of(number, &request);
-                if let Some(room) = &mut self.room {
-                    room.ask(ask, now_ms);
+                if let Some(admission) = &mut self.admission {
+                    admission.ask(ask, now_ms);
                 }
             }
         }
@@ -393,7 +399,12 @@
     let mut world = World::new(true);
     let half: Vec<_> = usual().into_iter().take(6).collect();
     world.play(&half, 10_000);
-    assert!(!world.room.as_ref().is_some_and(AdmissionQueue::is_scarce));
+    assert!(
+        !world
+            .admission
+            .as_ref()
+            .is_some_and(AdmissionQueue::is_scarce)
+    );
     assert!(world.results.iter().all(|of| of.waited_ms == Some(0)));
     world.play(&usual(), 10_000);
     assert!(world.results.iter().all(Outcome::is_in_time));
@@ -579,7 +590,7 @@
 fn holder_new_gives_no_more_than_places() {
     let load = |world: &mut World| {
         world.play(&surge(&[3]), 2_000);
-        world.room = Some(AdmissionQueue::default());
+        world.admission = Some(AdmissionQueue::default());
         world.waiting.clear();
         world.decide();
         world.play(&surge(&[3]), 6_000);
@@ -592,14 +603,14 @@
 /// Two holders that each hear of half of the requests send the server at most twice its capacity.
 #[test]
 fn two_holders_give_at_most_twice() {
-    let mut rooms = [AdmissionQueue::default(), AdmissionQueue::default()];
+    let mut admissions = [AdmissionQueue::default(), AdmissionQueue::default()];
     let weights = AccountWeights::default();
     let mut admitted = 0;
-    for room in &mut rooms {
+    for admission in &mut admissions {
         for number in 0..200 {
-            room.ask(ask(1, number, 0), 1_000);
+            admission.ask(ask(1, number, 0), 1_000);
         }
-        let decisions = room.decide(full(0), &weights, 1_000);
+        let decisions = admission.decide(full(0), &weights, 1_000);
         admitted += decisions.iter().filter(is_admitted).count();
     }
     assert!(admitted <= 2 * (SLOTS + SLOTS / 4), "{admitted}");
@@ -634,45 +645,45 @@
 /// after a while.
 #[test]
 fn room_of_a_frozen_box_is_given_on() {
-    let mut room = AdmissionQueue::default();
+    let mut admission = AdmissionQueue::default();
     let weights = AccountWeights::default();
     for number in 0..15 {
-        room.ask(ask(1, number, 0), 1_000);
+        admission.ask(ask(1, number, 0), 1_000);
     }
-    let first = room.decide(full(0), &weights, 1_000);
+    let first = admission.decide(full(0), &weights, 1_000);
     assert_eq!(first.iter().filter(is_admitted).count(), 15);
-    room.ask(ask(2, 100, 0), 1_010);
-    assert!(room.decide(full(0), &weights, 1_010).is_empty());
-    room.ask(ask(2, 100, 0), 1_300);
-    let later = room.decide(full(0), &weights, 1_300);
+    admission.ask(ask(2, 100, 0), 1_010);
+    assert!(admission.decide(full(0), &weights, 1_010).is_empty());
+    admission.ask(ask(2, 100, 0), 1_300);
+    let later = admission.decide(full(0), &weights, 1_300);
     assert_eq!(later.iter().filter(is_admitted).count(), 1);
 }
 
 /// A repeated request for admission counts once; one that is no longer repeated is dropped.
 #[test]
 fn question_repeated_is_one_and_silent_is_forgotten() {
-    let mut room = AdmissionQueue::default();
+    let mut admission = AdmissionQueue::default();
     for now_ms in [1_000, 1_100, 1_200] {
-        room.ask(ask(1, 7, 0), now_ms);
+        admission.ask(ask(1, 7, 0), now_ms);
     }
-    assert_eq!(room.waiting_count(), 1);
-    room.decide(full(SLOTS * 2), &AccountWeights::default(), 2_000);
-    assert_eq!(room.waiting_count(), 0);
+    assert_eq!(admission.waiting_count(), 1);
+    admission.decide(full(SLOTS * 2), &AccountWeights::default(), 2_000);
+    assert_eq!(admission.waiting_count(), 0);
 }
 
 /// After a lost decision, the repeated request gets the same decision and counts once.
 #[test]
 fn question_again_after_a_lost_word_is_let_in_once() {
-    let mut room = AdmissionQueue::default();
+    let mut admission = AdmissionQueue::default();
     let weights = AccountWeights::default();
-    room.ask(ask(1, 7, 0), 1_000);
-    let first = room.decide(full(SLOTS + 2), &weights, 1_000);
-    room.ask(ask(1, 7, 0), 1_100);
-    room.ask(ask(1, 8, 0), 1_100);
-    let second = room.decide(full(SLOTS + 2), &weights, 1_100);
+    admission.ask(ask(1, 7, 0), 1_000);
+    let first = admission.decide(full(SLOTS + 2), &weights, 1_000);
+    admission.ask(ask(1, 7, 0), 1_100);
+    admission.ask(ask(1, 8, 0), 1_100);
+    let second = admission.decide(full(SLOTS + 2), &weights, 1_100);
     assert_eq!(first, second);
     assert_eq!(first.len(), 1);
-    assert_eq!(room.waiting_count(), 1);
+    assert_eq!(admission.waiting_count(), 1);
 }
 
 /// Two accounts that both exceed the capacity share it by weight.
@@ -756,56 +767,56 @@
 /// share wait, and those of others go first.
 #[test]
 fn much_to_read_holds_back_who_had_more_than_its_part() {
-    let mut room = AdmissionQueue::default();
+    let mut admission = AdmissionQueue::default();
     let weights = AccountWeights::default();
     let reading = |account, number| AdmissionRequest {
         reading_ms: 60.0,
         ..ask(account, number, 0)
     };
     for number in 0..8 {
-        room.ask(reading(1, number), 1_000);
+        admission.ask(reading(1, number), 1_000);
     }
-    room.ask(reading(2, 50), 1_000);
-    let first = room.decide(full(0), &weights, 1_000);
+    admission.ask(reading(2, 50), 1_000);
+    let first = admission.decide(full(0), &weights, 1_000);
     assert_eq!(first.iter().filter(is_admitted).count(), 9);
-    room.note_begun(1, 9, 1_010);
+    admission.note_begun(1, 9, 1_010);
     let much = |backlog_ms| ServerLoad {
         backlog_ms,
         ..full(9)
     };
-    room.ask(reading(1, 100), 1_010);
-    room.ask(reading(2, 101), 1_010);
-    let next = room.decide(much(540.0), &weights, 1_010);
+    admission.ask(reading(1, 100), 1_010);
+    admission.ask(reading(2, 101), 1_010);
+    let next = admission.decide(much(540.0), &weights, 1_010);
     let numbers: Vec<u32> = next
         .iter()
         .filter(is_admitted)
         .map(|of| of.id.number)
         .collect();
     assert_eq!(numbers, vec![101]);
-    assert_eq!(room.waiting_count(), 1);
-    let later = room.decide(much(300.0), &weights, 1_250);
+    assert_eq!(admission.waiting_count(), 1);
+    let later = admission.decide(much(300.0), &weights, 1_250);
     assert_eq!(later.iter().filter(is_admitted).count(), 1);
 }
 
 /// While slots are free, nothing is rejected, even if the estimated prefill backlog is far too high.
 #[test]
 fn much_to_read_turns_nobody_away_while_places_are_free() {
-    let mut room = AdmissionQueue::default();
+    let mut admission = AdmissionQueue::default();
     let weights = AccountWeights::default();
     let wrong = ServerLoad {
         backlog_ms: 60_000.0,
         ..full(1)
     };
     for number in 0..SLOTS as u32 - 1 {
-        room.ask(ask(number % 3, number, 0), 1_000);
+        admission.ask(ask(number % 3, number, 0), 1_000);
     }
-    let decisions = room.decide(wrong, &weights, 1_000);
+    let decisions = admission.decide(wrong, &weights, 1_000);
     assert!(decisions.iter().all(|of| is_admitted(&of)), "{decisions:?}");
-    room.ask(ask(1, 100, 0), 1_300);
+    admission.ask(ask(1, 100, 0), 1_300);
     let later_ms = 1_300 + OBJECTIVE_MS;
-    let next = room.decide(wrong, &weights, 1_300);
-    room.ask(ask(1, 100, 0), later_ms - 100);
-    let later = room.decide(wrong, &weights, later_ms);
+    let next = admission.decide(wrong, &weights, 1_300);
+    admission.ask(ask(1, 100, 0), later_ms - 100);
+    let later = admission.decide(wrong, &weights, later_ms);
     let all: Vec<&Decision> = next.iter().chain(&later).collect();
     assert!(all.iter().all(is_admitted), "{all:?}");
     assert!(!all.is_empty());
@@ -817,7 +828,7 @@
 fn decide_keeps_its_bounds_whatever_is_asked() {
     fn property(asks: Vec<(u8, u8, u16, u16)>, running: u8) -> bool {
         let running = usize::from(running) % (2 * SLOTS);
-        let mut room = AdmissionQueue::default();
+        let mut admission = AdmissionQueue::default();
         for (number, (account, rank, units, in_time_ms)) in asks.iter().enumerate() {
             let ask = AdmissionRequest {
                 account: u32::from(account % 5),
@@ -826,12 +837,12 @@
                 in_time_ms: Millis::from(in_time_ms % 2_000),
                 ..ask(0, number as u32, 0)
             };
-            room.ask(ask, 1_000);
+            admission.ask(ask, 1_000);
         }
-        let decisions = room.decide(full(running), &AccountWeights::default(), 1_000);
+        let decisions = admission.decide(full(running), &AccountWeights::default(), 1_000);
         let admitted = decisions.iter().filter(is_admitted).count();
         let rejected = decisions.len() - admitted;
-        let is_whole = decisions.len() + room.waiting_count() == asks.len();
+        let is_whole = decisions.len() + admission.waiting_count() == asks.len();
         let is_bounded = admitted <= (SLOTS + SLOTS / 4).saturating_sub(running);
         let was_needed = rejected == 0 || running + admitted >= SLOTS;
         is_whole && is_bounded && was_needed
--- a/crates/tinbay-gateway/src/front/choice.rs
+++ b/crates/tinbay-gateway/src/front/choice.rs
@@ -147,8 +147,8 @@
     let is_asked_enough = inbound.at_limits.get() >= MAX_AT_LIMITS;
     ready.retain(|server| {
         let is_passed_over = is_asked_enough && server.limit_per_s().is_some();
-        let has_room = !inbound.room.is_full(server.key);
-        !is_passed_over && has_room && !tried.contains(&server.record().id)
+        let may_be_admitted = !inbound.admission.is_full(server.key);
+        !is_passed_over && may_be_admitted && !tried.contains(&server.record().id)
     });
     let objective_ms = inbound.route.objective_ms;
     let now_ms = node.now_ms();
--- a/crates/tinbay-gateway/src/front/deliver.rs
+++ b/crates/tinbay-gateway/src/front/deliver.rs
@@ -18,7 +18,7 @@
 use super::moving;
 use super::refusal::{NotRunReason, Refusal};
 use super::request_log::{Ending, log_end, log_try};
-use super::room::{self, Room};
+use super::room::{self, Admission};
 use crate::crashes::{self, check, check::CutRequest};
 use crate::http::body::{AnswerBody, BodyError, RequestBody};
 use crate::http::pool::Trust;
@@ -97,8 +97,8 @@
             return Err(give_up_crashing(node, inbound, &tries));
         }
         match room::take(node, inbound, &server, &tries.tried).await {
-            Ok(Room::Here) => {}
-            Ok(Room::Elsewhere) => continue,
+            Ok(Admission::Here) => {}
+            Ok(Admission::Elsewhere) => continue,
             Err(refusal) if tries.tried.is_empty() => return Err(refusal),
             Err(_) => return Err(give_up(node, inbound, &tries)),
         }
--- a/crates/tinbay-gateway/src/front/inbound.rs
+++ b/crates/tinbay-gateway/src/front/inbound.rs
@@ -21,7 +21,7 @@
 use crate::limits::AdmittedBy;
 use crate::members::box_fingerprint;
 use crate::node::{InForce, Node};
-use crate::sharing::outcome::RoomOutcomes;
+use crate::sharing::outcome::AdmissionOutcomes;
 
 /// Deadline of a request that specifies none.
 const DEFAULT_DEADLINE_MS: Millis = 30_000;
@@ -108,8 +108,8 @@
     pub handover: Cell<Option<Handover>>,
     /// Number of servers passed over because they were at their rate limit.
     pub at_limits: Cell<u32>,
-    /// Results of asking holders for room on overloaded servers.
-    pub room: RoomOutcomes,
+    /// Results of asking holders for admission to overloaded servers.
+    pub admission: AdmissionOutcomes,
     /// Identifies the caller's connection in the memory accounting.
     pub connection: ConnectionNumber,
     /// The route that matches host and path.
@@ -184,7 +184,7 @@
             sight: Cell::default(),
             handover: Cell::default(),
             at_limits: Cell::default(),
-            room: RoomOutcomes::default(),
+            admission: AdmissionOutcomes::default(),
             connection,
             model_key: model.as_deref().map(adapter_key),
             model,
--- a/crates/tinbay-gateway/src/front/refusal.rs
+++ b/crates/tinbay-gateway/src/front/refusal.rs
@@ -55,11 +55,11 @@
         /// Time until the limit admits the request.
         retry_after_ms: Millis,
     },
-    /// The servers that could run it are overloaded, and the account's share of them leaves no room
+    /// The servers that could run it are overloaded, and no slot of the account's share is free
     /// in time.
     #[error("not run: there is no room for the account in time")]
-    NoRoom {
-        /// Time until the account's turn.
+    NotAdmitted {
+        /// Time until the caller should retry.
         retry_after_ms: Millis,
     },
     /// No memory is left for the request in the box or in its account's share.
@@ -117,7 +117,7 @@
             Refusal::KeyNotProved => "key_not_proved",
             Refusal::TokensUnreadable => "tokens_unreadable",
             Refusal::LimitReached { .. } => "limit_reached",
-            Refusal::NoRoom { .. } => "no_room",
+            Refusal::NotAdmitted { .. } => "no_room",
             Refusal::MemoryShort { .. } => "memory_short",
             Refusal::BodyTooLong => "body_too_long",
             Refusal::CallerBrokeOff => "caller_broke_off",
@@ -134,7 +134,7 @@
             Refusal::NoConfiguration
             | Refusal::NoServer { .. }
             | Refusal::KeyNotProved
-            | Refusal::NoRoom { .. }
+            | Refusal::NotAdmitted { .. }
             | Refusal::MemoryShort { .. }
             | Refusal::NotRun { .. } => StatusCode::SERVICE_UNAVAILABLE,
             Refusal::NoKey | Refusal::UnknownKey => StatusCode::UNAUTHORIZED,
@@ -159,7 +159,7 @@
     fn retry_after_ms(&self) -> Option<Millis> {
         match self {
             Refusal::NotRun { retry_after_ms, .. }
-            | Refusal::NoRoom { retry_after_ms }
+            | Refusal::NotAdmitted { retry_after_ms }
             | Refusal::LimitReached { retry_after_ms } => Some(*retry_after_ms),
             Refusal::NoServer { retry_after_ms } => {
                 Some(retry_after_ms.unwrap_or(RETRY_AFTER_UNKNOWN_MS))
--- a/crates/tinbay-gateway/src/front/room.rs
+++ b/crates/tinbay-gateway/src/front/room.rs
@@ -1,4 +1,4 @@
-//! Asks for room for a request on an overloaded server, which is shared between client accounts.
+//! Asks for admission of a request to an overloaded server, which client accounts share.
 
 use std::rc::Rc;
 
@@ -11,58 +11,58 @@
 use crate::members::box_fingerprint;
 use crate::node::Node;
 use crate::servers::Server;
-use crate::sharing::asking::{self, RoomRequest};
-use crate::sharing::links::RoomContext;
+use crate::sharing::asking::{self, AdmissionParams};
+use crate::sharing::links::AdmissionContext;
 
-/// Most servers whose holders are asked for room for one request. A request refused by two finds no
-/// room in time on a third.
+/// Most servers whose holders are asked to admit one request. A request rejected by two is not
+/// admitted in time by a third.
 const MAX_ASKED: usize = 2;
 
-/// Where a request finds room.
+/// Where a request is admitted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Room {
+pub enum Admission {
     /// On the chosen server.
     Here,
     /// Possibly on another server, which has to be chosen.
     Elsewhere,
 }
 
-/// Asks for room for a request on the chosen server if that server is overloaded.
+/// Asks for admission of a request to the chosen server if that server is overloaded.
 ///
 /// # Errors
-/// When no server has room in time. The request has not run, and the refusal tells the caller when
-/// its account's turn is.
+/// When no server admits it in time. The request has not run, and the refusal tells the caller when
+/// to retry.
 pub async fn take(
     node: &Rc<Node>,
     inbound: &InboundRequest,
     server: &Rc<Server>,
     tried: &[String],
-) -> Result<Room, Refusal> {
+) -> Result<Admission, Refusal> {
     let Some(wish) = wish(node, inbound) else {
-        return Ok(Room::Here);
+        return Ok(Admission::Here);
     };
     let began_ms = node.now_ms();
     let Some(answered) = asking::ask(&**node, server, wish).await else {
-        return Ok(Room::Here);
+        return Ok(Admission::Here);
     };
     inbound
-        .room
+        .admission
         .note(answered.outcome, node.now_ms() - began_ms);
     count(node, inbound, answered.outcome.name());
     let Some(retry_after_ms) = answered.retry_after_ms else {
-        return Ok(Room::Here);
+        return Ok(Admission::Here);
     };
-    inbound.room.note_full(server.key);
-    let may_ask_more = inbound.room.full_count() < MAX_ASKED;
-    if may_ask_more && has_other_room(node, inbound, tried) {
-        return Ok(Room::Elsewhere);
+    inbound.admission.note_full(server.key);
+    let may_ask_more = inbound.admission.full_count() < MAX_ASKED;
+    if may_ask_more && has_other_server(node, inbound, tried) {
+        return Ok(Admission::Elsewhere);
     }
-    Err(Refusal::NoRoom { retry_after_ms })
+    Err(Refusal::NotAdmitted { retry_after_ms })
 }
 
-/// The room that a request needs. `None` for a request without client account or model: servers
+/// The admission that a request needs. `None` for a request without client account or model: servers
 /// without models are not shared between accounts.
-fn wish(node: &Node, inbound: &InboundRequest) -> Option<RoomRequest> {
+fn wish(node: &Node, inbound: &InboundRequest) -> Option<AdmissionParams> {
     let account = inbound.client_account()?;
     inbound.model_key?;
     let units = match inbound.prompt.count {
@@ -70,7 +70,7 @@
         TokenCount::Undeclared | TokenCount::Unreadable => inbound.prompt.tokens,
     };
     let reading_ms = node.reading_ms(&inbound.service, inbound.prompt.tokens) as Millis;
-    Some(RoomRequest {
+    Some(AdmissionParams {
         account: box_fingerprint(&account.name),
         rank: inbound.rank(),
         units,
@@ -89,7 +89,7 @@
 }
 
 /// Whether another server that is not overloaded, as far as this box knows, could take the request.
-fn has_other_room(node: &Node, inbound: &InboundRequest, tried: &[String]) -> bool {
+fn has_other_server(node: &Node, inbound: &InboundRequest, tried: &[String]) -> bool {
     match choice::choose(node, inbound, tried, &HolderRequests::default()) {
         Choice::Send { server, .. } | Choice::Load(server) => !node.is_scarce(&server),
         Choice::Nowhere => false,
@@ -98,6 +98,6 @@
 
 fn count(node: &Node, inbound: &InboundRequest, outcome: &str) {
     if let Some(account) = inbound.client_account() {
-        node.metrics.count_room(&account.name, outcome);
+        node.metrics.count_admission(&account.name, outcome);
     }
 }
--- a/crates/tinbay-gateway/src/metrics.rs
+++ b/crates/tinbay-gateway/src/metrics.rs
@@ -63,7 +63,7 @@
     accounts: ShownLabels,
     answers: AnswerMetrics,
     /// Requests of client accounts that asked for scarce capacity, by outcome.
-    room: IntCounterVec,
+    admission: IntCounterVec,
     /// Bytes held for requests and answers.
     pub held_bytes: IntGauge,
     /// Answers cut off because the caller read too slowly, by cause.
@@ -181,7 +181,7 @@
             )?,
             accounts: ShownLabels::new(MAX_ACCOUNT_LABELS, OTHER_ACCOUNTS),
             answers: AnswerMetrics::new(&registry)?,
-            room: counter(
+            admission: counter(
                 "tinbay_room_total",
                 "Requests of client accounts that asked for scarce room, by what became of them",
                 &["account", "outcome"],
@@ -215,9 +215,9 @@
     }
 
     /// Counts the outcome of a request that asked for scarce capacity.
-    pub fn count_room(&self, account: &str, outcome: &str) {
+    pub fn count_admission(&self, account: &str, outcome: &str) {
         let labels = [self.accounts.label(account), outcome];
-        self.room.with_label_values(&labels).inc();
+        self.admission.with_label_values(&labels).inc();
     }
 
     /// Counts a complete answer; accounts above a maximum share one label.
--- a/crates/tinbay-gateway/src/orders/held_server.rs
+++ b/crates/tinbay-gateway/src/orders/held_server.rs
@@ -49,7 +49,7 @@
     /// Load requests that are not fulfilled yet.
     pub wants: RefCell<WantedLoads>,
     /// Sharing of the server's capacity among client accounts while it is scarce.
-    pub room: RefCell<AdmissionQueue>,
+    pub admission: RefCell<AdmissionQueue>,
     /// Set when the server refused a request for an adapter that it should hold.
     pub restart_check_due: Cell<bool>,
     /// Set when the server's limit changed and its users have not been told yet.
@@ -65,7 +65,7 @@
         Self {
             contents: RefCell::new(Contents::new(spec, now_ms)),
             wants: RefCell::default(),
-            room: RefCell::default(),
+            admission: RefCell::default(),
             restart_check_due: Cell::default(),
             limit_changed: Cell::default(),
             checked_ms: Cell::default(),
@@ -134,8 +134,8 @@
             spreads.note_begun(of.adapter, reading_ms, now_ms);
         }
         let begun = report.uses.iter().map(|of| usize::from(of.begun)).sum();
-        let mut room = self.room.borrow_mut();
-        room.note_begun(box_fingerprint(box_id), begun, now_ms);
+        let mut admission = self.admission.borrow_mut();
+        admission.note_begun(box_fingerprint(box_id), begun, now_ms);
         subscribers.note_failures(report.mistrust, now_ms);
         if let Some(delay) = report.delay {
             subscribers.note_delay(delay, now_ms);
@@ -212,7 +212,7 @@
             takes_loads,
             load_wait_ms: self.load_wait_ms().min(f64::from(u16::MAX)) as u16,
             adapters,
-            is_scarce: self.room.borrow().is_scarce(),
+            is_scarce: self.admission.borrow().is_scarce(),
         })
     }
 
--- a/crates/tinbay-gateway/src/orders/holder.rs
+++ b/crates/tinbay-gateway/src/orders/holder.rs
@@ -588,7 +588,7 @@
             mistrust: busyness.mistrust,
             takes_loads,
             load_wait_ms: self.held.load_wait_ms(),
-            is_scarce: self.held.room.borrow().is_scarce(),
+            is_scarce: self.held.admission.borrow().is_scarce(),
         })
     }
 }
--- a/crates/tinbay-gateway/src/peers/exchange.rs
+++ b/crates/tinbay-gateway/src/peers/exchange.rs
@@ -17,7 +17,7 @@
 use crate::node::Node;
 use crate::servers::Server;
 use crate::sharing::holder;
-use crate::sharing::links::RoomContext;
+use crate::sharing::links::AdmissionContext;
 
 /// Interval at which ended requests are reported and running ones reported again.
 const TICK: Duration = Duration::from_millis(250);
--- a/crates/tinbay-gateway/src/peers/frame.rs
+++ b/crates/tinbay-gateway/src/peers/frame.rs
@@ -11,7 +11,7 @@
 use crate::limits::limited::LimitKey;
 use crate::limits::notices::LimitNoticePart;
 use crate::members::MemberRecord;
-use crate::sharing::messages::{RoomReplyPart, RoomRequestPart};
+use crate::sharing::messages::{AdmissionReplyPart, AdmissionRequestPart};
 
 /// Largest datagram, which fits into one packet on all usual links.
 pub const MAX_FRAME_BYTES: usize = 1_300;
@@ -65,9 +65,10 @@
     /// Status of a server that the sender holds.
     Status(StatusPart),
     /// Request for capacity at a server that the receiver holds.
-    RoomRequest(RoomRequestPart),
+    #[serde(rename = "RoomRequest")]
+    AdmissionRequest(AdmissionRequestPart),
     /// Reply to a request for capacity.
-    RoomReply(RoomReplyPart),
+    AdmissionReply(AdmissionReplyPart),
 }
 
 impl FramePart {
@@ -89,8 +90,8 @@
             FramePart::ContentsMismatch(_) => "contradiction",
             FramePart::Usage(_) => "usage",
             FramePart::Status(_) => "status",
-            FramePart::RoomRequest(_) => "room_request",
-            FramePart::RoomReply(_) => "room_word",
+            FramePart::AdmissionRequest(_) => "room_request",
+            FramePart::AdmissionReply(_) => "room_word",
         }
     }
 }
--- a/crates/tinbay-gateway/src/sharing/asking.rs
+++ b/crates/tinbay-gateway/src/sharing/asking.rs
@@ -7,9 +7,9 @@
 use tinbay_core::serving::servers::Fingerprint;
 use tinbay_core::units::Millis;
 
-use super::links::{RoomContext, RoomHolder};
-use super::messages::{RoomReply, RoomRequestPart};
-use super::outcome::RoomOutcome;
+use super::links::{AdmissionContext, AdmissionHolder};
+use super::messages::{AdmissionReply, AdmissionRequestPart};
+use super::outcome::AdmissionOutcome;
 use crate::servers::Server;
 
 /// Interval between repeated requests, as messages may be lost. A repeated request also shows the
@@ -36,7 +36,7 @@
 
 /// Request for capacity at a server.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct RoomRequest {
+pub struct AdmissionParams {
     /// Fingerprint of the client account's name.
     pub account: Fingerprint,
     /// Priority rank; 0 is served first.
@@ -53,15 +53,15 @@
 
 /// Result of a request for capacity.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct RoomResult {
+pub struct AdmissionResult {
     /// Whether and by whom the request was admitted.
-    pub outcome: RoomOutcome,
+    pub outcome: AdmissionOutcome,
     /// Retry delay for a rejected request; `None` for an admitted one.
     pub retry_after_ms: Option<Millis>,
 }
 
-impl RoomResult {
-    fn admitted(outcome: RoomOutcome) -> Self {
+impl AdmissionResult {
+    fn admitted(outcome: AdmissionOutcome) -> Self {
         let retry_after_ms = None;
         Self {
             outcome,
@@ -69,7 +69,7 @@
         }
     }
 
-    fn rejected(outcome: RoomOutcome, retry_after_ms: Millis) -> Self {
+    fn rejected(outcome: AdmissionOutcome, retry_after_ms: Millis) -> Self {
         let retry_after_ms = Some(retry_after_ms);
         Self {
             outcome,
@@ -80,14 +80,14 @@
 
 /// Requests capacity at a server. Returns `None` where none has to be requested.
 pub async fn ask(
-    links: &dyn RoomContext,
+    links: &dyn AdmissionContext,
     server: &Rc<Server>,
-    request: RoomRequest,
-) -> Option<RoomResult> {
+    request: AdmissionParams,
+) -> Option<AdmissionResult> {
     if !links.is_scarce(server) {
         return None;
     }
-    let holder = links.room_holder(server)?;
+    let holder = links.admission_holder(server)?;
     if is_silent(links, &holder) {
         return Some(admit_without_holder(server));
     }
@@ -96,11 +96,11 @@
     let reply = request_until_decided(links, &holder, server, part, receiver).await;
     links.sharing().end(number);
     let result = match reply {
-        Some(RoomReply::Admitted) => RoomResult::admitted(RoomOutcome::Holder),
-        Some(RoomReply::Rejected { retry_after_ms }) => {
-            RoomResult::rejected(RoomOutcome::Rejected, Millis::from(retry_after_ms))
+        Some(AdmissionReply::Admitted) => AdmissionResult::admitted(AdmissionOutcome::Holder),
+        Some(AdmissionReply::Rejected { retry_after_ms }) => {
+            AdmissionResult::rejected(AdmissionOutcome::Rejected, Millis::from(retry_after_ms))
         }
-        Some(RoomReply::NotHolder | RoomReply::Queued) | None => {
+        Some(AdmissionReply::NotHolder | AdmissionReply::Queued) | None => {
             note_silent(links, &holder);
             admit_without_holder(server)
         }
@@ -108,8 +108,8 @@
     Some(result)
 }
 
-fn build_request(server: &Server, number: u32, request: RoomRequest) -> RoomRequestPart {
-    RoomRequestPart {
+fn build_request(server: &Server, number: u32, request: AdmissionParams) -> AdmissionRequestPart {
+    AdmissionRequestPart {
         server: server.fingerprint(),
         number,
         account: request.account,
@@ -123,12 +123,12 @@
 
 /// Repeats the request until the holder decides; `None` if it doesn't answer.
 async fn request_until_decided(
-    links: &dyn RoomContext,
-    holder: &RoomHolder,
+    links: &dyn AdmissionContext,
+    holder: &AdmissionHolder,
     server: &Rc<Server>,
-    part: RoomRequestPart,
-    mut receiver: tokio::sync::oneshot::Receiver<RoomReply>,
-) -> Option<RoomReply> {
+    part: AdmissionRequestPart,
+    mut receiver: tokio::sync::oneshot::Receiver<AdmissionReply>,
+) -> Option<AdmissionReply> {
     let mut unacknowledged = 0;
     for _ in 0..max_sends(part) {
         if unacknowledged >= MAX_UNANSWERED_SENDS {
@@ -148,30 +148,30 @@
     None
 }
 
-fn max_sends(part: RoomRequestPart) -> u32 {
+fn max_sends(part: AdmissionRequestPart) -> u32 {
     let in_time = Duration::from_millis(u64::from(part.in_time_ms));
     let sends_in_time = in_time.as_millis() / RESEND_INTERVAL.as_millis();
     sends_in_time as u32 + MAX_LATE_SENDS
 }
 
-fn is_silent(links: &dyn RoomContext, holder: &RoomHolder) -> bool {
+fn is_silent(links: &dyn AdmissionContext, holder: &AdmissionHolder) -> bool {
     match holder {
-        RoomHolder::Own => false,
-        RoomHolder::Other(holder) => links.sharing().is_silent(holder, links.now_ms()),
+        AdmissionHolder::Own => false,
+        AdmissionHolder::Other(holder) => links.sharing().is_silent(holder, links.now_ms()),
     }
 }
 
-fn note_silent(links: &dyn RoomContext, holder: &RoomHolder) {
-    if let RoomHolder::Other(holder) = holder {
+fn note_silent(links: &dyn AdmissionContext, holder: &AdmissionHolder) {
+    if let AdmissionHolder::Other(holder) = holder {
         let until_ms = links.now_ms() + SILENT_HOLDER_PAUSE_MS;
         links.sharing().note_silent(holder, until_ms);
     }
 }
 
 /// Admits one request at a time per box while a scarce server has no holder that answers.
-fn admit_without_holder(server: &Server) -> RoomResult {
+fn admit_without_holder(server: &Server) -> AdmissionResult {
     if server.usage.borrow().running() < MAX_RUNNING_WITHOUT_HOLDER {
-        return RoomResult::admitted(RoomOutcome::OwnPart);
+        return AdmissionResult::admitted(AdmissionOutcome::OwnPart);
     }
-    RoomResult::rejected(RoomOutcome::NoAnswer, NO_ANSWER_RETRY_AFTER_MS)
+    AdmissionResult::rejected(AdmissionOutcome::NoAnswer, NO_ANSWER_RETRY_AFTER_MS)
 }
--- a/crates/tinbay-gateway/src/sharing/holder.rs
+++ b/crates/tinbay-gateway/src/sharing/holder.rs
@@ -9,7 +9,7 @@
 use tinbay_core::sharing::scarcity::ServerLoad;
 use tinbay_core::units::Millis;
 
-use super::messages::{RoomReply, RoomReplyPart, RoomRequestPart};
+use super::messages::{AdmissionReply, AdmissionReplyPart, AdmissionRequestPart};
 use crate::events::{self, part};
 use crate::members::box_fingerprint;
 use crate::node::{InForce, Node};
@@ -30,34 +30,37 @@
 }
 
 /// Handles a request for capacity from another box.
-pub fn handle_request(node: &Node, box_id: &str, part: &RoomRequestPart) {
+pub fn handle_request(node: &Node, box_id: &str, part: &AdmissionRequestPart) {
     let server = node.servers.borrow().by_fingerprint(part.server);
     let held = server
         .as_ref()
         .and_then(|server| node.held_server(server.key));
     let (Some(server), Some(held)) = (server, held) else {
-        let reply = RoomReply::NotHolder;
+        let reply = AdmissionReply::NotHolder;
         return send_reply(node, box_id, part.number, reply);
     };
     let ask = part.to_ask(box_fingerprint(box_id));
-    held.room.borrow_mut().ask(ask, node.now_ms());
+    held.admission.borrow_mut().ask(ask, node.now_ms());
     decide_waiting(node, &server, &held);
-    if held.room.borrow().is_waiting(ask.id) {
-        send_reply(node, box_id, part.number, RoomReply::Queued);
+    if held.admission.borrow().is_waiting(ask.id) {
+        send_reply(node, box_id, part.number, AdmissionReply::Queued);
     }
 }
 
 /// Handles a request for capacity from this box.
-pub fn handle_own_request(node: &Node, server: &Rc<Server>, part: RoomRequestPart) {
+pub fn handle_own_request(node: &Node, server: &Rc<Server>, part: AdmissionRequestPart) {
     let number = part.number;
     let Some(held) = node.held_server(server.key) else {
-        let reply = RoomReply::NotHolder;
-        return node.sharing.take_reply(RoomReplyPart { number, reply });
+        let reply = AdmissionReply::NotHolder;
+        return node
+            .sharing
+            .take_reply(AdmissionReplyPart { number, reply });
     };
-    let reply = RoomReply::Queued;
-    node.sharing.take_reply(RoomReplyPart { number, reply });
+    let reply = AdmissionReply::Queued;
+    node.sharing
+        .take_reply(AdmissionReplyPart { number, reply });
     let ask = part.to_ask(own_key(node));
-    held.room.borrow_mut().ask(ask, node.now_ms());
+    held.admission.borrow_mut().ask(ask, node.now_ms());
     decide_waiting(node, server, &held);
 }
 
@@ -73,21 +76,21 @@
     let Some(in_force) = node.in_force() else {
         return;
     };
-    let is_any_waiting = held.room.borrow().waiting_count() > 0;
+    let is_any_waiting = held.admission.borrow().waiting_count() > 0;
     if in_force.configuration.accounts.is_empty() && !is_any_waiting {
         return;
     }
     let now_ms = node.now_ms();
     let fullness = fullness(&in_force, server, held, now_ms);
-    let was_scarce = held.room.borrow().is_scarce();
+    let was_scarce = held.admission.borrow().is_scarce();
     let decisions = {
-        let mut room = held.room.borrow_mut();
-        room.decide(fullness, &in_force.weights, now_ms)
+        let mut admission = held.admission.borrow_mut();
+        admission.decide(fullness, &in_force.weights, now_ms)
     };
     for decision in decisions {
         send_decision(node, decision);
     }
-    if held.room.borrow().is_scarce() != was_scarce {
+    if held.admission.borrow().is_scarce() != was_scarce {
         log_change(server, fullness, !was_scarce);
     }
 }
@@ -102,7 +105,7 @@
     };
     for (key, held) in held {
         let server = node.servers.borrow().by_key(key);
-        if let Some(server) = server.filter(|_| held.room.borrow().is_scarce()) {
+        if let Some(server) = server.filter(|_| held.admission.borrow().is_scarce()) {
             decide_waiting(node, &server, &held);
         }
     }
@@ -111,9 +114,13 @@
 /// Number of scarce servers that this box holds, and number of requests waiting for them.
 pub fn counts(node: &Node) -> (usize, usize) {
     let held_servers = node.held_servers.borrow();
-    let rooms = || held_servers.values().map(|held| held.room.borrow());
-    let scarce = rooms().filter(|room| room.is_scarce()).count();
-    let waiting = rooms().map(|room| room.waiting_count()).sum();
+    let admissions = || held_servers.values().map(|held| held.admission.borrow());
+    let scarce = admissions()
+        .filter(|admission| admission.is_scarce())
+        .count();
+    let waiting = admissions()
+        .map(|admission| admission.waiting_count())
+        .sum();
     (scarce, waiting)
 }
 
@@ -129,10 +136,12 @@
 }
 
 fn send_decision(node: &Node, decision: Decision) {
-    let reply = RoomReply::from(decision.answer);
+    let reply = AdmissionReply::from(decision.answer);
     let number = decision.id.number;
     if decision.id.box_key == own_key(node) {
-        return node.sharing.take_reply(RoomReplyPart { number, reply });
+        return node
+            .sharing
+            .take_reply(AdmissionReplyPart { number, reply });
     }
     let members = node.members.borrow();
     let box_id = members.id_of(decision.id.box_key).cloned();
@@ -143,9 +152,9 @@
     }
 }
 
-fn send_reply(node: &Node, box_id: &str, number: u32, reply: RoomReply) {
-    let part = RoomReplyPart { number, reply };
-    node.outbox.post(box_id, FramePart::RoomReply(part));
+fn send_reply(node: &Node, box_id: &str, number: u32, reply: AdmissionReply) {
+    let part = AdmissionReplyPart { number, reply };
+    node.outbox.post(box_id, FramePart::AdmissionReply(part));
 }
 
 fn own_key(node: &Node) -> Fingerprint {
--- a/crates/tinbay-gateway/src/sharing/links.rs
+++ b/crates/tinbay-gateway/src/sharing/links.rs
@@ -5,7 +5,7 @@
 use tinbay_core::units::Millis;
 
 use super::Sharing;
-use super::messages::RoomRequestPart;
+use super::messages::AdmissionRequestPart;
 use crate::node::Node;
 use crate::peers::frame::FramePart;
 use crate::servers::Server;
@@ -13,7 +13,7 @@
 
 /// Box that allocates a server's capacity.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum RoomHolder {
+pub enum AdmissionHolder {
     /// This box.
     Own,
     /// Another box, by its id.
@@ -21,7 +21,7 @@
 }
 
 /// What a request for capacity needs from its box.
-pub trait RoomContext {
+pub trait AdmissionContext {
     /// Milliseconds on the monotonic clock of this process.
     fn now_ms(&self) -> Millis;
 
@@ -34,13 +34,13 @@
     fn is_scarce(&self, server: &Server) -> bool;
 
     /// Box that allocates a server's capacity; `None` if no box holds the server.
-    fn room_holder(&self, server: &Server) -> Option<RoomHolder>;
+    fn admission_holder(&self, server: &Server) -> Option<AdmissionHolder>;
 
     /// Sends a request for capacity. The reply is delivered through [`Sharing::take_reply`].
-    fn ask(&self, holder: &RoomHolder, server: &Rc<Server>, part: RoomRequestPart);
+    fn ask(&self, holder: &AdmissionHolder, server: &Rc<Server>, part: AdmissionRequestPart);
 }
 
-impl RoomContext for Node {
+impl AdmissionContext for Node {
     fn now_ms(&self) -> Millis {
         self.now_ms()
     }
@@ -52,23 +52,30 @@
     fn is_scarce(&self, server: &Server) -> bool {
         let now_ms = self.now_ms();
         let is_reported = match self.held_server(server.key) {
-            Some(held) => held.room.borrow().is_scarce(),
+            Some(held) => held.admission.borrow().is_scarce(),
             None => server.view.borrow().is_scarce(now_ms),
         };
         is_reported || server.running(now_ms) >= server.record().slots.max(1)
     }
 
-    fn room_holder(&self, server: &Server) -> Option<RoomHolder> {
+    fn admission_holder(&self, server: &Server) -> Option<AdmissionHolder> {
         if self.held_server(server.key).is_some() {
-            return Some(RoomHolder::Own);
+            return Some(AdmissionHolder::Own);
         }
-        self.holder_of(server).map(RoomHolder::Other)
+        self.holder_of(server).map(AdmissionHolder::Other)
     }
 
-    fn ask(&self, room_holder: &RoomHolder, server: &Rc<Server>, part: RoomRequestPart) {
-        match room_holder {
-            RoomHolder::Own => holder::handle_own_request(self, server, part),
-            RoomHolder::Other(holder) => self.outbox.post(holder, FramePart::RoomRequest(part)),
+    fn ask(
+        &self,
+        admission_holder: &AdmissionHolder,
+        server: &Rc<Server>,
+        part: AdmissionRequestPart,
+    ) {
+        match admission_holder {
+            AdmissionHolder::Own => holder::handle_own_request(self, server, part),
+            AdmissionHolder::Other(holder) => {
+                self.outbox.post(holder, FramePart::AdmissionRequest(part))
+            }
         }
     }
 }
--- a/crates/tinbay-gateway/src/sharing/messages.rs
+++ b/crates/tinbay-gateway/src/sharing/messages.rs
@@ -7,7 +7,7 @@
 
 /// Request for capacity at a server that the receiver holds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct RoomRequestPart {
+pub struct AdmissionRequestPart {
     /// Server at which the request would run.
     pub server: Fingerprint,
     /// Number chosen by the sender, which the reply repeats.
@@ -26,7 +26,7 @@
     pub digest: u64,
 }
 
-impl RoomRequestPart {
+impl AdmissionRequestPart {
     /// Converts the message into a request of the box `box_key`.
     pub fn to_ask(self, box_key: Fingerprint) -> AdmissionRequest {
         let number = self.number;
@@ -44,16 +44,16 @@
 
 /// Reply of a server's holder to a request for capacity.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct RoomReplyPart {
+pub struct AdmissionReplyPart {
     /// Number of the request that is answered.
     pub number: u32,
     /// State of the request at the holder.
-    pub reply: RoomReply,
+    pub reply: AdmissionReply,
 }
 
 /// State of a request for capacity at the holder.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum RoomReply {
+pub enum AdmissionReply {
     /// The request is queued; another reply follows.
     Queued,
     /// The request may run.
@@ -67,11 +67,11 @@
     NotHolder,
 }
 
-impl From<AdmissionAnswer> for RoomReply {
+impl From<AdmissionAnswer> for AdmissionReply {
     fn from(answer: AdmissionAnswer) -> Self {
         match answer {
-            AdmissionAnswer::LetIn => RoomReply::Admitted,
-            AdmissionAnswer::TurnedAway { turn_in_ms } => RoomReply::Rejected {
+            AdmissionAnswer::LetIn => AdmissionReply::Admitted,
+            AdmissionAnswer::TurnedAway { turn_in_ms } => AdmissionReply::Rejected {
                 retry_after_ms: u16::try_from(turn_in_ms).unwrap_or(u16::MAX),
             },
         }
--- a/crates/tinbay-gateway/src/sharing/mod.rs
+++ b/crates/tinbay-gateway/src/sharing/mod.rs
@@ -1,4 +1,4 @@
-//! Fair sharing of a scarce server's capacity ("room") among client accounts. Requests ask the
+//! Fair sharing of a scarce server's capacity among client accounts. Requests ask the
 //! holder of the server for admission; the holder admits them by account, rank and deadline.
 //!
 //! Requests ask only while the server is scarce, and only if they belong to a client account.
@@ -15,12 +15,12 @@
 use tinbay_core::units::Millis;
 use tokio::sync::oneshot;
 
-use self::messages::{RoomReply, RoomReplyPart};
+use self::messages::{AdmissionReply, AdmissionReplyPart};
 
 /// A request of this box that waits for a holder's decision.
 #[derive(Debug)]
 struct Waiting {
-    sender: oneshot::Sender<RoomReply>,
+    sender: oneshot::Sender<AdmissionReply>,
     /// Whether the holder has replied since the last request was sent.
     is_acknowledged: bool,
 }
@@ -37,9 +37,9 @@
 impl Sharing {
     /// Delivers a holder's reply to the waiting request; ignores replies to requests that have
     /// ended.
-    pub fn take_reply(&self, part: RoomReplyPart) {
+    pub fn take_reply(&self, part: AdmissionReplyPart) {
         let mut waiting = self.waiting.borrow_mut();
-        if part.reply == RoomReply::Queued {
+        if part.reply == AdmissionReply::Queued {
             if let Some(waiting) = waiting.get_mut(&part.number) {
                 waiting.is_acknowledged = true;
             }
@@ -59,7 +59,7 @@
         silent.retain(|_, until_ms| now_ms < *until_ms);
     }
 
-    fn begin(&self) -> (u32, oneshot::Receiver<RoomReply>) {
+    fn begin(&self) -> (u32, oneshot::Receiver<AdmissionReply>) {
         let number = self.last_number.get().wrapping_add(1);
         self.last_number.set(number);
         let (sender, receiver) = oneshot::channel();
--- a/crates/tinbay-gateway/src/sharing/outcome.rs
+++ b/crates/tinbay-gateway/src/sharing/outcome.rs
@@ -8,7 +8,7 @@
 
 /// Outcome of a request for capacity at a scarce server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum RoomOutcome {
+pub enum AdmissionOutcome {
     /// The server's holder admitted the request.
     Holder,
     /// The holder did not answer; admitted as this box had no request running there.
@@ -19,29 +19,29 @@
     NoAnswer,
 }
 
-impl RoomOutcome {
+impl AdmissionOutcome {
     /// Name in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
-            RoomOutcome::Holder => "holder",
-            RoomOutcome::OwnPart => "own_part",
-            RoomOutcome::Rejected => "turned_away",
-            RoomOutcome::NoAnswer => "no_answer",
+            AdmissionOutcome::Holder => "holder",
+            AdmissionOutcome::OwnPart => "own_part",
+            AdmissionOutcome::Rejected => "turned_away",
+            AdmissionOutcome::NoAnswer => "no_answer",
         }
     }
 }
 
 /// Outcomes of one request's attempts to get capacity.
 #[derive(Debug, Default)]
-pub struct RoomOutcomes {
-    outcome: Cell<Option<RoomOutcome>>,
+pub struct AdmissionOutcomes {
+    outcome: Cell<Option<AdmissionOutcome>>,
     wait_ms: Cell<Option<Millis>>,
     without: RefCell<Vec<ServerKey>>,
 }
 
-impl RoomOutcomes {
+impl AdmissionOutcomes {
     /// Records the outcome of an attempt and how long it took.
-    pub fn note(&self, outcome: RoomOutcome, took_ms: Millis) {
+    pub fn note(&self, outcome: AdmissionOutcome, took_ms: Millis) {
         self.outcome.set(Some(outcome));
         let before_ms = self.wait_ms.get().unwrap_or_default();
         self.wait_ms.set(Some(before_ms + took_ms));
@@ -63,7 +63,7 @@
     }
 
     /// Outcome of the last attempt; `None` if there was none.
-    pub fn outcome(&self) -> Option<RoomOutcome> {
+    pub fn outcome(&self) -> Option<AdmissionOutcome> {
         self.outcome.get()
     }
 
--- a/crates/tinbay-gateway/tests/sharing_asking_test.rs
+++ b/crates/tinbay-gateway/tests/sharing_asking_test.rs
@@ -9,12 +9,12 @@
 use tinbay_gateway::clock::Clock;
 use tinbay_gateway::servers::{Server, ServerTable};
 use tinbay_gateway::sharing::Sharing;
-use tinbay_gateway::sharing::asking::{RoomRequest, RoomResult, ask};
-use tinbay_gateway::sharing::links::{RoomContext, RoomHolder};
-use tinbay_gateway::sharing::messages::{RoomReply, RoomReplyPart, RoomRequestPart};
-use tinbay_gateway::sharing::outcome::RoomOutcome;
+use tinbay_gateway::sharing::asking::{AdmissionParams, AdmissionResult, ask};
+use tinbay_gateway::sharing::links::{AdmissionContext, AdmissionHolder};
+use tinbay_gateway::sharing::messages::{AdmissionReply, AdmissionReplyPart, AdmissionRequestPart};
+use tinbay_gateway::sharing::outcome::AdmissionOutcome;
 
-const WISH: RoomRequest = RoomRequest {
+const WISH: AdmissionParams = AdmissionParams {
     account: 1,
     rank: 0,
     units: 100,
@@ -28,14 +28,14 @@
 struct FakeLinks {
     sharing: Sharing,
     is_scarce: bool,
-    replies: RefCell<Vec<Option<RoomReply>>>,
+    replies: RefCell<Vec<Option<AdmissionReply>>>,
     sends: Cell<u32>,
     numbers: RefCell<Vec<u32>>,
     now_ms: Cell<Millis>,
 }
 
 impl FakeLinks {
-    fn new(replies: &[Option<RoomReply>]) -> Self {
+    fn new(replies: &[Option<AdmissionReply>]) -> Self {
         Self {
             sharing: Sharing::default(),
             is_scarce: true,
@@ -47,7 +47,7 @@
     }
 }
 
-impl RoomContext for FakeLinks {
+impl AdmissionContext for FakeLinks {
     fn now_ms(&self) -> Millis {
         self.now_ms.get()
     }
@@ -60,16 +60,17 @@
         self.is_scarce
     }
 
-    fn room_holder(&self, _server: &Server) -> Option<RoomHolder> {
-        Some(RoomHolder::Other("holder".to_string()))
+    fn admission_holder(&self, _server: &Server) -> Option<AdmissionHolder> {
+        Some(AdmissionHolder::Other("holder".to_string()))
     }
 
-    fn ask(&self, _holder: &RoomHolder, _server: &Rc<Server>, part: RoomRequestPart) {
+    fn ask(&self, _holder: &AdmissionHolder, _server: &Rc<Server>, part: AdmissionRequestPart) {
         self.sends.set(self.sends.get() + 1);
         self.numbers.borrow_mut().push(part.number);
         let number = part.number;
         if let Some(Some(reply)) = self.replies.borrow_mut().pop() {
-            self.sharing.take_reply(RoomReplyPart { number, reply });
+            self.sharing
+                .take_reply(AdmissionReplyPart { number, reply });
         }
     }
 }
@@ -100,7 +101,7 @@
     runtime.expect("the runtime starts").block_on(future)
 }
 
-fn outcome(result: Option<RoomResult>) -> Option<(RoomOutcome, Option<Millis>)> {
+fn outcome(result: Option<AdmissionResult>) -> Option<(AdmissionOutcome, Option<Millis>)> {
     result.map(|result| (result.outcome, result.retry_after_ms))
 }
 
@@ -116,14 +117,14 @@
 
 #[test]
 fn ask_admitted_and_rejected() {
-    let rejected = RoomReply::Rejected {
+    let rejected = AdmissionReply::Rejected {
         retry_after_ms: 700,
     };
-    let links = FakeLinks::new(&[Some(RoomReply::Admitted), Some(rejected)]);
+    let links = FakeLinks::new(&[Some(AdmissionReply::Admitted), Some(rejected)]);
     let first = run(ask(&links, &server(), WISH));
-    assert_eq!(outcome(first), Some((RoomOutcome::Holder, None)));
+    assert_eq!(outcome(first), Some((AdmissionOutcome::Holder, None)));
     let second = run(ask(&links, &server(), WISH));
-    let expected = Some((RoomOutcome::Rejected, Some(700)));
+    let expected = Some((AdmissionOutcome::Rejected, Some(700)));
     assert_eq!(outcome(second), expected);
 }
 
@@ -132,12 +133,12 @@
 fn ask_lost_message_is_resent() {
     let links = FakeLinks::new(&[
         None,
-        Some(RoomReply::Queued),
+        Some(AdmissionReply::Queued),
         None,
-        Some(RoomReply::Admitted),
+        Some(AdmissionReply::Admitted),
     ]);
     let result = run(ask(&links, &server(), WISH));
-    assert_eq!(outcome(result), Some((RoomOutcome::Holder, None)));
+    assert_eq!(outcome(result), Some((AdmissionOutcome::Holder, None)));
     assert_eq!(*links.numbers.borrow(), vec![1; 4]);
 }
 
@@ -148,26 +149,29 @@
     let links = FakeLinks::new(&[]);
     let server = server();
     let first = run(ask(&links, &server, WISH));
-    assert_eq!(outcome(first), Some((RoomOutcome::OwnPart, None)));
+    assert_eq!(outcome(first), Some((AdmissionOutcome::OwnPart, None)));
     let sends = links.sends.get();
     let running = server.begin_request(Some(7), 100);
     let second = run(ask(&links, &server, WISH)).expect("a result while the server is scarce");
-    assert_eq!(second.outcome, RoomOutcome::NoAnswer);
+    assert_eq!(second.outcome, AdmissionOutcome::NoAnswer);
     assert!(second.retry_after_ms > Some(0));
     assert_eq!(links.sends.get(), sends);
     drop(running);
     links.now_ms.set(3_000);
-    links.replies.borrow_mut().push(Some(RoomReply::Admitted));
+    links
+        .replies
+        .borrow_mut()
+        .push(Some(AdmissionReply::Admitted));
     let third = run(ask(&links, &server, WISH));
-    assert_eq!(outcome(third), Some((RoomOutcome::Holder, None)));
+    assert_eq!(outcome(third), Some((AdmissionOutcome::Holder, None)));
 }
 
 /// The box that is asked is no longer the holder.
 #[test]
 fn ask_not_holder_limits_own_requests() {
-    let links = FakeLinks::new(&[Some(RoomReply::NotHolder)]);
+    let links = FakeLinks::new(&[Some(AdmissionReply::NotHolder)]);
     let result = run(ask(&links, &server(), WISH));
-    assert_eq!(outcome(result), Some((RoomOutcome::OwnPart, None)));
+    assert_eq!(outcome(result), Some((AdmissionOutcome::OwnPart, None)));
     assert_eq!(links.sends.get(), 1);
 }
 
@@ -175,9 +179,9 @@
 /// time limit.
 #[test]
 fn ask_undecided_holder_limits_own_requests() {
-    let links = FakeLinks::new(&[Some(RoomReply::Queued); 50]);
+    let links = FakeLinks::new(&[Some(AdmissionReply::Queued); 50]);
     let result = run(ask(&links, &server(), WISH));
-    assert_eq!(outcome(result), Some((RoomOutcome::OwnPart, None)));
+    assert_eq!(outcome(result), Some((AdmissionOutcome::OwnPart, None)));
     let in_time_ms = u32::try_from(WISH.in_time_ms).expect("fits into u32");
     assert!(links.sends.get() <= in_time_ms / 100 + 3);
 }
@@ -185,13 +189,22 @@
 /// Replies without a waiting request must change nothing.
 #[test]
 fn take_reply_late_or_unknown_is_ignored() {
-    let links = FakeLinks::new(&[Some(RoomReply::Admitted), Some(RoomReply::Admitted)]);
+    let links = FakeLinks::new(&[
+        Some(AdmissionReply::Admitted),
+        Some(AdmissionReply::Admitted),
+    ]);
     run(ask(&links, &server(), WISH));
     for number in [1, 77] {
-        for reply in [RoomReply::Admitted, RoomReply::Queued, RoomReply::NotHolder] {
-            links.sharing.take_reply(RoomReplyPart { number, reply });
+        for reply in [
+            AdmissionReply::Admitted,
+            AdmissionReply::Queued,
+            AdmissionReply::NotHolder,
+        ] {
+            links
+                .sharing
+                .take_reply(AdmissionReplyPart { number, reply });
         }
     }
     let result = run(ask(&links, &server(), WISH));
-    assert_eq!(outcome(result), Some((RoomOutcome::Holder, None)));
+    assert_eq!(outcome(result), Some((AdmissionOutcome::Holder, None)));
 }
