--- a/crates/tinbay-core/src/sharing/room.rs
+++ b/crates/tinbay-core/src/sharing/room.rs
@@ -70,9 +70,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AdmissionAnswer {
     /// The request may be sent to the server.
-    LetIn,
+    Admitted,
     /// The request can't start in time and must not be sent.
-    TurnedAway {
+    Rejected {
         /// Time until the caller should retry.
         turn_in_ms: Millis,
     },
@@ -163,7 +163,7 @@
             return;
         }
         if self.admitted.iter().any(|of| of.id == ask.id) {
-            let (id, answer) = (ask.id, AdmissionAnswer::LetIn);
+            let (id, answer) = (ask.id, AdmissionAnswer::Admitted);
             self.repeated.push(Decision { id, answer });
             return;
         }
@@ -306,7 +306,7 @@
         });
         Decision {
             id: waiting.id,
-            answer: AdmissionAnswer::LetIn,
+            answer: AdmissionAnswer::Admitted,
         }
     }
 
@@ -333,7 +333,7 @@
         }
         Decision {
             id: waiting.id,
-            answer: AdmissionAnswer::TurnedAway { turn_in_ms },
+            answer: AdmissionAnswer::Rejected { turn_in_ms },
         }
     }
 }
--- a/crates/tinbay-core/tests/sharing_test.rs
+++ b/crates/tinbay-core/tests/sharing_test.rs
@@ -201,8 +201,8 @@
     fn take(&mut self, decision: Decision) {
         let request = self.waiting.remove(&decision.id.number).expect("known");
         match decision.answer {
-            AdmissionAnswer::LetIn => self.send(request, decision.id.box_key),
-            AdmissionAnswer::TurnedAway { turn_in_ms } => {
+            AdmissionAnswer::Admitted => self.send(request, decision.id.box_key),
+            AdmissionAnswer::Rejected { turn_in_ms } => {
                 self.note(&request, None, Some(turn_in_ms))
             }
         }
@@ -617,7 +617,7 @@
 }
 
 fn is_admitted(decision: &&Decision) -> bool {
-    decision.answer == AdmissionAnswer::LetIn
+    decision.answer == AdmissionAnswer::Admitted
 }
 
 fn full(running: usize) -> ServerLoad {
--- a/crates/tinbay-gateway/src/sharing/messages.rs
+++ b/crates/tinbay-gateway/src/sharing/messages.rs
@@ -70,8 +70,8 @@
 impl From<AdmissionAnswer> for AdmissionReply {
     fn from(answer: AdmissionAnswer) -> Self {
         match answer {
-            AdmissionAnswer::LetIn => AdmissionReply::Admitted,
-            AdmissionAnswer::TurnedAway { turn_in_ms } => AdmissionReply::Rejected {
+            AdmissionAnswer::Admitted => AdmissionReply::Admitted,
+            AdmissionAnswer::Rejected { turn_in_ms } => AdmissionReply::Rejected {
                 retry_after_ms: u16::try_from(turn_in_ms).unwrap_or(u16::MAX),
             },
         }
