--- a/crates/tinbay-core/src/limits/home.rs
+++ b/crates/tinbay-core/src/limits/home.rs
@@ -38,7 +38,7 @@
     /// Units granted.
     pub units: f64,
     /// If the needed units are not granted: time until a retry, absent otherwise.
-    pub room_in_ms: Option<Millis>,
+    pub retry_after_ms: Option<Millis>,
 }
 
 /// Conditions under which the home grants units.
@@ -57,7 +57,7 @@
 pub struct LimitHome {
     bucket: Bucket,
     /// Spaces the retry times of rejected requests.
-    turns: RetryTimes,
+    retry_times: RetryTimes,
     /// Rejected requests. Those that are late get only units that new ones leave.
     denied: DeniedRequests,
     /// When units were last requested.
@@ -70,7 +70,7 @@
     pub fn new(now_ms: Millis) -> Self {
         Self {
             bucket: Bucket::empty(now_ms),
-            turns: RetryTimes::default(),
+            retry_times: RetryTimes::default(),
             denied: DeniedRequests::default(),
             last_request_ms: now_ms,
         }
@@ -133,14 +133,14 @@
                 self.denied.note(of, now_ms);
             }
             let longest_ms = terms.limit_terms.longest_away_ms;
-            let room_in_ms = if is_late {
+            let retry_after_ms = if is_late {
                 longest_ms
             } else {
                 self.schedule_retry(request.needed, refill, longest_ms, now_ms)
             };
             return UnitGrant {
                 units: 0.0,
-                room_in_ms: Some(room_in_ms),
+                retry_after_ms: Some(retry_after_ms),
             };
         }
         let spare = self.bucket.level() - request.needed - RESERVED_FRACTION * refill.capacity;
@@ -148,8 +148,11 @@
         // Messages carry whole units, so that a fraction would be lost.
         let units = request.needed + ahead.min(spare).max(0.0).floor();
         self.bucket.take(units);
-        let room_in_ms = None;
-        UnitGrant { units, room_in_ms }
+        let retry_after_ms = None;
+        UnitGrant {
+            units,
+            retry_after_ms,
+        }
     }
 
     fn schedule_retry(
@@ -162,6 +165,7 @@
         let needed = needed.min(refill.capacity);
         let first_ms = now_ms.saturating_add(self.bucket.time_to_ms(needed, refill.per_s));
         let own_ms = (needed / refill.per_s * MS_PER_SECOND as f64).ceil() as Millis;
-        self.turns.next_ms(first_ms, own_ms, longest_ms, now_ms)
+        self.retry_times
+            .next_ms(first_ms, own_ms, longest_ms, now_ms)
     }
 }
--- a/crates/tinbay-core/src/limits/turns.rs
+++ b/crates/tinbay-core/src/limits/turns.rs
@@ -20,9 +20,9 @@
         now_ms: Millis,
     ) -> Millis {
         let next_ms = self.last_retry_ms.saturating_add(gap_ms);
-        let turn_ms = first_ms.max(next_ms);
+        let retry_ms = first_ms.max(next_ms);
         let last_ms = now_ms.saturating_add(longest_ms);
-        self.last_retry_ms = turn_ms.min(last_ms);
-        turn_ms.saturating_sub(now_ms).min(longest_ms)
+        self.last_retry_ms = retry_ms.min(last_ms);
+        retry_ms.saturating_sub(now_ms).min(longest_ms)
     }
 }
--- a/crates/tinbay-core/src/sharing/accounts.rs
+++ b/crates/tinbay-core/src/sharing/accounts.rs
@@ -24,7 +24,7 @@
 #[derive(Debug, Clone, Copy, Default)]
 struct Usage {
     used: DecayingValue,
-    turns: RetryTimes,
+    retry_times: RetryTimes,
 }
 
 /// Recent use of a server by client account, in tokens.
@@ -70,8 +70,8 @@
     }
 
     /// Retry times given to an account's rejected requests.
-    pub fn turns(&mut self, account: Fingerprint) -> &mut RetryTimes {
-        &mut self.by_account.entry(account).or_default().turns
+    pub fn retry_times(&mut self, account: Fingerprint) -> &mut RetryTimes {
+        &mut self.by_account.entry(account).or_default().retry_times
     }
 
     /// Drops the entries of accounts without recent use.
--- a/crates/tinbay-core/src/sharing/room.rs
+++ b/crates/tinbay-core/src/sharing/room.rs
@@ -74,7 +74,7 @@
     /// The request can't start in time and must not be sent.
     Rejected {
         /// Time until the caller should retry.
-        turn_in_ms: Millis,
+        retry_after_ms: Millis,
     },
 }
 
@@ -323,17 +323,17 @@
         let first_ms = now_ms + begins_in_ms as Millis;
         let account = waiting.entry.account;
         let share = self.usage.share(account, now_ms) * RETRIES_FRACTION;
-        let turns = self.usage.turns(account);
+        let retry_times = self.usage.retry_times(account);
         let gap_ms = (release_interval_ms / share) as Millis;
-        let turn_in_ms = turns.next_ms(first_ms, gap_ms, MAX_RETRY_MS, now_ms);
-        let turn_in_ms = turn_in_ms.max(MIN_RETRY_MS);
-        if turn_in_ms < MAX_RETRY_MS {
-            let retry_at_ms = now_ms + turn_in_ms;
+        let retry_after_ms = retry_times.next_ms(first_ms, gap_ms, MAX_RETRY_MS, now_ms);
+        let retry_after_ms = retry_after_ms.max(MIN_RETRY_MS);
+        if retry_after_ms < MAX_RETRY_MS {
+            let retry_at_ms = now_ms + retry_after_ms;
             self.retries.schedule(waiting.digest, retry_at_ms, now_ms);
         }
         Decision {
             id: waiting.id,
-            answer: AdmissionAnswer::Rejected { turn_in_ms },
+            answer: AdmissionAnswer::Rejected { retry_after_ms },
         }
     }
 }
--- a/crates/tinbay-core/tests/denied_test.rs
+++ b/crates/tinbay-core/tests/denied_test.rs
@@ -36,7 +36,7 @@
         ahead: 0.0,
     };
     let grant = home.deal_to(terms(), request, Some(try_of(digest)), now_ms);
-    grant.room_in_ms.map_or(Ok(()), Err)
+    grant.retry_after_ms.map_or(Ok(()), Err)
 }
 
 /// Admitted requests of a surge.
@@ -125,7 +125,7 @@
     };
     let mut home = LimitHome::new(0);
     for now_ms in [1_000, 1_500, 2_500] {
-        assert!(home.deal(terms(), request, now_ms).room_in_ms.is_none());
+        assert!(home.deal(terms(), request, now_ms).retry_after_ms.is_none());
     }
 }
 
--- a/crates/tinbay-core/tests/limits_test.rs
+++ b/crates/tinbay-core/tests/limits_test.rs
@@ -112,7 +112,7 @@
         };
         let grant = self.homes[home].deal(dealing(LIMIT, reached, count), request, now_ms);
         share.note_given(grant.units, now_ms);
-        if grant.room_in_ms.is_some() {
+        if grant.retry_after_ms.is_some() {
             share.note_denied(now_ms);
             return false;
         }
@@ -240,14 +240,14 @@
     let mut home = LimitHome::new(0);
     let deal = |home: &mut LimitHome| {
         home.deal(dealing(LIMIT, 1.0, 1_000_000), needs(6_000.0), 0)
-            .room_in_ms
+            .retry_after_ms
     };
     assert_eq!(deal(&mut home), Some(100));
     assert_eq!(deal(&mut home), Some(200));
     assert_eq!(deal(&mut home), Some(300));
     assert_eq!(
         home.deal(dealing(LIMIT, 1.0, 1_000_000), needs(6_000.0), 100)
-            .room_in_ms,
+            .retry_after_ms,
         None
     );
 }
@@ -259,7 +259,7 @@
     let large = needs(100_000.0);
     assert!(
         home.deal(dealing(LIMIT, 1.0, 1_000_000), large, 900)
-            .room_in_ms
+            .retry_after_ms
             .is_some()
     );
     assert_eq!(
--- a/crates/tinbay-core/tests/serving_server_limit_test.rs
+++ b/crates/tinbay-core/tests/serving_server_limit_test.rs
@@ -257,10 +257,10 @@
             .into_iter()
             .for_each(|notice| self.said[at].note(notice));
         self.shares[at].note_given(grant.units, now_ms);
-        match grant.room_in_ms {
-            Some(room_in_ms) => {
+        match grant.retry_after_ms {
+            Some(retry_after_ms) => {
                 self.shares[at].note_denied(now_ms);
-                self.denied_until_ms[at] = now_ms + room_in_ms.min(terms.longest_away_ms);
+                self.denied_until_ms[at] = now_ms + retry_after_ms.min(terms.longest_away_ms);
                 false
             }
             None => self.shares[at].take_given(1.0, now_ms),
--- a/crates/tinbay-core/tests/sharing_test.rs
+++ b/crates/tinbay-core/tests/sharing_test.rs
@@ -202,8 +202,8 @@
         let request = self.waiting.remove(&decision.id.number).expect("known");
         match decision.answer {
             AdmissionAnswer::Admitted => self.send(request, decision.id.box_key),
-            AdmissionAnswer::Rejected { turn_in_ms } => {
-                self.note(&request, None, Some(turn_in_ms))
+            AdmissionAnswer::Rejected { retry_after_ms } => {
+                self.note(&request, None, Some(retry_after_ms))
             }
         }
     }
--- a/crates/tinbay-experiment/src/limits/play.rs
+++ b/crates/tinbay-experiment/src/limits/play.rs
@@ -186,7 +186,7 @@
     fn take(&mut self, asked: Asked, grant: UnitGrant, now_ms: u64) {
         let share = self.share(asked, now_ms);
         share.note_given(grant.units, now_ms);
-        if grant.room_in_ms.is_none() && share.take_given(asked.units, now_ms) {
+        if grant.retry_after_ms.is_none() && share.take_given(asked.units, now_ms) {
             return self.admit(asked, now_ms);
         }
         self.refuse(asked, now_ms);
--- a/crates/tinbay-gateway/src/limits/mod.rs
+++ b/crates/tinbay-gateway/src/limits/mod.rs
@@ -82,9 +82,9 @@
     cached_homes: RefCell<HashMap<LimitKey, CachedHome>>,
     failed: RefCell<HashMap<String, Millis>>,
     prefetched_ms: RefCell<HashMap<LimitKey, Millis>>,
-    /// Retry slots of callers rejected while all servers of a service are at their limits, by
+    /// Retry times of callers rejected while all servers of a service are at their limits, by
     /// service.
-    retry_slots: RefCell<HashMap<String, RetryTimes>>,
+    retry_times: RefCell<HashMap<String, RetryTimes>>,
     waiting: RefCell<HashMap<u32, oneshot::Sender<Answer>>>,
     last_number: Cell<u32>,
     /// Cached view of the fleet and its expiry.
@@ -151,9 +151,9 @@
     if !has_failed && let Some(result) = admit_by_home(node, limited, units, caller_try).await {
         return result;
     }
-    let room_in_ms = match spend_share(node, limited, units) {
+    let retry_after_ms = match spend_share(node, limited, units) {
         Ok(()) => return Ok(AdmittedBy::LocalShare),
-        Err(room_in_ms) => room_in_ms,
+        Err(retry_after_ms) => retry_after_ms,
     };
     // A request that one server can't take may go to another one, but a request over an account's
     // limit is refused. So an account's home is tried even after it failed recently.
@@ -164,7 +164,7 @@
     {
         return result;
     }
-    Err(room_in_ms)
+    Err(retry_after_ms)
 }
 
 fn spend_share(node: &Node, limited: &Limited, units: f64) -> Result<(), Millis> {
@@ -201,9 +201,9 @@
                 return None;
             }
         };
-        if let Some(room_in_ms) = grant.room_in_ms {
+        if let Some(retry_after_ms) = grant.retry_after_ms {
             with_share(node, limited, |share, now_ms| share.note_denied(now_ms));
-            return Some(Err(room_in_ms));
+            return Some(Err(retry_after_ms));
         }
         if spend_granted(node, limited, units) {
             return Some(Ok(AdmittedBy::Requested));
@@ -411,14 +411,15 @@
         Some(Home::Other(other)) => Some(box_fingerprint(&other)),
         Some(Home::Own) | None => None,
     };
-    let room_in_ms = grant.and_then(|grant| grant.room_in_ms);
+    let retry_after_ms = grant.and_then(|grant| grant.retry_after_ms);
     let answer = LimitGrantPart {
         key: part.key,
         number: part.number,
         is_home: grant.is_some(),
         other,
         units: grant.map_or(0, |grant| grant.units as u32),
-        room_in_ms: room_in_ms.map(|room_in_ms| room_in_ms.min(Millis::from(u16::MAX)) as u16),
+        retry_after_ms: retry_after_ms
+            .map(|retry_after_ms| retry_after_ms.min(Millis::from(u16::MAX)) as u16),
         notice: notices::of(node, part.key),
     };
     node.outbox.post(box_id, FramePart::LimitGrant(answer));
@@ -432,7 +433,7 @@
     }
     let grant = UnitGrant {
         units: f64::from(part.units),
-        room_in_ms: part.room_in_ms.map(Millis::from),
+        retry_after_ms: part.retry_after_ms.map(Millis::from),
     };
     let answer = if part.is_home {
         note_grant(node, part.key, grant);
--- a/crates/tinbay-gateway/src/limits/permits.rs
+++ b/crates/tinbay-gateway/src/limits/permits.rs
@@ -67,9 +67,9 @@
             let unit_until_ms = None;
             Some(Permit { unit_until_ms })
         }
-        Err(room_in_ms) => {
-            let room_in_ms = room_in_ms.min(limited.terms.longest_away_ms);
-            server.skip_until(now_ms + room_in_ms);
+        Err(retry_after_ms) => {
+            let retry_after_ms = retry_after_ms.min(limited.terms.longest_away_ms);
+            server.skip_until(now_ms + retry_after_ms);
             None
         }
     }
@@ -79,15 +79,15 @@
 /// if a server has capacity. Successive callers rejected by this box get increasing delays, spaced
 /// by this box's share of the rate that all boxes may send.
 pub fn caller_retry_after_ms(node: &Node, service: &str) -> Option<Millis> {
-    let room_in_ms = node.rest_ms(service)?;
+    let retry_after_ms = node.rest_ms(service)?;
     let limits_per_s = node.servers.borrow().limits_per_s(service);
     if limits_per_s <= 0.0 {
-        return Some(room_in_ms);
+        return Some(retry_after_ms);
     }
     let gap_ms = node.box_count.get() as f64 * MS_PER_SECOND as f64 / limits_per_s;
     let now_ms = node.now_ms();
-    let mut slots = node.limits.retry_slots.borrow_mut();
-    let slots = slots.entry(service.to_string()).or_default();
-    let first_ms = now_ms + room_in_ms;
-    Some(slots.next_ms(first_ms, gap_ms as Millis, MAX_RETRY_AFTER_MS, now_ms))
+    let mut retry_times = node.limits.retry_times.borrow_mut();
+    let retry_times = retry_times.entry(service.to_string()).or_default();
+    let first_ms = now_ms + retry_after_ms;
+    Some(retry_times.next_ms(first_ms, gap_ms as Millis, MAX_RETRY_AFTER_MS, now_ms))
 }
--- a/crates/tinbay-gateway/src/peers/frame.rs
+++ b/crates/tinbay-gateway/src/peers/frame.rs
@@ -193,7 +193,8 @@
     /// Granted units.
     pub units: u32,
     /// If the needed units are not granted: time until the limit has them, in ms.
-    pub room_in_ms: Option<u16>,
+    #[serde(rename = "room_in_ms")]
+    pub retry_after_ms: Option<u16>,
     /// The sender's knowledge of the limit if it is a server's.
     pub notice: Option<LimitNoticePart>,
 }
--- a/crates/tinbay-gateway/src/sharing/messages.rs
+++ b/crates/tinbay-gateway/src/sharing/messages.rs
@@ -71,8 +71,8 @@
     fn from(answer: AdmissionAnswer) -> Self {
         match answer {
             AdmissionAnswer::Admitted => AdmissionReply::Admitted,
-            AdmissionAnswer::Rejected { turn_in_ms } => AdmissionReply::Rejected {
-                retry_after_ms: u16::try_from(turn_in_ms).unwrap_or(u16::MAX),
+            AdmissionAnswer::Rejected { retry_after_ms } => AdmissionReply::Rejected {
+                retry_after_ms: u16::try_from(retry_after_ms).unwrap_or(u16::MAX),
             },
         }
     }
