--- a/crates/tinbay-core/benches/decisions.rs
+++ b/crates/tinbay-core/benches/decisions.rs
@@ -252,7 +252,7 @@
         account: number % 16,
         rank: (number % 3) as u8,
         units: 1_600.0,
-        reading_ms: 0.0,
+        prefill_ms: 0.0,
         in_time_ms: 60_000,
         digest: u64::from(number),
     };
--- a/crates/tinbay-core/src/handover/reading_room.rs
+++ b/crates/tinbay-core/src/handover/reading_room.rs
@@ -10,6 +10,6 @@
 const MAX_PAUSE_FRACTION: f64 = 0.25;
 
 /// Whether an engine may prefill for this long without interruption beside its streams.
-pub fn can_prefill_beside_streams(reading_ms: f64, pause_ms: Millis) -> bool {
-    reading_ms <= MAX_PAUSE_FRACTION * pause_ms as f64
+pub fn can_prefill_beside_streams(prefill_ms: f64, pause_ms: Millis) -> bool {
+    prefill_ms <= MAX_PAUSE_FRACTION * pause_ms as f64
 }
--- a/crates/tinbay-core/src/handover/roles.rs
+++ b/crates/tinbay-core/src/handover/roles.rs
@@ -67,8 +67,8 @@
 
 /// The role of the engine of this rank among the `engines` of its zone.
 fn role_of(rank: usize, engines: usize) -> Role {
-    let readers = (engines as f64 * PREFILL_FRACTION).round() as usize;
-    if engines >= MIN_ENGINES && rank < readers {
+    let prefill_engines = (engines as f64 * PREFILL_FRACTION).round() as usize;
+    if engines >= MIN_ENGINES && rank < prefill_engines {
         Role::Prefill
     } else {
         Role::Decode
--- a/crates/tinbay-core/src/serving/subscribers.rs
+++ b/crates/tinbay-core/src/serving/subscribers.rs
@@ -141,8 +141,8 @@
     }
 
     /// Records requests that began, by the time to prefill their prompts.
-    pub fn note_begun(&mut self, reading_ms: f64, now_ms: Millis) {
-        self.backlog.add(reading_ms, now_ms);
+    pub fn note_begun(&mut self, prefill_ms: f64, now_ms: Millis) {
+        self.backlog.add(prefill_ms, now_ms);
     }
 
     /// Time until the server can begin to prefill a new request.
--- a/crates/tinbay-core/src/sharing/room.rs
+++ b/crates/tinbay-core/src/sharing/room.rs
@@ -59,7 +59,7 @@
     /// Prompt and completion tokens.
     pub units: f64,
     /// Estimated prefill time of its prompt.
-    pub reading_ms: f64,
+    pub prefill_ms: f64,
     /// Time, from now, within which it must start to meet its objective.
     pub in_time_ms: Millis,
     /// Digest of the request; the same when the caller retries it.
@@ -92,7 +92,7 @@
 struct Waiting {
     id: AdmissionId,
     entry: QueueEntry,
-    reading_ms: f64,
+    prefill_ms: f64,
     begin_by_ms: Millis,
     last_asked_ms: Millis,
     digest: u64,
@@ -102,7 +102,7 @@
 #[derive(Debug, Clone, Copy)]
 struct Admitted {
     id: AdmissionId,
-    reading_ms: f64,
+    prefill_ms: f64,
     at_ms: Millis,
 }
 
@@ -177,7 +177,7 @@
                 arrived_ms: now_ms,
                 units: ask.units.max(1.0),
             },
-            reading_ms: ask.reading_ms.max(0.0),
+            prefill_ms: ask.prefill_ms.max(0.0),
             begin_by_ms: now_ms.saturating_add(ask.in_time_ms),
             last_asked_ms: now_ms,
             digest: ask.digest,
@@ -237,7 +237,7 @@
         let mut kept: Vec<Waiting> = Vec::new();
         let mut ahead = Ahead {
             requests: fullness.running + self.admitted.len(),
-            reading_ms: fullness.backlog_ms + self.admitted_reading_ms(),
+            prefill_ms: fullness.backlog_ms + self.admitted_prefill_ms(),
         };
         for position in positions {
             let waiting = self.waiting[position];
@@ -247,7 +247,7 @@
                 decisions.push(self.reject(&waiting, begins_in_ms, release_interval_ms, now_ms));
                 continue;
             }
-            if self.may_read(&waiting, &ahead, fullness, &terms)
+            if self.may_prefill(&waiting, &ahead, fullness, &terms)
                 && self.has_slot(&waiting.entry, &ahead, &terms)
             {
                 decisions.push(self.admit(&waiting, now_ms));
@@ -255,27 +255,27 @@
                 kept.push(waiting);
             }
             ahead.requests += 1;
-            ahead.reading_ms += waiting.reading_ms;
+            ahead.prefill_ms += waiting.prefill_ms;
         }
         self.waiting = kept;
         decisions
     }
 
     /// Prefill time of the admitted requests whose start has not been reported.
-    fn admitted_reading_ms(&self) -> f64 {
-        self.admitted.iter().map(|of| of.reading_ms).sum()
+    fn admitted_prefill_ms(&self) -> f64 {
+        self.admitted.iter().map(|of| of.prefill_ms).sum()
     }
 
     /// Whether the prefill backlog permits sending the request now. Above the bound, requests of an
     /// account above its fair share wait until their latest start time.
-    fn may_read(
+    fn may_prefill(
         &self,
         waiting: &Waiting,
         ahead: &Ahead,
         fullness: ServerLoad,
         terms: &PassTerms<'_>,
     ) -> bool {
-        ahead.reading_ms <= fullness.most_backlog_ms()
+        ahead.prefill_ms <= fullness.most_backlog_ms()
             || terms.now_ms >= waiting.begin_by_ms
             || !self.is_above_share(&waiting.entry, terms)
     }
@@ -301,7 +301,7 @@
             .note(waiting.entry.account, waiting.entry.units, now_ms);
         self.admitted.push(Admitted {
             id: waiting.id,
-            reading_ms: waiting.reading_ms,
+            prefill_ms: waiting.prefill_ms,
             at_ms: now_ms,
         });
         Decision {
@@ -348,7 +348,7 @@
 /// Work that goes before a request.
 struct Ahead {
     requests: usize,
-    reading_ms: f64,
+    prefill_ms: f64,
 }
 
 impl Ahead {
--- a/crates/tinbay-core/tests/sharing_test.rs
+++ b/crates/tinbay-core/tests/sharing_test.rs
@@ -137,7 +137,7 @@
             account: request.account,
             rank: request.rank,
             units: request.units,
-            reading_ms: 0.0,
+            prefill_ms: 0.0,
             in_time_ms: OBJECTIVE_MS.saturating_sub(self.now_ms - request.arrived_ms),
             digest: request.digest,
         }
@@ -635,7 +635,7 @@
         account,
         rank,
         units: UNITS,
-        reading_ms: 0.0,
+        prefill_ms: 0.0,
         in_time_ms: OBJECTIVE_MS,
         digest: u64::from(number),
     }
@@ -769,14 +769,14 @@
 fn much_to_read_holds_back_who_had_more_than_its_part() {
     let mut admission = AdmissionQueue::default();
     let weights = AccountWeights::default();
-    let reading = |account, number| AdmissionRequest {
-        reading_ms: 60.0,
+    let prefilling = |account, number| AdmissionRequest {
+        prefill_ms: 60.0,
         ..ask(account, number, 0)
     };
     for number in 0..8 {
-        admission.ask(reading(1, number), 1_000);
+        admission.ask(prefilling(1, number), 1_000);
     }
-    admission.ask(reading(2, 50), 1_000);
+    admission.ask(prefilling(2, 50), 1_000);
     let first = admission.decide(full(0), &weights, 1_000);
     assert_eq!(first.iter().filter(is_admitted).count(), 9);
     admission.note_begun(1, 9, 1_010);
@@ -784,8 +784,8 @@
         backlog_ms,
         ..full(9)
     };
-    admission.ask(reading(1, 100), 1_010);
-    admission.ask(reading(2, 101), 1_010);
+    admission.ask(prefilling(1, 100), 1_010);
+    admission.ask(prefilling(2, 101), 1_010);
     let next = admission.decide(much(540.0), &weights, 1_010);
     let numbers: Vec<u32> = next
         .iter()
--- a/crates/tinbay-gateway/src/front/adapters.rs
+++ b/crates/tinbay-gateway/src/front/adapters.rs
@@ -85,7 +85,7 @@
 /// when it was deducted too, a wrong estimate refused all requests of a small fleet for 13 s while
 /// the engines had free places.
 fn last_send_ms(node: &Node, inbound: &InboundRequest) -> Millis {
-    let own_ms = node.reading_ms(&inbound.service, inbound.prompt.tokens) as Millis;
+    let own_ms = node.prefill_ms(&inbound.service, inbound.prompt.tokens) as Millis;
     let most_ms = inbound.route.objective_ms;
     inbound
         .first_piece_by_ms
--- a/crates/tinbay-gateway/src/front/attempt.rs
+++ b/crates/tinbay-gateway/src/front/attempt.rs
@@ -105,7 +105,7 @@
     /// Permit under the server's rate limit.
     pub permit: Permit,
     /// Prompt tokens that the server has to prefill.
-    pub reading_tokens: u32,
+    pub prefill_tokens: u32,
     /// Time-out for the response head.
     pub head_within: Duration,
     /// Time after which the head is overdue: a reused connection without one may be dead.
@@ -119,7 +119,7 @@
     body: RequestBody,
     terms: AttemptTerms<'_>,
 ) -> AttemptResult {
-    let running = node.begin_request(terms.server, inbound, terms.reading_tokens);
+    let running = node.begin_request(terms.server, inbound, terms.prefill_tokens);
     let waiting = Cell::default();
     let exchange = exchange(node, inbound, body, &terms, &waiting);
     match tokio::time::timeout(terms.head_within, exchange).await {
--- a/crates/tinbay-gateway/src/front/choice.rs
+++ b/crates/tinbay-gateway/src/front/choice.rs
@@ -167,8 +167,9 @@
         Some(model) => match split() {
             Some(split) => {
                 let home = least_loaded(node, &holding(model, &split.homes), objective_ms);
-                let reader = least_loaded(node, &holding(model, &split.readers), objective_ms);
-                match reader_choice::choose_for_model(node, inbound, home, reader) {
+                let prefill_engine =
+                    least_loaded(node, &holding(model, &split.prefill_engines), objective_ms);
+                match reader_choice::choose_for_model(node, inbound, home, prefill_engine) {
                     Some(server) => send(server),
                     None => choose_for_model(node, model, &ready, objective_ms),
                 }
@@ -297,7 +298,7 @@
             .max_by_key(|(_, (server, _))| rendezvous::score_of(shared.key, &server.address_text))
             .map(|(position, _)| position);
         if let Some(cached_at) = cached_at {
-            let saved_ms = node.reading_ms(&inbound.service, shared.tokens);
+            let saved_ms = node.prefill_ms(&inbound.service, shared.tokens);
             let objective_ms = inbound.route.objective_ms.max(1) as f64;
             self.candidates[cached_at].load -= saved_ms / objective_ms;
         }
--- a/crates/tinbay-gateway/src/front/deliver.rs
+++ b/crates/tinbay-gateway/src/front/deliver.rs
@@ -120,7 +120,7 @@
         let sent = send_hedged(node, inbound, &mut tries, outgoing).await;
         let (server, sent_ms, result) = (sent.server, sent.sent_ms, sent.result);
         if matches!(result, AttemptResult::Begun(_)) {
-            node.note_reading(inbound, before_ms, node.now_ms() - sent_ms);
+            node.note_prefill(inbound, before_ms, node.now_ms() - sent_ms);
             note_answer_time(node, inbound, &server, sent_ms);
         }
         note_delay(node, inbound, &server, sent_ms);
@@ -289,7 +289,7 @@
             resumption: None,
         },
         permit,
-        reading_tokens: inbound.prompt.tokens,
+        prefill_tokens: inbound.prompt.tokens,
         head_within: if is_last {
             Duration::from_millis(left_ms)
         } else {
@@ -349,8 +349,8 @@
 fn silent_after_ms(node: &Node, inbound: &InboundRequest, server: &Server) -> Millis {
     let objective_ms = inbound.route.objective_ms as f64;
     let usual_ms = server.delay(node.now_ms()) * objective_ms;
-    let reading_ms = node.reading_ms(&inbound.service, inbound.prompt.tokens);
-    let expected_ms = usual_ms.max(node.backlog_ms(server) + reading_ms);
+    let prefill_ms = node.prefill_ms(&inbound.service, inbound.prompt.tokens);
+    let expected_ms = usual_ms.max(node.backlog_ms(server) + prefill_ms);
     MIN_SILENCE_MS.max((expected_ms * SILENCE_FACTOR) as Millis)
 }
 
--- a/crates/tinbay-gateway/src/front/moving/mod.rs
+++ b/crates/tinbay-gateway/src/front/moving/mod.rs
@@ -30,7 +30,7 @@
 use crate::servers::{RunningRequest, Server};
 
 /// The handover of an answer that has begun; `None` if its run stays where it is. Only a stream
-/// from a reader is handed over, and only if its length is not known in advance.
+/// from a prefill engine is handed over, and only if its length is not known in advance.
 pub fn successor(
     node: &Rc<Node>,
     inbound: &Rc<InboundRequest>,
@@ -47,20 +47,25 @@
         return None;
     }
     let source = running.borrow().server();
-    if !node.splits.is_reader(&node.servers, &source, node.now_ms()) {
+    if !node
+        .splits
+        .is_prefill_engine(&node.servers, &source, node.now_ms())
+    {
         return None;
     }
     let mover = NodeMover::new(node, inbound, running, body?);
     Some(Box::new(RunSuccessor::new(mover)))
 }
 
-/// Has the server that will continue a run load the adapter while the reader prefills the prompt.
-pub fn prepare(node: &Node, inbound: &InboundRequest, reader: &Server) {
-    let is_reader = node.splits.is_reader(&node.servers, reader, node.now_ms());
-    if !is_reader || inbound.route.kind != RouteKind::Streaming {
+/// Has the server that will continue a run load the adapter while the source prefills the prompt.
+pub fn prepare(node: &Node, inbound: &InboundRequest, prefill_engine: &Server) {
+    let is_prefill_engine =
+        node.splits
+            .is_prefill_engine(&node.servers, prefill_engine, node.now_ms());
+    if !is_prefill_engine || inbound.route.kind != RouteKind::Streaming {
         return;
     }
-    let version = held_version(node, inbound, reader).unwrap_or_default();
+    let version = held_version(node, inbound, prefill_engine).unwrap_or_default();
     match target::choose(node, inbound, &HolderRequests::default(), version) {
         Target::Later(home) => {
             node.request_load(&home, adapters::want(node, inbound, false));
@@ -75,7 +80,7 @@
 }
 
 /// Records a stream that ended where it began. Whether the engines of its service are split into
-/// readers and homes depends on how many streams paused for too long.
+/// prefill engines and homes depends on how many streams paused for too long.
 pub fn note_stream(
     node: &Node,
     inbound: &InboundRequest,
--- a/crates/tinbay-gateway/src/front/moving/mover.rs
+++ b/crates/tinbay-gateway/src/front/moving/mover.rs
@@ -187,7 +187,7 @@
                 }),
             },
             permit,
-            reading_tokens: 0,
+            prefill_tokens: 0,
             head_within: RESUME_WITHIN.min(Duration::from_millis(left_ms)),
             silent_after: RESUME_WITHIN,
         };
--- a/crates/tinbay-gateway/src/front/reader_choice.rs
+++ b/crates/tinbay-gateway/src/front/reader_choice.rs
@@ -1,8 +1,8 @@
-//! Chooses the server for a prompt when the engines of a service are split into readers, which
-//! prefill prompts for the others, and homes, which decode.
+//! Chooses the server for a prompt when the engines of a service are split into prefill engines,
+//! which prefill prompts for the others, and homes, which decode.
 //!
-//! A prompt goes to a reader, and its run is handed over to its home after the first event. A
-//! prompt short enough not to stall the streams of its home goes there directly.
+//! A prompt goes to a prefill engine, and its run is handed over to its home after the first event.
+//! A prompt short enough not to stall the streams of its home goes there directly.
 
 use std::rc::Rc;
 
@@ -26,13 +26,13 @@
     if let Some(choice) = choose_home(node, inbound, split, asked) {
         return choice;
     }
-    let readers = Survey::make(node, inbound, &split.readers, asked);
-    match readers.pick() {
+    let prefill_engines = Survey::make(node, inbound, &split.prefill_engines, asked);
+    match prefill_engines.pick() {
         Pick::Nowhere => {
             let homes = Survey::make(node, inbound, &split.homes, asked);
             homes.to_choice(homes.pick())
         }
-        pick => readers.to_choice(pick),
+        pick => prefill_engines.to_choice(pick),
     }
 }
 
@@ -43,7 +43,7 @@
     split: &Split,
     asked: &HolderRequests,
 ) -> Option<Choice> {
-    if !reads_beside_streams(node, inbound, 0.0) {
+    if !prefills_beside_streams(node, inbound, 0.0) {
         return None;
     }
     let homes = Survey::make(node, inbound, &split.homes, asked);
@@ -51,7 +51,7 @@
     let is_fine = match &choice {
         Choice::Send { server, .. } => {
             needs_status(node, server, asked)
-                || reads_beside_streams(node, inbound, node.backlog_ms(server))
+                || prefills_beside_streams(node, inbound, node.backlog_ms(server))
         }
         Choice::Load(_) => true,
         Choice::Nowhere => false,
@@ -59,26 +59,26 @@
     is_fine.then_some(choice)
 }
 
-/// Chooses between the least loaded home and reader for a request that names only a base model.
+/// Chooses between the least loaded home and prefill engine for a request that names only a base model.
 pub fn choose_for_model(
     node: &Node,
     inbound: &InboundRequest,
     home: Option<Rc<Server>>,
-    reader: Option<Rc<Server>>,
+    prefill_engine: Option<Rc<Server>>,
 ) -> Option<Rc<Server>> {
-    match (home, reader) {
-        (Some(home), Some(reader)) => {
-            let is_fine = reads_beside_streams(node, inbound, node.backlog_ms(&home));
-            Some(if is_fine { home } else { reader })
+    match (home, prefill_engine) {
+        (Some(home), Some(prefill_engine)) => {
+            let is_fine = prefills_beside_streams(node, inbound, node.backlog_ms(&home));
+            Some(if is_fine { home } else { prefill_engine })
         }
-        (home, reader) => home.or(reader),
+        (home, prefill_engine) => home.or(prefill_engine),
     }
 }
 
 /// Whether an engine with a prefill queue of `backlog_ms` can prefill the prompt as well without
 /// pausing its streams for too long.
-fn reads_beside_streams(node: &Node, inbound: &InboundRequest, backlog_ms: f64) -> bool {
-    let own_ms = node.reading_ms(&inbound.service, inbound.prompt.tokens);
+fn prefills_beside_streams(node: &Node, inbound: &InboundRequest, backlog_ms: f64) -> bool {
+    let own_ms = node.prefill_ms(&inbound.service, inbound.prompt.tokens);
     let pause_ms = inbound.route.objective_gap_ms;
     pause_ms.is_none_or(|pause_ms| can_prefill_beside_streams(backlog_ms + own_ms, pause_ms))
 }
--- a/crates/tinbay-gateway/src/front/room.rs
+++ b/crates/tinbay-gateway/src/front/room.rs
@@ -69,22 +69,22 @@
         TokenCount::Declared(tokens) => u32::try_from(tokens).unwrap_or(u32::MAX),
         TokenCount::Undeclared | TokenCount::Unreadable => inbound.prompt.tokens,
     };
-    let reading_ms = node.reading_ms(&inbound.service, inbound.prompt.tokens) as Millis;
+    let prefill_ms = node.prefill_ms(&inbound.service, inbound.prompt.tokens) as Millis;
     Some(AdmissionParams {
         account: box_fingerprint(&account.name),
         rank: inbound.rank(),
         units,
-        reading_ms,
-        in_time_ms: in_time_ms(inbound, reading_ms, node.now_ms()),
+        prefill_ms,
+        in_time_ms: in_time_ms(inbound, prefill_ms, node.now_ms()),
         digest: inbound.digest.get().map_or(0, |digest| digest.short()),
     })
 }
 
 /// Time within which a request must start for its first chunk to meet the objective, after
 /// deducting its own prefill.
-fn in_time_ms(inbound: &InboundRequest, reading_ms: Millis, now_ms: Millis) -> Millis {
+fn in_time_ms(inbound: &InboundRequest, prefill_ms: Millis, now_ms: Millis) -> Millis {
     let objective_ms = inbound.route.objective_ms;
-    let begin_by_ms = inbound.arrived_ms + objective_ms - reading_ms.min(objective_ms / 2);
+    let begin_by_ms = inbound.arrived_ms + objective_ms - prefill_ms.min(objective_ms / 2);
     begin_by_ms.saturating_sub(now_ms)
 }
 
--- a/crates/tinbay-gateway/src/handover/split.rs
+++ b/crates/tinbay-gateway/src/handover/split.rs
@@ -19,7 +19,7 @@
 #[derive(Debug, Default)]
 pub struct Split {
     /// Engines that prefill prompts and then hand the runs over.
-    pub readers: Vec<Rc<Server>>,
+    pub prefill_engines: Vec<Rc<Server>>,
     /// Engines that take over such runs, and that serve requests for rare adapters from start to
     /// end.
     pub homes: Vec<Rc<Server>>,
@@ -92,17 +92,17 @@
         let mut split = Split::default();
         for server in among {
             let part = match roles.get(&server.key) {
-                Some(Role::Prefill) => &mut split.readers,
+                Some(Role::Prefill) => &mut split.prefill_engines,
                 Some(Role::Decode) | None => &mut split.homes,
             };
             part.push(Rc::clone(server));
         }
-        let is_parted = !split.readers.is_empty() && !split.homes.is_empty();
+        let is_parted = !split.prefill_engines.is_empty() && !split.homes.is_empty();
         is_parted.then_some(split)
     }
 
     /// Whether a server prefills prompts for others.
-    pub fn is_reader(
+    pub fn is_prefill_engine(
         &self,
         servers: &RefCell<ServerTable>,
         server: &Server,
--- a/crates/tinbay-gateway/src/node.rs
+++ b/crates/tinbay-gateway/src/node.rs
@@ -191,7 +191,7 @@
     /// Number of open connections from callers.
     pub connections: Cell<usize>,
     /// Prefill rate of the engines, by service.
-    pub reading: RefCell<HashMap<String, PrefillRate>>,
+    pub prefill_rates: RefCell<HashMap<String, PrefillRate>>,
     /// Requests that servers crashed on.
     pub crashes: Crashes,
     /// Limits enforced across all boxes.
@@ -253,7 +253,7 @@
             is_leaving: Cell::default(),
             closing: Latch::default(),
             connections: Cell::default(),
-            reading: RefCell::default(),
+            prefill_rates: RefCell::default(),
             crashes: Crashes::default(),
             limits: BoxLimits::default(),
             splits: Splits::default(),
@@ -592,15 +592,15 @@
     }
 
     /// Records a request's time to first byte, given the server's prompt backlog at that time.
-    pub fn note_reading(&self, inbound: &InboundRequest, backlog_ms: f64, took_ms: Millis) {
-        let mut rates = self.reading.borrow_mut();
+    pub fn note_prefill(&self, inbound: &InboundRequest, backlog_ms: f64, took_ms: Millis) {
+        let mut rates = self.prefill_rates.borrow_mut();
         let rate = rates.entry(inbound.service.clone()).or_default();
         rate.note_answer(inbound.prompt.tokens, backlog_ms, took_ms as f64);
     }
 
     /// Expected prefill time of `tokens` prompt tokens on an engine of a service.
-    pub fn reading_ms(&self, service: &str, tokens: u32) -> f64 {
-        let rates = self.reading.borrow();
+    pub fn prefill_ms(&self, service: &str, tokens: u32) -> f64 {
+        let rates = self.prefill_rates.borrow();
         let rate = rates.get(service).copied().unwrap_or_default();
         rate.time_ms(tokens)
     }
@@ -613,9 +613,9 @@
         tokens: u32,
     ) -> RunningRequest {
         if inbound.model_key.is_some() {
-            let reading_ms = self.reading_ms(&inbound.service, tokens);
+            let prefill_ms = self.prefill_ms(&inbound.service, tokens);
             let mut view = server.view.borrow_mut();
-            view.note_begun(reading_ms, self.now_ms());
+            view.note_begun(prefill_ms, self.now_ms());
             self.outbox.post_usage(server.key);
         }
         server.begin_request(inbound.model_key, tokens)
--- a/crates/tinbay-gateway/src/orders/held_server.rs
+++ b/crates/tinbay-gateway/src/orders/held_server.rs
@@ -129,9 +129,9 @@
         let service = &server.record().service;
         for of in report.uses.iter().filter(|of| of.begun > 0) {
             contents.note_uses_of(of.adapter, u32::from(of.begun), now_ms);
-            let reading_ms = node.reading_ms(service, of.begun_tokens);
-            subscribers.note_begun(reading_ms, now_ms);
-            spreads.note_begun(of.adapter, reading_ms, now_ms);
+            let prefill_ms = node.prefill_ms(service, of.begun_tokens);
+            subscribers.note_begun(prefill_ms, now_ms);
+            spreads.note_begun(of.adapter, prefill_ms, now_ms);
         }
         let begun = report.uses.iter().map(|of| usize::from(of.begun)).sum();
         let mut admission = self.admission.borrow_mut();
--- a/crates/tinbay-gateway/src/servers/view.rs
+++ b/crates/tinbay-gateway/src/servers/view.rs
@@ -137,8 +137,8 @@
     }
 
     /// Adds the prompt of a request that this box has sent to the backlog.
-    pub fn note_begun(&mut self, reading_ms: f64, now_ms: Millis) {
-        self.backlog.add(reading_ms, now_ms);
+    pub fn note_begun(&mut self, prefill_ms: f64, now_ms: Millis) {
+        self.backlog.add(prefill_ms, now_ms);
     }
 
     /// Time the server needs for the prompts queued ahead of a new request.
--- a/crates/tinbay-gateway/src/sharing/asking.rs
+++ b/crates/tinbay-gateway/src/sharing/asking.rs
@@ -44,7 +44,7 @@
     /// Prompt and output tokens that the request costs.
     pub units: u32,
     /// Time the server needs to process the prompt.
-    pub reading_ms: Millis,
+    pub prefill_ms: Millis,
     /// Time within which the request must start in order to meet its objective.
     pub in_time_ms: Millis,
     /// Identifies the request; a retry has the same value.
@@ -115,7 +115,7 @@
         account: request.account,
         rank: request.rank,
         units: request.units,
-        reading_ms: u16::try_from(request.reading_ms).unwrap_or(u16::MAX),
+        prefill_ms: u16::try_from(request.prefill_ms).unwrap_or(u16::MAX),
         in_time_ms: u16::try_from(request.in_time_ms).unwrap_or(u16::MAX),
         digest: request.digest,
     }
--- a/crates/tinbay-gateway/src/sharing/messages.rs
+++ b/crates/tinbay-gateway/src/sharing/messages.rs
@@ -19,7 +19,8 @@
     /// Prompt and output tokens that the request costs.
     pub units: u32,
     /// Time the server needs to process the prompt, in ms.
-    pub reading_ms: u16,
+    #[serde(rename = "reading_ms")]
+    pub prefill_ms: u16,
     /// Time within which the request must start in order to meet its objective, in ms.
     pub in_time_ms: u16,
     /// Identifies the request; a retry has the same value.
@@ -35,7 +36,7 @@
             account: self.account,
             rank: self.rank,
             units: f64::from(self.units),
-            reading_ms: f64::from(self.reading_ms),
+            prefill_ms: f64::from(self.prefill_ms),
             in_time_ms: Millis::from(self.in_time_ms),
             digest: self.digest,
         }
--- a/crates/tinbay-gateway/tests/sharing_asking_test.rs
+++ b/crates/tinbay-gateway/tests/sharing_asking_test.rs
@@ -18,7 +18,7 @@
     account: 1,
     rank: 0,
     units: 100,
-    reading_ms: 5,
+    prefill_ms: 5,
     in_time_ms: 500,
     digest: 9,
 };
