--- a/crates/tinbay-gateway/src/front/choice.rs
+++ b/crates/tinbay-gateway/src/front/choice.rs
@@ -166,10 +166,12 @@
         },
         Some(model) => match split() {
             Some(split) => {
-                let home = least_loaded(node, &holding(model, &split.homes), objective_ms);
+                let decode_engine =
+                    least_loaded(node, &holding(model, &split.decode_engines), objective_ms);
                 let prefill_engine =
                     least_loaded(node, &holding(model, &split.prefill_engines), objective_ms);
-                match reader_choice::choose_for_model(node, inbound, home, prefill_engine) {
+                match reader_choice::choose_for_model(node, inbound, decode_engine, prefill_engine)
+                {
                     Some(server) => send(server),
                     None => choose_for_model(node, model, &ready, objective_ms),
                 }
@@ -193,8 +195,8 @@
     if let Some(server) = least_loaded(node, &holding(model, ready), objective_ms) {
         return send(server);
     }
-    let home = rendezvous_order(model, ready).into_iter().next();
-    home.map_or(Choice::Nowhere, Choice::Load)
+    let decode_engine = rendezvous_order(model, ready).into_iter().next();
+    decode_engine.map_or(Choice::Nowhere, Choice::Load)
 }
 
 /// The servers that hold a base model.
--- a/crates/tinbay-gateway/src/front/moving/mod.rs
+++ b/crates/tinbay-gateway/src/front/moving/mod.rs
@@ -67,8 +67,8 @@
     }
     let version = held_version(node, inbound, prefill_engine).unwrap_or_default();
     match target::choose(node, inbound, &HolderRequests::default(), version) {
-        Target::Later(home) => {
-            node.request_load(&home, adapters::want(node, inbound, false));
+        Target::Later(decode_engine) => {
+            node.request_load(&decode_engine, adapters::want(node, inbound, false));
         }
         Target::At {
             copy: Some(copy), ..
@@ -80,7 +80,7 @@
 }
 
 /// Records a stream that ended where it began. Whether the engines of its service are split into
-/// prefill engines and homes depends on how many streams paused for too long.
+/// prefill engines and decode engines depends on how many streams paused for too long.
 pub fn note_stream(
     node: &Node,
     inbound: &InboundRequest,
--- a/crates/tinbay-gateway/src/front/moving/target.rs
+++ b/crates/tinbay-gateway/src/front/moving/target.rs
@@ -41,10 +41,10 @@
         return Target::Nowhere;
     };
     if adapter_of(inbound).is_none() {
-        return choose_for_model(node, inbound, &split.homes);
+        return choose_for_model(node, inbound, &split.decode_engines);
     }
-    let homes = Survey::make(node, inbound, &split.homes, asked);
-    match homes.to_choice(homes.pick()) {
+    let decode_engines = Survey::make(node, inbound, &split.decode_engines, asked);
+    match decode_engines.to_choice(decode_engines.pick()) {
         Choice::Send { server, copy } => {
             let is_there = is_fit(node, &server) && holds(node, inbound, &server, version);
             match copy {
@@ -58,9 +58,13 @@
     }
 }
 
-fn choose_for_model(node: &Node, inbound: &InboundRequest, homes: &[Rc<Server>]) -> Target {
+fn choose_for_model(
+    node: &Node,
+    inbound: &InboundRequest,
+    decode_engines: &[Rc<Server>],
+) -> Target {
     let model = inbound.model.as_deref().unwrap_or_default();
-    let holding = choice::holding(model, homes);
+    let holding = choice::holding(model, decode_engines);
     let server = choice::least_loaded(node, &holding, inbound.route.objective_ms);
     match server.filter(|server| is_fit(node, server)) {
         Some(server) => Target::At { server, copy: None },
--- a/crates/tinbay-gateway/src/front/reader_choice.rs
+++ b/crates/tinbay-gateway/src/front/reader_choice.rs
@@ -1,8 +1,9 @@
 //! Chooses the server for a prompt when the engines of a service are split into prefill engines,
-//! which prefill prompts for the others, and homes, which decode.
+//! which prefill prompts for the others, and decode engines.
 //!
-//! A prompt goes to a prefill engine, and its run is handed over to its home after the first event.
-//! A prompt short enough not to stall the streams of its home goes there directly.
+//! A prompt goes to a prefill engine, and its run is handed over to a decode engine after the
+//! first event. A prompt short enough not to stall the streams of the decode engine goes there
+//! directly.
 
 use std::rc::Rc;
 
@@ -23,21 +24,21 @@
     split: &Split,
     asked: &HolderRequests,
 ) -> Choice {
-    if let Some(choice) = choose_home(node, inbound, split, asked) {
+    if let Some(choice) = choose_decode_engine(node, inbound, split, asked) {
         return choice;
     }
     let prefill_engines = Survey::make(node, inbound, &split.prefill_engines, asked);
     match prefill_engines.pick() {
         Pick::Nowhere => {
-            let homes = Survey::make(node, inbound, &split.homes, asked);
-            homes.to_choice(homes.pick())
+            let decode_engines = Survey::make(node, inbound, &split.decode_engines, asked);
+            decode_engines.to_choice(decode_engines.pick())
         }
         pick => prefill_engines.to_choice(pick),
     }
 }
 
-/// The home of a request, if its prefill stalls no stream there.
-fn choose_home(
+/// The decode engine for a request, if its prefill stalls no stream there.
+fn choose_decode_engine(
     node: &Node,
     inbound: &InboundRequest,
     split: &Split,
@@ -46,8 +47,8 @@
     if !prefills_beside_streams(node, inbound, 0.0) {
         return None;
     }
-    let homes = Survey::make(node, inbound, &split.homes, asked);
-    let choice = homes.to_choice(homes.pick());
+    let decode_engines = Survey::make(node, inbound, &split.decode_engines, asked);
+    let choice = decode_engines.to_choice(decode_engines.pick());
     let is_fine = match &choice {
         Choice::Send { server, .. } => {
             needs_status(node, server, asked)
@@ -59,19 +60,23 @@
     is_fine.then_some(choice)
 }
 
-/// Chooses between the least loaded home and prefill engine for a request that names only a base model.
+/// Chooses between the least loaded decode engine and prefill engine for a request that names only a base model.
 pub fn choose_for_model(
     node: &Node,
     inbound: &InboundRequest,
-    home: Option<Rc<Server>>,
+    decode_engine: Option<Rc<Server>>,
     prefill_engine: Option<Rc<Server>>,
 ) -> Option<Rc<Server>> {
-    match (home, prefill_engine) {
-        (Some(home), Some(prefill_engine)) => {
-            let is_fine = prefills_beside_streams(node, inbound, node.backlog_ms(&home));
-            Some(if is_fine { home } else { prefill_engine })
+    match (decode_engine, prefill_engine) {
+        (Some(decode_engine), Some(prefill_engine)) => {
+            let is_fine = prefills_beside_streams(node, inbound, node.backlog_ms(&decode_engine));
+            Some(if is_fine {
+                decode_engine
+            } else {
+                prefill_engine
+            })
         }
-        (home, prefill_engine) => home.or(prefill_engine),
+        (decode_engine, prefill_engine) => decode_engine.or(prefill_engine),
     }
 }
 
--- a/crates/tinbay-gateway/src/handover/mod.rs
+++ b/crates/tinbay-gateway/src/handover/mod.rs
@@ -2,7 +2,7 @@
 //! answer.
 //!
 //! The engines of a service are split into prefill engines, which prefill prompts for the
-//! others, and homes, which decode. All boxes derive the same split from the list of servers. Each box decides
+//! others, and decode engines. All boxes derive the same split from the list of servers. Each box decides
 //! by its own streams whether a split is needed, and hands over the runs of its own requests. Boxes
 //! share no state and send no messages for it: the requests of a box that fails end with it, and
 //! servers free the copies that nobody asks for.
--- a/crates/tinbay-gateway/src/handover/split.rs
+++ b/crates/tinbay-gateway/src/handover/split.rs
@@ -22,7 +22,7 @@
     pub prefill_engines: Vec<Rc<Server>>,
     /// Engines that take over such runs, and that serve requests for rare adapters from start to
     /// end.
-    pub homes: Vec<Rc<Server>>,
+    pub decode_engines: Vec<Rc<Server>>,
 }
 
 #[derive(Debug)]
@@ -93,11 +93,11 @@
         for server in among {
             let part = match roles.get(&server.key) {
                 Some(Role::Prefill) => &mut split.prefill_engines,
-                Some(Role::Decode) | None => &mut split.homes,
+                Some(Role::Decode) | None => &mut split.decode_engines,
             };
             part.push(Rc::clone(server));
         }
-        let is_parted = !split.prefill_engines.is_empty() && !split.homes.is_empty();
+        let is_parted = !split.prefill_engines.is_empty() && !split.decode_engines.is_empty();
         is_parted.then_some(split)
     }
 
