--- a/crates/tinbay-core/src/serving/notices.rs
+++ b/crates/tinbay-core/src/serving/notices.rs
@@ -17,7 +17,7 @@
     /// The server is shutting down: it finishes its running requests and exits.
     pub is_leaving: bool,
     /// The server rejected the request and asks this box to send nothing for this long.
-    pub rest_ms: Option<Millis>,
+    pub back_off_ms: Option<Millis>,
     /// What the answer says about the server's rate limit; none where the answer does not tell.
     pub limit: Option<LimitNotice>,
 }
@@ -26,7 +26,7 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Announced {
     is_leaving: bool,
-    rest_until_ms: Millis,
+    back_off_until_ms: Millis,
     limit: AnnouncedLimit,
 }
 
@@ -35,9 +35,11 @@
     /// later answer may only lengthen the back-off. A limit lasts for as long as answers name it.
     pub fn note(&mut self, notice: AnswerNotice, now_ms: Millis) {
         self.is_leaving |= notice.is_leaving;
-        if let Some(rest_ms) = notice.rest_ms.filter(|rest_ms| *rest_ms > 0) {
-            let until_ms = now_ms.saturating_add(rest_ms).saturating_add(ROUNDING_MS);
-            self.rest_until_ms = self.rest_until_ms.max(until_ms);
+        if let Some(back_off_ms) = notice.back_off_ms.filter(|back_off_ms| *back_off_ms > 0) {
+            let until_ms = now_ms
+                .saturating_add(back_off_ms)
+                .saturating_add(ROUNDING_MS);
+            self.back_off_until_ms = self.back_off_until_ms.max(until_ms);
         }
         if let Some(limit) = notice.limit {
             self.limit.note(limit);
@@ -60,7 +62,7 @@
     }
 
     /// End of the back-off that the server asked this box for; none once it is over.
-    pub fn rest_until_ms(&self, now_ms: Millis) -> Option<Millis> {
-        (now_ms < self.rest_until_ms).then_some(self.rest_until_ms)
+    pub fn back_off_until_ms(&self, now_ms: Millis) -> Option<Millis> {
+        (now_ms < self.back_off_until_ms).then_some(self.back_off_until_ms)
     }
 }
--- a/crates/tinbay-core/tests/serving_notices_test.rs
+++ b/crates/tinbay-core/tests/serving_notices_test.rs
@@ -3,10 +3,10 @@
 use quickcheck::QuickCheck;
 use tinbay_core::serving::notices::{Announced, AnswerNotice};
 
-fn back_off(rest_ms: u64) -> AnswerNotice {
+fn back_off(back_off_ms: u64) -> AnswerNotice {
     AnswerNotice {
         is_leaving: false,
-        rest_ms: Some(rest_ms),
+        back_off_ms: Some(back_off_ms),
         ..AnswerNotice::default()
     }
 }
@@ -16,8 +16,8 @@
     let mut said = Announced::default();
     said.note(back_off(3_000), 1_000);
     // The true time may be almost a millisecond ahead of the clock reading.
-    assert_eq!(said.rest_until_ms(4_000), Some(4_001));
-    assert_eq!(said.rest_until_ms(4_001), None);
+    assert_eq!(said.back_off_until_ms(4_000), Some(4_001));
+    assert_eq!(said.back_off_until_ms(4_001), None);
 }
 
 /// An answer to a request in flight does not mention the back-off, which must continue.
@@ -27,14 +27,14 @@
     said.note(back_off(3_000), 0);
     said.note(AnswerNotice::default(), 100);
     said.note(back_off(0), 200);
-    assert_eq!(said.rest_until_ms(2_999), Some(3_001));
+    assert_eq!(said.back_off_until_ms(2_999), Some(3_001));
 }
 
 #[test]
 fn note_endless_back_off_does_not_overflow() {
     let mut said = Announced::default();
     said.note(back_off(u64::MAX), 5);
-    assert_eq!(said.rest_until_ms(u64::MAX - 1), Some(u64::MAX));
+    assert_eq!(said.back_off_until_ms(u64::MAX - 1), Some(u64::MAX));
 }
 
 /// Whatever answers arrive in whatever order, no answer withdraws what another one announced.
@@ -45,18 +45,23 @@
         let mut now_ms = 0;
         let mut was_leaving = false;
         let mut until_ms = 0;
-        answers.iter().all(|(is_leaving, rest_ms, pause_ms)| {
+        answers.iter().all(|(is_leaving, back_off_ms, pause_ms)| {
             now_ms += u64::from(*pause_ms);
             was_leaving |= is_leaving;
-            let rest_until_ms = rest_ms.map(|rest_ms| now_ms + u64::from(rest_ms) + 1);
-            until_ms = until_ms.max(rest_until_ms.filter(|_| rest_ms != &Some(0)).unwrap_or(0));
+            let back_off_until_ms =
+                back_off_ms.map(|back_off_ms| now_ms + u64::from(back_off_ms) + 1);
+            until_ms = until_ms.max(
+                back_off_until_ms
+                    .filter(|_| back_off_ms != &Some(0))
+                    .unwrap_or(0),
+            );
             let notice = AnswerNotice {
                 is_leaving: *is_leaving,
-                rest_ms: rest_ms.map(u64::from),
+                back_off_ms: back_off_ms.map(u64::from),
                 ..AnswerNotice::default()
             };
             said.note(notice, now_ms);
-            let rests = said.rest_until_ms(now_ms);
+            let rests = said.back_off_until_ms(now_ms);
             said.is_leaving() == was_leaving
                 && rests == Some(until_ms).filter(|until_ms| now_ms < *until_ms)
         })
--- a/crates/tinbay-gateway/src/limits/permits.rs
+++ b/crates/tinbay-gateway/src/limits/permits.rs
@@ -79,7 +79,7 @@
 /// if a server has capacity. Successive callers rejected by this box get increasing delays, spaced
 /// by this box's share of the rate that all boxes may send.
 pub fn caller_retry_after_ms(node: &Node, service: &str) -> Option<Millis> {
-    let retry_after_ms = node.rest_ms(service)?;
+    let retry_after_ms = node.available_in_ms(service)?;
     let limits_per_s = node.servers.borrow().limits_per_s(service);
     if limits_per_s <= 0.0 {
         return Some(retry_after_ms);
--- a/crates/tinbay-gateway/src/node.rs
+++ b/crates/tinbay-gateway/src/node.rs
@@ -441,7 +441,7 @@
     }
 
     /// Time until a server of a service accepts work again; none if one is ready now.
-    pub fn rest_ms(&self, service: &str) -> Option<Millis> {
+    pub fn available_in_ms(&self, service: &str) -> Option<Millis> {
         let servers = self.servers.borrow();
         if !servers.ready(service).is_empty() {
             return None;
--- a/crates/tinbay-gateway/src/orders/holder.rs
+++ b/crates/tinbay-gateway/src/orders/holder.rs
@@ -195,7 +195,7 @@
     /// Whether the server may be contacted: no other server answers at its address and it has not
     /// asked for a pause.
     fn may_contact(&self, now_ms: Millis) -> bool {
-        !self.server.is_displaced(now_ms) && self.server.paused_until_ms(now_ms).is_none()
+        !self.server.is_displaced(now_ms) && self.server.back_off_until_ms(now_ms).is_none()
     }
 
     fn next_action(&self, wants: &[WantedLoad], now_ms: Millis) -> Option<Action> {
--- a/crates/tinbay-gateway/src/port/dialect.rs
+++ b/crates/tinbay-gateway/src/port/dialect.rs
@@ -179,7 +179,11 @@
     ///
     /// # Errors
     /// When the header cannot be decoded.
-    fn decode_rest(&self, status: u16, headers: &HeaderMap) -> Result<Option<Millis>, DecodeError>;
+    fn decode_back_off(
+        &self,
+        status: u16,
+        headers: &HeaderMap,
+    ) -> Result<Option<Millis>, DecodeError>;
 
     /// Decodes from response headers how many requests per second the server accepts from all boxes
     /// together; `None` if it states no limit.
--- a/crates/tinbay-gateway/src/servers/mod.rs
+++ b/crates/tinbay-gateway/src/servers/mod.rs
@@ -195,8 +195,8 @@
     pub fn first_available_ms(&self, service: &str) -> Option<Millis> {
         let now_ms = self.clock.now_ms();
         let end_ms = |server: &Rc<Server>| {
-            let paused_until_ms = server.paused_until_ms(now_ms);
-            paused_until_ms.max(server.at_limit_until_ms(now_ms))
+            let back_off_until_ms = server.back_off_until_ms(now_ms);
+            back_off_until_ms.max(server.at_limit_until_ms(now_ms))
         };
         self.of_service(service)
             .filter(|server| server.is_ready(now_ms))
--- a/crates/tinbay-gateway/src/servers/notices.rs
+++ b/crates/tinbay-gateway/src/servers/notices.rs
@@ -69,8 +69,8 @@
     request: Option<&'a str>,
     status: u16,
     is_leaving: bool,
-    #[serde(skip_serializing_if = "Option::is_none")]
-    rest_ms: Option<Millis>,
+    #[serde(rename = "rest_ms", skip_serializing_if = "Option::is_none")]
+    back_off_ms: Option<Millis>,
     /// State of the server as this box knew it before.
     state: &'static str,
 }
@@ -104,7 +104,7 @@
         log_limit_change(node, server, head, before_per_s);
         limit_notices::notify_home_and_holder(node, server);
     }
-    let refuses_work = notice.is_leaving || notice.rest_ms.is_some();
+    let refuses_work = notice.is_leaving || notice.back_off_ms.is_some();
     if refuses_work {
         log_notice(node, server, head, notice);
     }
@@ -114,13 +114,13 @@
 /// Decodes the notices in the head; an unreadable one is logged and ignored.
 fn read(node: &Node, server: &Server, head: &AnswerHead<'_>) -> AnswerNotice {
     let is_leaving = node.dialect.decode_leaving(head.headers);
-    let rest_ms = node.dialect.decode_rest(head.status, head.headers);
+    let back_off_ms = node.dialect.decode_back_off(head.status, head.headers);
     let limit = node.dialect.decode_limit(head.headers);
     AnswerNotice {
         is_leaving: is_leaving
             .map_err(|error| log_unreadable(node, server, &error))
             .unwrap_or_default(),
-        rest_ms: rest_ms
+        back_off_ms: back_off_ms
             .map_err(|error| log_unreadable(node, server, &error))
             .unwrap_or_default(),
         limit: limit
@@ -140,7 +140,7 @@
     if notice.is_leaving {
         notices.with_label_values(&["leaving"]).inc();
     }
-    if notice.rest_ms.is_some() {
+    if notice.back_off_ms.is_some() {
         notices.with_label_values(&["rest"]).inc();
     }
     let event = NoticeEvent {
@@ -149,7 +149,7 @@
         request: head.asked_for.request(),
         status: head.status,
         is_leaving: notice.is_leaving,
-        rest_ms: notice.rest_ms,
+        back_off_ms: notice.back_off_ms,
         state: server.record().state.name(),
     };
     events::emit(part::SERVERS, Level::Info, "server_notice", &event);
--- a/crates/tinbay-gateway/src/servers/server.rs
+++ b/crates/tinbay-gateway/src/servers/server.rs
@@ -240,8 +240,8 @@
     }
 
     /// End of a pause that it asked for; `None` if it accepts requests.
-    pub fn paused_until_ms(&self, now_ms: Millis) -> Option<Millis> {
-        self.notices.borrow().rest_until_ms(now_ms)
+    pub fn back_off_until_ms(&self, now_ms: Millis) -> Option<Millis> {
+        self.notices.borrow().back_off_until_ms(now_ms)
     }
 
     /// Whether it is running and not about to leave.
@@ -256,7 +256,7 @@
 
     /// Whether this box may send it a request that has a permit within the server's limit.
     pub fn may_be_sent(&self, now_ms: Millis) -> bool {
-        let accepts_requests = self.is_ready(now_ms) && self.paused_until_ms(now_ms).is_none();
+        let accepts_requests = self.is_ready(now_ms) && self.back_off_until_ms(now_ms).is_none();
         accepts_requests && self.waiting.takes_more()
     }
 
--- a/crates/tinbay-gateway/tests/servers_test.rs
+++ b/crates/tinbay-gateway/tests/servers_test.rs
@@ -110,7 +110,7 @@
 fn announce_leaving_and_pause(server: &Server) {
     let notice = AnswerNotice {
         is_leaving: true,
-        rest_ms: Some(60_000),
+        back_off_ms: Some(60_000),
         limit: None,
     };
     server.apply_notice(notice, 1);
@@ -126,7 +126,7 @@
     table.put(record(None, 1));
     let again = table.get("i-1").expect("server i-1 is listed again");
     assert!(again.is_leaving());
-    assert!(again.paused_until_ms(2).is_some());
+    assert!(again.back_off_until_ms(2).is_some());
     table.remove("i-1");
     table.put(record(Some(5), 1));
     assert!(
@@ -172,13 +172,13 @@
     let server = table.get("i-1").expect("server i-1 is listed");
     let notice = AnswerNotice {
         is_leaving: false,
-        rest_ms: Some(60_000),
+        back_off_ms: Some(60_000),
         limit: None,
     };
     server.apply_notice(notice, 1);
     assert!(table.ready("engine").is_empty());
     let end_ms = table.first_available_ms("engine");
-    assert_eq!(end_ms, server.paused_until_ms(1));
+    assert_eq!(end_ms, server.back_off_until_ms(1));
     assert!(server.takes_work(end_ms.expect("the server is paused")));
     assert_eq!(table.first_available_ms("plain"), None);
 }
