--- a/crates/tinbay-core/src/serving/configuration.rs
+++ b/crates/tinbay-core/src/serving/configuration.rs
@@ -108,7 +108,7 @@
     /// Number of adapters that fit at once.
     pub adapter_slots: usize,
     /// Whether engines can hand running requests over to each other.
-    pub moves_runs: bool,
+    pub supports_handover: bool,
     /// Loads per second that the weight store allows over all engines.
     pub loads_per_s: f64,
     /// Memory for weights and adapters together, in MB.
--- a/crates/tinbay-core/tests/serving_contents_test.rs
+++ b/crates/tinbay-core/tests/serving_contents_test.rs
@@ -11,7 +11,7 @@
 fn spec(adapter_slots: usize) -> EngineSpec {
     EngineSpec {
         batch_slots: 32,
-        moves_runs: false,
+        supports_handover: false,
         adapter_slots,
         loads_per_s: 9.3,
         weights_mb: 66_600.0,
--- a/crates/tinbay-core/tests/serving_late_orders_test.rs
+++ b/crates/tinbay-core/tests/serving_late_orders_test.rs
@@ -221,7 +221,7 @@
 fn spec() -> EngineSpec {
     EngineSpec {
         batch_slots: 32,
-        moves_runs: false,
+        supports_handover: false,
         adapter_slots: SLOTS,
         loads_per_s: 9.3,
         weights_mb: 66_600.0,
--- a/crates/tinbay-gateway/src/front/moving/mod.rs
+++ b/crates/tinbay-gateway/src/front/moving/mod.rs
@@ -16,7 +16,7 @@
 use tinbay_core::serving::configuration::RouteKind;
 use tinbay_core::serving::stream_timing::StreamTiming;
 
-use self::mover::NodeMover;
+use self::mover::NodeHandover;
 use self::successor::RunSuccessor;
 use self::target::Target;
 use super::adapters;
@@ -43,7 +43,7 @@
     if !is_stream || is_whole_known || head.status != StatusCode::OK {
         return None;
     }
-    if !moves_runs(node, &inbound.service) {
+    if !supports_handover(node, &inbound.service) {
         return None;
     }
     let source = running.borrow().server();
@@ -53,8 +53,8 @@
     {
         return None;
     }
-    let mover = NodeMover::new(node, inbound, running, body?);
-    Some(Box::new(RunSuccessor::new(mover)))
+    let actions = NodeHandover::new(node, inbound, running, body?);
+    Some(Box::new(RunSuccessor::new(actions)))
 }
 
 /// Has the server that will continue a run load the adapter while the source prefills the prompt.
@@ -87,12 +87,12 @@
     sight: StreamTiming,
     end: Result<(), BodyError>,
 ) {
-    let is_moved = inbound.handover.get() == Some(Handover::Moved);
+    let was_handed_over = inbound.handover.get() == Some(Handover::Moved);
     let allowed_ms = inbound.route.objective_gap_ms;
-    if end.is_err() || is_moved || sight.pieces() < 2 || allowed_ms.is_none() {
+    if end.is_err() || was_handed_over || sight.pieces() < 2 || allowed_ms.is_none() {
         return;
     }
-    if !moves_runs(node, &inbound.service) {
+    if !supports_handover(node, &inbound.service) {
         return;
     }
     let is_late = sight.has_long_pause(allowed_ms);
@@ -104,8 +104,11 @@
 
 /// Whether runs of a service may be handed over: its engines support it, and have enough places to
 /// hold each adapter on two of them.
-fn moves_runs(node: &Node, service: &str) -> bool {
-    let Some(engine) = node.engine_spec(service).filter(|engine| engine.moves_runs) else {
+fn supports_handover(node: &Node, service: &str) -> bool {
+    let Some(engine) = node
+        .engine_spec(service)
+        .filter(|engine| engine.supports_handover)
+    else {
         return false;
     };
     let engines = node.splits.engines(&node.servers, service, node.now_ms());
--- a/crates/tinbay-gateway/src/front/moving/mover.rs
+++ b/crates/tinbay-gateway/src/front/moving/mover.rs
@@ -21,7 +21,7 @@
 use crate::front::deliver::{held_version, most_open};
 use crate::front::headers::{self, Resumption, ServerHeaders};
 use crate::front::inbound::{Handover, InboundRequest};
-use crate::handover::drive::{LocalFuture, Outcome, Resumed, RunMover};
+use crate::handover::drive::{HandoverActions, LocalFuture, Outcome, Resumed};
 use crate::http::body::RequestBody;
 use crate::http::call::{CallError, Reply};
 use crate::http::pool::Trust;
@@ -47,7 +47,7 @@
 const FREE_WITHIN: Duration = Duration::from_millis(500);
 
 /// Hands over one run by calls to its servers.
-pub struct NodeMover {
+pub struct NodeHandover {
     node: Rc<Node>,
     inbound: Rc<InboundRequest>,
     running: Rc<RefCell<RunningRequest>>,
@@ -59,8 +59,8 @@
     begun_ms: Cell<Millis>,
 }
 
-impl NodeMover {
-    /// Creates a mover for the run of a request.
+impl NodeHandover {
+    /// Creates the handover actions for the run of a request.
     pub fn new(
         node: &Rc<Node>,
         inbound: &Rc<InboundRequest>,
@@ -254,14 +254,14 @@
     age_ms: Millis,
 }
 
-impl RunMover for NodeMover {
+impl HandoverActions for NodeHandover {
     type Answer = ContinuedAnswer;
 
     fn find_target(&self) -> LocalFuture<'_, bool> {
         Box::pin(self.search())
     }
 
-    fn ask_move(&self) -> LocalFuture<'_, MoveAnswer> {
+    fn request_handover(&self) -> LocalFuture<'_, MoveAnswer> {
         Box::pin(self.move_run())
     }
 
--- a/crates/tinbay-gateway/src/front/moving/successor.rs
+++ b/crates/tinbay-gateway/src/front/moving/successor.rs
@@ -6,7 +6,7 @@
 
 use bytes::Bytes;
 
-use super::mover::NodeMover;
+use super::mover::NodeHandover;
 use crate::handover::drive::{Outcome, drive};
 use crate::handover::event_gate::EventGate;
 use crate::http::relay::{ContinuedAnswer, Successor};
@@ -20,13 +20,13 @@
 
 impl RunSuccessor {
     /// Creates a handover; it starts when it is first polled.
-    pub fn new(mover: NodeMover) -> Self {
+    pub fn new(actions: NodeHandover) -> Self {
         let gate = Rc::new(EventGate::default());
         let handover = {
             let gate = Rc::clone(&gate);
             async move {
-                let outcome = drive(&mover, &gate).await;
-                mover.note_outcome(&outcome);
+                let outcome = drive(&actions, &gate).await;
+                actions.note_outcome(&outcome);
                 outcome
             }
         };
--- a/crates/tinbay-gateway/src/handover/drive.rs
+++ b/crates/tinbay-gateway/src/handover/drive.rs
@@ -27,7 +27,7 @@
 }
 
 /// The calls to servers that a handover needs.
-pub trait RunMover {
+pub trait HandoverActions {
     /// The answer of a server that resumes a run.
     type Answer;
 
@@ -35,7 +35,7 @@
     fn find_target(&self) -> LocalFuture<'_, bool>;
 
     /// Asks the source to stop the run and copy it to the target.
-    fn ask_move(&self) -> LocalFuture<'_, MoveAnswer>;
+    fn request_handover(&self) -> LocalFuture<'_, MoveAnswer>;
 
     /// Asks a server to resume the run after the event `last_id`.
     fn resume<'a>(
@@ -67,28 +67,28 @@
 
 /// Frees a copy on drop unless a server resumed from it, as the caller may leave at any time.
 struct CopyGuard<'a, A> {
-    mover: &'a dyn RunMover<Answer = A>,
+    actions: &'a dyn HandoverActions<Answer = A>,
     handle: Option<String>,
 }
 
 impl<A> Drop for CopyGuard<'_, A> {
     fn drop(&mut self) {
         if let Some(handle) = &self.handle {
-            self.mover.free(handle);
+            self.actions.free(handle);
         }
     }
 }
 
 /// Hands over a run once its first event has been relayed.
-pub async fn drive<A>(mover: &dyn RunMover<Answer = A>, gate: &EventGate) -> Outcome<A> {
+pub async fn drive<A>(actions: &dyn HandoverActions<Answer = A>, gate: &EventGate) -> Outcome<A> {
     gate.wait_for_event().await;
-    if !mover.find_target().await {
+    if !actions.find_target().await {
         return Outcome::Stays;
     }
-    gate.begin_move();
-    let answer = mover.ask_move().await;
+    gate.begin_handover();
+    let answer = actions.request_handover().await;
     let mut copy = CopyGuard {
-        mover,
+        actions,
         handle: answer.handle().map(str::to_string),
     };
     let mut step = transitions::after_move(answer);
@@ -98,14 +98,14 @@
     }
     loop {
         let Step::Resume { at, handle } = step else {
-            gate.end_move();
+            gate.end_handover();
             return match step {
                 Step::Lost => Outcome::Lost,
                 _ => Outcome::Stays,
             };
         };
         let last_id = gate.last_id().unwrap_or_default();
-        let resumed = mover.resume(at, &handle, last_id).await;
+        let resumed = actions.resume(at, &handle, last_id).await;
         let answer = match &resumed {
             Resumed::Answering(_) => ResumeAnswer::Resumed,
             Resumed::Declined => ResumeAnswer::NotResumed,
--- a/crates/tinbay-gateway/src/handover/event_gate.rs
+++ b/crates/tinbay-gateway/src/handover/event_gate.rs
@@ -14,7 +14,7 @@
     /// The bytes received of an incomplete event.
     tail: RefCell<BytesMut>,
     is_open: Cell<bool>,
-    is_moving: Cell<bool>,
+    is_handing_over: Cell<bool>,
     has_broken_off: Cell<bool>,
     changed: Notify,
 }
@@ -63,18 +63,18 @@
 
     /// Marks that the server is being asked to stop the run; from here on, the end of its answer is
     /// not a failure.
-    pub fn begin_move(&self) {
-        self.is_moving.set(true);
+    pub fn begin_handover(&self) {
+        self.is_handing_over.set(true);
     }
 
     /// Marks that the run was not moved.
-    pub fn end_move(&self) {
-        self.is_moving.set(false);
+    pub fn end_handover(&self) {
+        self.is_handing_over.set(false);
     }
 
     /// Records that the server's answer was cut off; returns whether that is part of a move.
     pub fn note_broken_off(&self) -> bool {
-        if !self.is_moving.get() {
+        if !self.is_handing_over.get() {
             return false;
         }
         self.has_broken_off.set(true);
--- a/crates/tinbay-gateway/tests/handover_test.rs
+++ b/crates/tinbay-gateway/tests/handover_test.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 use tinbay_core::handover::transitions::{MoveAnswer, Place};
-use tinbay_gateway::handover::drive::{LocalFuture, Outcome, Resumed, RunMover, drive};
+use tinbay_gateway::handover::drive::{HandoverActions, LocalFuture, Outcome, Resumed, drive};
 use tinbay_gateway::handover::event_gate::EventGate;
 use tokio::sync::Notify;
 
@@ -24,14 +24,14 @@
     goes_on: Notify,
 }
 
-impl RunMover for FakeServers {
+impl HandoverActions for FakeServers {
     type Answer = Place;
 
     fn find_target(&self) -> LocalFuture<'_, bool> {
         Box::pin(async { self.has_target })
     }
 
-    fn ask_move(&self) -> LocalFuture<'_, MoveAnswer> {
+    fn request_handover(&self) -> LocalFuture<'_, MoveAnswer> {
         Box::pin(async {
             self.asked_to_move.set(true);
             self.move_answer.take().unwrap_or(MoveAnswer::Unknown)
