--- a/crates/tinbay-core/src/serving/subscribers.rs
+++ b/crates/tinbay-core/src/serving/subscribers.rs
@@ -30,11 +30,11 @@
 /// Weight of one report in the average time to the first byte.
 const DELAY_WEIGHT: f64 = 0.15;
 
-/// Half-life of the mistrust in a server after failures.
-pub const MISTRUST_HALF_LIFE_MS: f64 = 1_500.0;
+/// Half-life of the failure penalty of a server.
+pub const FAILURE_PENALTY_HALF_LIFE_MS: f64 = 1_500.0;
 
-/// Upper bound of the mistrust in a server, so that it decays within some half-lives.
-pub const MOST_MISTRUST: f64 = 8.0;
+/// Upper bound of the failure penalty of a server, so that it decays within some half-lives.
+pub const MAX_FAILURE_PENALTY: f64 = 8.0;
 
 /// Requests of one box at a server for one adapter.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
@@ -90,7 +90,7 @@
     by_box: HashMap<String, Subscriber>,
     delay: DecayingValue,
     backlog: Backlog,
-    mistrust: DecayingValue,
+    failure_penalty: DecayingValue,
 }
 
 impl Subscribers {
@@ -151,14 +151,15 @@
     }
 
     /// Records failed requests of a box.
-    pub fn note_failures(&mut self, mistrust: f64, now_ms: Millis) {
-        let sum = self.mistrust(now_ms) + mistrust;
-        self.mistrust = DecayingValue::new(sum.min(MOST_MISTRUST), now_ms);
+    pub fn note_failures(&mut self, failure_penalty: f64, now_ms: Millis) {
+        let sum = self.failure_penalty(now_ms) + failure_penalty;
+        self.failure_penalty = DecayingValue::new(sum.min(MAX_FAILURE_PENALTY), now_ms);
     }
 
-    /// Mistrust in the server over all boxes, decaying with time.
-    pub fn mistrust(&self, now_ms: Millis) -> f64 {
-        self.mistrust.at(MISTRUST_HALF_LIFE_MS, now_ms)
+    /// Failure penalty of the server over all boxes, decaying with time.
+    pub fn failure_penalty(&self, now_ms: Millis) -> f64 {
+        self.failure_penalty
+            .at(FAILURE_PENALTY_HALF_LIFE_MS, now_ms)
     }
 
     /// Number of running requests of all boxes for one adapter.
--- a/crates/tinbay-gateway/src/front/choice.rs
+++ b/crates/tinbay-gateway/src/front/choice.rs
@@ -41,8 +41,8 @@
 /// count as one of its copies: another server would load it in time.
 const SLOW_LOAD_RATIO: f64 = 1.0;
 
-/// Mistrust at which a server does not count as one of the adapter's copies.
-const DISTRUSTED: f64 = 1.5;
+/// Failure penalty at which a server does not count as one of the adapter's copies.
+const EXCLUDING_PENALTY: f64 = 1.5;
 
 /// Number of servers found at their rate limit after which a request considers only servers without
 /// one, as asking for a permit takes some milliseconds each time.
@@ -277,9 +277,9 @@
             }
             let is_outdated = added.presence == Presence::Outdated || survey.is_last_older();
             let is_crowded = added.load >= CROWDED_LOAD;
-            let is_distrusted = node.mistrust(&server) >= DISTRUSTED;
+            let is_penalized = node.failure_penalty(&server) >= EXCLUDING_PENALTY;
             let loads_late = entry.is_none() && added.load_wait >= SLOW_LOAD_RATIO;
-            if is_home && !is_outdated && !is_crowded && !is_distrusted && !loads_late {
+            if is_home && !is_outdated && !is_crowded && !is_penalized && !loads_late {
                 counted += 1;
             }
         }
@@ -449,7 +449,7 @@
     }
 }
 
-/// The load of a server with penalties for mistrust and another zone, and a random tie-breaker.
+/// The load of a server with penalties for failures and another zone, and a random tie-breaker.
 fn load(node: &Node, server: &Server, objective_ms: Millis) -> f64 {
     let distance = if server.record().zone == node.settings.borrow().zone {
         0.0
@@ -457,5 +457,5 @@
         OTHER_ZONE_LOAD
     };
     let tie: f64 = rand::rng().random_range(0.0..TIE_LOAD);
-    node.load(server, objective_ms) + node.mistrust(server) + distance + tie
+    node.load(server, objective_ms) + node.failure_penalty(server) + distance + tie
 }
--- a/crates/tinbay-gateway/src/front/deliver.rs
+++ b/crates/tinbay-gateway/src/front/deliver.rs
@@ -45,14 +45,14 @@
 /// connecting, the transfer, and the server's response that it did not run the request.
 const BEGIN_MARGIN_MS: Millis = 250;
 
-/// Mistrust added after an attempt that may have run but was not answered.
-const MISTRUST_UNKNOWN: f64 = 1.0;
+/// Failure penalty added after an attempt that may have run but was not answered.
+const UNKNOWN_OUTCOME_PENALTY: f64 = 1.0;
 
-/// Mistrust added after a failure to connect.
-const MISTRUST_CONNECT: f64 = 2.0;
+/// Failure penalty added after a failure to connect.
+const CONNECT_FAILURE_PENALTY: f64 = 2.0;
 
-/// Mistrust added after the server declined.
-const MISTRUST_DECLINED: f64 = 0.5;
+/// Failure penalty added after the server declined.
+const DECLINED_PENALTY: f64 = 0.5;
 
 /// The attempts of a request so far.
 #[derive(Debug, Default, Clone)]
@@ -148,7 +148,7 @@
             }
             AttemptResult::NotSent { .. } => {
                 permit.give_back(node, &server);
-                server.add_mistrust(MISTRUST_CONNECT, node.now_ms());
+                server.add_failure_penalty(CONNECT_FAILURE_PENALTY, node.now_ms());
                 tries.note(&server, AttemptEnd::NotRun);
                 // Nothing reached a server, so the next send needs no retry budget.
                 if !may_try_another(node, inbound, &tries, AttemptEnd::NotRun) {
@@ -160,7 +160,7 @@
                 if cause == UnknownCause::Closed {
                     note_cut(node, inbound, &server);
                 }
-                server.add_mistrust(MISTRUST_UNKNOWN, node.now_ms());
+                server.add_failure_penalty(UNKNOWN_OUTCOME_PENALTY, node.now_ms());
                 AttemptEnd::Unknown
             }
         };
@@ -198,7 +198,9 @@
     };
     let sent = hedge::send(node, inbound, terms, outgoing, send_to).await;
     if let Some(failed) = &sent.failed {
-        failed.server.add_mistrust(MISTRUST_UNKNOWN, node.now_ms());
+        failed
+            .server
+            .add_failure_penalty(UNKNOWN_OUTCOME_PENALTY, node.now_ms());
         tries.note(&failed.server, failed.end);
     }
     sent
@@ -212,7 +214,7 @@
             server.note_missing(key);
             node.report_contents_mismatch(server);
         }
-        _ => server.add_mistrust(MISTRUST_DECLINED, node.now_ms()),
+        _ => server.add_failure_penalty(DECLINED_PENALTY, node.now_ms()),
     }
 }
 
--- a/crates/tinbay-gateway/src/node.rs
+++ b/crates/tinbay-gateway/src/node.rs
@@ -560,7 +560,7 @@
             delay: view.delay(now_ms),
             running_elsewhere: view.running_elsewhere(now_ms),
             backlog_ms: view.backlog_ms(now_ms),
-            mistrust: view.mistrust(now_ms),
+            failure_penalty: view.failure_penalty(now_ms),
         }
     }
 
@@ -572,11 +572,11 @@
         }
     }
 
-    /// Distrust of a server: the higher of this box's own and the claim holder's.
-    pub fn mistrust(&self, server: &Server) -> f64 {
+    /// Failure penalty of a server: the higher of this box's own and the claim holder's.
+    pub fn failure_penalty(&self, server: &Server) -> f64 {
         let now_ms = self.now_ms();
-        let told = self.busyness(server, now_ms).mistrust;
-        server.mistrust(now_ms).max(told)
+        let told = self.busyness(server, now_ms).failure_penalty;
+        server.failure_penalty(now_ms).max(told)
     }
 
     /// Whether the claim on a server is held by this box, or by a box that may be alive and
--- a/crates/tinbay-gateway/src/orders/held_server.rs
+++ b/crates/tinbay-gateway/src/orders/held_server.rs
@@ -7,7 +7,7 @@
 use tinbay_core::serving::contents::{AdapterKey, Contents, Held, HeldState, Holding, adapter_key};
 use tinbay_core::serving::servers::{Fingerprint, ServerKey};
 use tinbay_core::serving::spread::Spreads;
-use tinbay_core::serving::subscribers::{ContentsChange, MOST_MISTRUST, Subscribers};
+use tinbay_core::serving::subscribers::{ContentsChange, MAX_FAILURE_PENALTY, Subscribers};
 use tinbay_core::serving::wanted_loads::{WantedLoad, WantedLoads};
 use tinbay_core::sharing::room::AdmissionQueue;
 use tinbay_core::units::Millis;
@@ -20,9 +20,9 @@
 use crate::servers::usage::UsageReport;
 use crate::servers::view::ViewEntry;
 
-/// Mistrust in a server that doesn't answer orders, about that after a failed connection. Mistrust
+/// Failure penalty of a server that doesn't answer orders, about that after a failed connection. It
 /// is the penalty that makes boxes prefer other servers; it decays over time.
-const UNRESPONSIVE_MISTRUST: f64 = 2.0;
+const UNRESPONSIVE_PENALTY: f64 = 2.0;
 
 /// Least interval between checks for a restart of the server. Refusals for other reasons come in
 /// bursts, and each check costs a report.
@@ -38,7 +38,7 @@
     /// Time the server needs for the prompts queued ahead of a new request.
     pub backlog_ms: f64,
     /// Penalty for failed requests of all boxes.
-    pub mistrust: f64,
+    pub failure_penalty: f64,
 }
 
 /// State of a server that this box holds.
@@ -87,14 +87,14 @@
     /// Records that the server doesn't answer orders, so that others are preferred for a while.
     pub fn note_unresponsive(&self, now_ms: Millis) {
         let mut subscribers = self.subscribers.borrow_mut();
-        subscribers.note_failures(UNRESPONSIVE_MISTRUST, now_ms);
+        subscribers.note_failures(UNRESPONSIVE_PENALTY, now_ms);
     }
 
-    /// Records that the server accepted no connection. This raises the mistrust in it to the upper
+    /// Records that the server accepted no connection. This raises its failure penalty to the upper
     /// bound, so that others are preferred for a while.
     pub fn note_unreachable(&self, now_ms: Millis) {
         let mut subscribers = self.subscribers.borrow_mut();
-        subscribers.note_failures(MOST_MISTRUST, now_ms);
+        subscribers.note_failures(MAX_FAILURE_PENALTY, now_ms);
     }
 
     /// Records that a box asked for the server's status.
@@ -136,7 +136,7 @@
         let begun = report.uses.iter().map(|of| usize::from(of.begun)).sum();
         let mut admission = self.admission.borrow_mut();
         admission.note_begun(box_fingerprint(box_id), begun, now_ms);
-        subscribers.note_failures(report.mistrust, now_ms);
+        subscribers.note_failures(report.failure_penalty, now_ms);
         if let Some(delay) = report.delay {
             subscribers.note_delay(delay, now_ms);
         }
@@ -208,7 +208,7 @@
             running_elsewhere: running.min(usize::from(u16::MAX)) as u16,
             delay_percent: to_percent(subscribers.delay(now_ms)),
             backlog_ms: subscribers.backlog_ms(now_ms).min(f64::from(u16::MAX)) as u16,
-            mistrust_percent: to_percent(subscribers.mistrust(now_ms)),
+            failure_penalty_percent: to_percent(subscribers.failure_penalty(now_ms)),
             takes_loads,
             load_wait_ms: self.load_wait_ms().min(f64::from(u16::MAX)) as u16,
             adapters,
@@ -223,7 +223,7 @@
             delay: subscribers.delay(now_ms),
             running_elsewhere: subscribers.running_of_others(box_id, now_ms),
             backlog_ms: subscribers.backlog_ms(now_ms),
-            mistrust: subscribers.mistrust(now_ms),
+            failure_penalty: subscribers.failure_penalty(now_ms),
         }
     }
 
--- a/crates/tinbay-gateway/src/orders/holder.rs
+++ b/crates/tinbay-gateway/src/orders/holder.rs
@@ -585,7 +585,7 @@
             running_elsewhere: busyness.running_elsewhere,
             delay: busyness.delay,
             backlog_ms: busyness.backlog_ms,
-            mistrust: busyness.mistrust,
+            failure_penalty: busyness.failure_penalty,
             takes_loads,
             load_wait_ms: self.held.load_wait_ms(),
             is_scarce: self.held.admission.borrow().is_scarce(),
--- a/crates/tinbay-gateway/src/peers/exchange.rs
+++ b/crates/tinbay-gateway/src/peers/exchange.rs
@@ -234,7 +234,7 @@
     let part = UsagePart {
         server: server.fingerprint(),
         uses: report.uses,
-        mistrust_percent: to_percent(report.mistrust),
+        failure_penalty_percent: to_percent(report.failure_penalty),
         delay_percent: report.delay.map(to_percent),
     };
     Some((holder, FramePart::Usage(part)))
--- a/crates/tinbay-gateway/src/peers/frame.rs
+++ b/crates/tinbay-gateway/src/peers/frame.rs
@@ -220,7 +220,8 @@
     /// Running and newly begun requests by adapter.
     pub uses: Vec<AdapterUse>,
     /// Penalty for failures since the last such part, in percent.
-    pub mistrust_percent: u16,
+    #[serde(rename = "mistrust_percent")]
+    pub failure_penalty_percent: u16,
     /// Last time to the first byte in percent of the objective; `None` if there is no new one.
     pub delay_percent: Option<u16>,
 }
@@ -237,7 +238,8 @@
     /// Time the server needs for the prompts queued ahead of a new request, in ms.
     pub backlog_ms: u16,
     /// Penalty for failed requests of all boxes, in percent.
-    pub mistrust_percent: u16,
+    #[serde(rename = "mistrust_percent")]
+    pub failure_penalty_percent: u16,
     /// Whether the server could begin a load.
     pub takes_loads: bool,
     /// Expected time until a load requested now is finished, in ms.
--- a/crates/tinbay-gateway/src/peers/inbox.rs
+++ b/crates/tinbay-gateway/src/peers/inbox.rs
@@ -219,7 +219,7 @@
     };
     let report = UsageReport {
         uses: part.uses,
-        mistrust: from_percent(part.mistrust_percent),
+        failure_penalty: from_percent(part.failure_penalty_percent),
         delay: part.delay_percent.map(from_percent),
     };
     held.note_usage(node, &server, box_id, report);
@@ -239,7 +239,7 @@
         running_elsewhere: usize::from(part.running_elsewhere),
         delay: from_percent(part.delay_percent),
         backlog_ms: f64::from(part.backlog_ms),
-        mistrust: from_percent(part.mistrust_percent),
+        failure_penalty: from_percent(part.failure_penalty_percent),
         takes_loads: part.takes_loads,
         load_wait_ms: f64::from(part.load_wait_ms),
         is_scarce: part.is_scarce,
--- a/crates/tinbay-gateway/src/servers/server.rs
+++ b/crates/tinbay-gateway/src/servers/server.rs
@@ -9,7 +9,7 @@
 use tinbay_core::serving::notices::AnswerNotice;
 use tinbay_core::serving::server_limit::{LimitNotice, is_significant_change};
 use tinbay_core::serving::servers::{Fingerprint, ServerKey, ServerRecord, ServerState};
-use tinbay_core::serving::subscribers::{MISTRUST_HALF_LIFE_MS, MOST_MISTRUST};
+use tinbay_core::serving::subscribers::{FAILURE_PENALTY_HALF_LIFE_MS, MAX_FAILURE_PENALTY};
 use tinbay_core::units::Millis;
 use tokio::sync::Notify;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
@@ -72,7 +72,7 @@
     slowness: Cell<Slowness>,
     /// End of its slow phase after a start.
     slow_until_ms: Cell<Millis>,
-    mistrust: Cell<(f64, Millis)>,
+    failure_penalty: Cell<(f64, Millis)>,
     displaced_until_ms: Cell<Millis>,
     /// Its limit as last logged and passed on to other boxes.
     reported_limit: Cell<Option<f64>>,
@@ -136,7 +136,7 @@
             waiting: WaitingBytes::default(),
             record: RefCell::new(Rc::new(record.clone())),
             notices,
-            mistrust: Cell::default(),
+            failure_penalty: Cell::default(),
             displaced_until_ms: Cell::default(),
             reported_limit: Cell::default(),
             at_limit_until_ms: Cell::default(),
@@ -345,20 +345,20 @@
 
     /// Penalty for failures, which decays over time: the larger of this box's own value and the
     /// value over all boxes.
-    pub fn mistrust(&self, now_ms: Millis) -> f64 {
-        let reported = self.view.borrow().mistrust(now_ms);
-        self.own_mistrust(now_ms).max(reported)
+    pub fn failure_penalty(&self, now_ms: Millis) -> f64 {
+        let reported = self.view.borrow().failure_penalty(now_ms);
+        self.own_failure_penalty(now_ms).max(reported)
     }
 
-    fn own_mistrust(&self, now_ms: Millis) -> f64 {
-        let (amount, noted_ms) = self.mistrust.get();
-        decayed(amount, noted_ms, MISTRUST_HALF_LIFE_MS, now_ms)
+    fn own_failure_penalty(&self, now_ms: Millis) -> f64 {
+        let (amount, noted_ms) = self.failure_penalty.get();
+        decayed(amount, noted_ms, FAILURE_PENALTY_HALF_LIFE_MS, now_ms)
     }
 
     /// Adds a penalty after a failure.
-    pub fn add_mistrust(&self, amount: f64, now_ms: Millis) {
-        let sum = (self.own_mistrust(now_ms) + amount).min(MOST_MISTRUST);
-        self.mistrust.set((sum, now_ms));
+    pub fn add_failure_penalty(&self, amount: f64, now_ms: Millis) {
+        let sum = (self.own_failure_penalty(now_ms) + amount).min(MAX_FAILURE_PENALTY);
+        self.failure_penalty.set((sum, now_ms));
         self.usage.borrow_mut().note_failure(amount);
     }
 }
--- a/crates/tinbay-gateway/src/servers/usage.rs
+++ b/crates/tinbay-gateway/src/servers/usage.rs
@@ -25,7 +25,7 @@
     is_changed: bool,
     reported_ms: Millis,
     last_delay: Option<f64>,
-    mistrust: f64,
+    failure_penalty: f64,
 }
 
 /// Report of this box's requests to the holder of a server.
@@ -34,7 +34,7 @@
     /// Running and newly begun requests by adapter.
     pub uses: Vec<AdapterUse>,
     /// Penalty for failures since the last report.
-    pub mistrust: f64,
+    pub failure_penalty: f64,
     /// Last time to the first byte as a fraction of its objective; `None` if there is no new one.
     pub delay: Option<f64>,
 }
@@ -78,8 +78,8 @@
     }
 
     /// Adds the penalty of a failure.
-    pub fn note_failure(&mut self, mistrust: f64) {
-        self.mistrust += mistrust;
+    pub fn note_failure(&mut self, failure_penalty: f64) {
+        self.failure_penalty += failure_penalty;
         self.is_changed = true;
     }
 
@@ -110,7 +110,7 @@
         self.reported_ms = now_ms;
         UsageReport {
             uses,
-            mistrust: std::mem::take(&mut self.mistrust),
+            failure_penalty: std::mem::take(&mut self.failure_penalty),
             delay: self.last_delay.take(),
         }
     }
--- a/crates/tinbay-gateway/src/servers/view.rs
+++ b/crates/tinbay-gateway/src/servers/view.rs
@@ -6,7 +6,7 @@
 use tinbay_core::serving::decay::decayed;
 use tinbay_core::serving::prefill::Backlog;
 use tinbay_core::serving::servers::Fingerprint;
-use tinbay_core::serving::subscribers::{ContentsChange, FRESH_MS, MISTRUST_HALF_LIFE_MS};
+use tinbay_core::serving::subscribers::{ContentsChange, FAILURE_PENALTY_HALF_LIFE_MS, FRESH_MS};
 use tinbay_core::units::Millis;
 
 /// Time for which the load and capacity values of a status are used. Its adapters are used for
@@ -42,7 +42,7 @@
     /// Time the server needs for the prompts queued ahead of a new request.
     pub backlog_ms: f64,
     /// Penalty for failed requests of all boxes.
-    pub mistrust: f64,
+    pub failure_penalty: f64,
     /// Whether the server could begin a load.
     pub takes_loads: bool,
     /// Expected time until a load requested now is finished.
@@ -147,9 +147,17 @@
     }
 
     /// Penalty for failed requests of all boxes, which decays over time.
-    pub fn mistrust(&self, now_ms: Millis) -> f64 {
-        let reported = self.status.as_ref().map_or(0.0, |status| status.mistrust);
-        decayed(reported, self.received_ms, MISTRUST_HALF_LIFE_MS, now_ms)
+    pub fn failure_penalty(&self, now_ms: Millis) -> f64 {
+        let reported = self
+            .status
+            .as_ref()
+            .map_or(0.0, |status| status.failure_penalty);
+        decayed(
+            reported,
+            self.received_ms,
+            FAILURE_PENALTY_HALF_LIFE_MS,
+            now_ms,
+        )
     }
 
     /// Whether the server could begin a load; true without a recent status.
--- a/crates/tinbay-gateway/tests/server_view_test.rs
+++ b/crates/tinbay-gateway/tests/server_view_test.rs
@@ -21,7 +21,7 @@
         running_elsewhere: 7,
         delay: 0.5,
         backlog_ms: 300.0,
-        mistrust: 2.0,
+        failure_penalty: 2.0,
         takes_loads: false,
         load_wait_ms: 250.0,
         is_scarce: true,
@@ -74,7 +74,7 @@
     assert_eq!(view.running_elsewhere(3_000), 0);
     assert!(view.takes_loads(3_000));
     assert_eq!(view.backlog_ms(1_100), 200.0);
-    assert!(view.mistrust(2_500) < 1.1);
+    assert!(view.failure_penalty(2_500) < 1.1);
     assert!(view.entry(4).is_some());
 }
 
@@ -117,5 +117,5 @@
     usage.take_report(10);
     assert!(!usage.is_due(60_000));
     usage.note_failure(2.0);
-    assert_eq!(usage.take_report(70_000).mistrust, 2.0);
+    assert_eq!(usage.take_report(70_000).failure_penalty, 2.0);
 }
