--- a/crates/tinbay-core/src/serving/configuration.rs
+++ b/crates/tinbay-core/src/serving/configuration.rs
@@ -97,12 +97,12 @@
     /// Connections that each server accepts from all callers together.
     pub most_connections: usize,
     /// Properties of its model engines; none for plain services.
-    pub engine: Option<EngineSpec>,
+    pub engine: Option<EngineProperties>,
 }
 
 /// Properties of each model engine of a service.
 #[derive(Debug, Clone, PartialEq)]
-pub struct EngineSpec {
+pub struct EngineProperties {
     /// Number of requests in a batch.
     pub batch_slots: usize,
     /// Number of adapters that fit at once.
@@ -130,7 +130,7 @@
     pub adapters: usize,
 }
 
-impl EngineSpec {
+impl EngineProperties {
     /// Total number of adapters over all models.
     pub fn adapters(&self) -> usize {
         self.models.iter().map(|model| model.adapters).sum()
--- a/crates/tinbay-core/src/serving/contents/mod.rs
+++ b/crates/tinbay-core/src/serving/contents/mod.rs
@@ -17,7 +17,7 @@
 use models::BaseModels;
 use unconfirmed::UnconfirmedOrders;
 
-use super::configuration::EngineSpec;
+use super::configuration::EngineProperties;
 use super::servers::{AdapterName, Fingerprint, HeldAdapter, Report};
 use super::wanted_loads::WantedLoad;
 use crate::units::Millis;
@@ -149,7 +149,7 @@
 
 impl Contents {
     /// Creates contents that are unknown until the first report.
-    pub fn new(spec: &EngineSpec, now_ms: Millis) -> Self {
+    pub fn new(spec: &EngineProperties, now_ms: Millis) -> Self {
         Self {
             adapter_slots: spec.adapter_slots,
             models: BaseModels::new(spec),
--- a/crates/tinbay-core/src/serving/contents/models.rs
+++ b/crates/tinbay-core/src/serving/contents/models.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 
 use super::held::HeldState;
-use crate::serving::configuration::{EngineSpec, ModelSpec};
+use crate::serving::configuration::{EngineProperties, ModelSpec};
 use crate::units::Millis;
 
 /// Interval between polls of the load of a model, which takes some hundred milliseconds.
@@ -26,7 +26,7 @@
 
 impl BaseModels {
     /// Creates the state without any model.
-    pub fn new(spec: &EngineSpec) -> Self {
+    pub fn new(spec: &EngineProperties) -> Self {
         Self {
             specs: spec.models.clone(),
             memory_mb: spec.weights_mb,
--- a/crates/tinbay-core/tests/serving_contents_test.rs
+++ b/crates/tinbay-core/tests/serving_contents_test.rs
@@ -1,15 +1,15 @@
 //! What a holder orders: never more adapters than slots, no adapter twice, and the newest versions.
 
 use quickcheck::QuickCheck;
-use tinbay_core::serving::configuration::{EngineSpec, ModelSpec};
+use tinbay_core::serving::configuration::{EngineProperties, ModelSpec};
 use tinbay_core::serving::contents::{
     Action, AdapterKey, Contents, HeldState, ModelAllowance, OrderAnswer, OrderContext, adapter_key,
 };
 use tinbay_core::serving::servers::{HeldAdapter, Report};
 use tinbay_core::serving::wanted_loads::WantedLoad;
 
-fn spec(adapter_slots: usize) -> EngineSpec {
-    EngineSpec {
+fn spec(adapter_slots: usize) -> EngineProperties {
+    EngineProperties {
         batch_slots: 32,
         supports_handover: false,
         adapter_slots,
--- a/crates/tinbay-core/tests/serving_late_orders_test.rs
+++ b/crates/tinbay-core/tests/serving_late_orders_test.rs
@@ -4,7 +4,7 @@
 
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
-use tinbay_core::serving::configuration::{EngineSpec, ModelSpec};
+use tinbay_core::serving::configuration::{EngineProperties, ModelSpec};
 use tinbay_core::serving::contents::{
     Action, AdapterKey, Contents, ModelAllowance, OrderAnswer, OrderContext, adapter_key,
 };
@@ -218,8 +218,8 @@
     }
 }
 
-fn spec() -> EngineSpec {
-    EngineSpec {
+fn spec() -> EngineProperties {
+    EngineProperties {
         batch_slots: 32,
         supports_handover: false,
         adapter_slots: SLOTS,
--- a/crates/tinbay-gateway/src/front/moving/mod.rs
+++ b/crates/tinbay-gateway/src/front/moving/mod.rs
@@ -106,7 +106,7 @@
 /// hold each adapter on two of them.
 fn supports_handover(node: &Node, service: &str) -> bool {
     let Some(engine) = node
-        .engine_spec(service)
+        .engine_properties(service)
         .filter(|engine| engine.supports_handover)
     else {
         return false;
--- a/crates/tinbay-gateway/src/node.rs
+++ b/crates/tinbay-gateway/src/node.rs
@@ -10,7 +10,7 @@
 use tinbay_core::memory::terms::MemoryTerms;
 use tinbay_core::serving::budget::AttemptBudget;
 use tinbay_core::serving::claims::{ClaimTable, ClaimTerms, Proof};
-use tinbay_core::serving::configuration::{Configuration, EngineSpec, Limits};
+use tinbay_core::serving::configuration::{Configuration, EngineProperties, Limits};
 use tinbay_core::serving::contents::AdapterKey;
 use tinbay_core::serving::pacing::LoadQuotaCounter;
 use tinbay_core::serving::position::Era;
@@ -423,7 +423,7 @@
     }
 
     /// Capacity of the engines of a service.
-    pub fn engine_spec(&self, service: &str) -> Option<EngineSpec> {
+    pub fn engine_properties(&self, service: &str) -> Option<EngineProperties> {
         let in_force = self.in_force()?;
         in_force.configuration.services.get(service)?.engine.clone()
     }
--- a/crates/tinbay-gateway/src/orders/held_server.rs
+++ b/crates/tinbay-gateway/src/orders/held_server.rs
@@ -3,7 +3,7 @@
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 
-use tinbay_core::serving::configuration::EngineSpec;
+use tinbay_core::serving::configuration::EngineProperties;
 use tinbay_core::serving::contents::{AdapterKey, Contents, Held, HeldState, Holding, adapter_key};
 use tinbay_core::serving::servers::{Fingerprint, ServerKey};
 use tinbay_core::serving::spread::Spreads;
@@ -61,7 +61,7 @@
 
 impl HeldServer {
     /// Creates the state of a server whose contents are still unknown.
-    pub fn new(spec: &EngineSpec, now_ms: Millis) -> Self {
+    pub fn new(spec: &EngineProperties, now_ms: Millis) -> Self {
         Self {
             contents: RefCell::new(Contents::new(spec, now_ms)),
             wants: RefCell::default(),
--- a/crates/tinbay-gateway/src/orders/holder.rs
+++ b/crates/tinbay-gateway/src/orders/holder.rs
@@ -108,7 +108,7 @@
     if node.held_servers.borrow().contains_key(&server.key) {
         return;
     }
-    let Some(spec) = node.engine_spec(&server.record().service) else {
+    let Some(spec) = node.engine_properties(&server.record().service) else {
         return;
     };
     let held = Rc::new(HeldServer::new(&spec, node.now_ms()));
