--- a/crates/tinbay-core/src/hedge.rs
+++ b/crates/tinbay-core/src/hedge.rs
@@ -4,7 +4,7 @@
 //! Hedging helps against servers that are briefly slow or silent when the latency objective is only
 //! a few times the usual latency.
 
-use crate::pace::answer_times::AnswerTimes;
+use crate::pace::answer_times::ResponseTimes;
 use crate::units::Millis;
 
 /// Quantile of the answer times after which a request is hedged: one in twenty is, and most of the
@@ -29,7 +29,7 @@
 }
 
 /// Time after which the request is sent to a second server; `None` if it is not hedged.
-pub fn hedge_after_ms(case: &HedgeCase, times: &AnswerTimes) -> Option<Millis> {
+pub fn hedge_after_ms(case: &HedgeCase, times: &ResponseTimes) -> Option<Millis> {
     if !case.is_repeatable || !case.is_plain || case.sends_left == 0 {
         return None;
     }
--- a/crates/tinbay-core/src/pace/answer_times.rs
+++ b/crates/tinbay-core/src/pace/answer_times.rs
@@ -32,13 +32,13 @@
 /// Histogram of the response times of a service, in the newest half of the window and the one
 /// before.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct AnswerTimes {
+pub struct ResponseTimes {
     newest: Half,
     before: Half,
     began_ms: Millis,
 }
 
-impl AnswerTimes {
+impl ResponseTimes {
     /// Records the response time of an answer, or the time after which an answer was no longer
     /// awaited.
     pub fn note(&mut self, took_ms: f64, now_ms: Millis) {
--- a/crates/tinbay-core/tests/hedge_test.rs
+++ b/crates/tinbay-core/tests/hedge_test.rs
@@ -2,7 +2,7 @@
 
 use quickcheck::QuickCheck;
 use tinbay_core::hedge::{HedgeCase, hedge_after_ms};
-use tinbay_core::pace::answer_times::AnswerTimes;
+use tinbay_core::pace::answer_times::ResponseTimes;
 use tinbay_core::serving::budget::{AttemptBudget, BudgetTerms};
 use tinbay_core::units::Millis;
 
@@ -22,8 +22,8 @@
 }
 
 /// Answer times of 20 ms, and 60 ms for one in ten.
-fn times() -> AnswerTimes {
-    let mut times = AnswerTimes::default();
+fn times() -> ResponseTimes {
+    let mut times = ResponseTimes::default();
     for number in 0..100 {
         let took_ms = if number % 10 == 0 { 60.0 } else { 20.0 };
         times.note(took_ms, 0);
@@ -76,7 +76,7 @@
 
 #[test]
 fn hedge_before_answers_are_known_is_none() {
-    assert_eq!(hedge_after_ms(&case(), &AnswerTimes::default()), None);
+    assert_eq!(hedge_after_ms(&case(), &ResponseTimes::default()), None);
 }
 
 #[test]
--- a/crates/tinbay-core/tests/pace_test.rs
+++ b/crates/tinbay-core/tests/pace_test.rs
@@ -3,7 +3,7 @@
 
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
-use tinbay_core::pace::answer_times::{AnswerTimes, MIN_ANSWERS};
+use tinbay_core::pace::answer_times::{ResponseTimes, MIN_ANSWERS};
 use tinbay_core::pace::slowness::{Slowness, slowed_load};
 use tinbay_core::units::Millis;
 
@@ -18,8 +18,8 @@
 /// Interval between the requests of one box.
 const REQUEST_INTERVAL_MS: Millis = 40;
 
-fn times_of(answers: impl Iterator<Item = f64>) -> AnswerTimes {
-    let mut times = AnswerTimes::default();
+fn times_of(answers: impl Iterator<Item = f64>) -> ResponseTimes {
+    let mut times = ResponseTimes::default();
     for took_ms in answers {
         times.note(took_ms, 0);
     }
--- a/crates/tinbay-gateway/src/servers/service.rs
+++ b/crates/tinbay-gateway/src/servers/service.rs
@@ -3,7 +3,7 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 
-use tinbay_core::pace::answer_times::AnswerTimes;
+use tinbay_core::pace::answer_times::ResponseTimes;
 
 use crate::http::reuse::ReuseLedger;
 
@@ -13,7 +13,7 @@
     /// How long idle connections can be reused safely.
     pub reuse: Rc<ReuseLedger>,
     /// Distribution of answer times.
-    pub times: RefCell<AnswerTimes>,
+    pub times: RefCell<ResponseTimes>,
 }
 
 impl ServiceStats {
