--- a/crates/tinbay-core/src/engine/contents.rs
+++ b/crates/tinbay-core/src/engine/contents.rs
@@ -2,7 +2,7 @@
 
 use super::owner::{EngineOwner, FailedLoads, backoff_ms, refuse};
 use super::slots::{Slot, SlotState};
-use super::{Command, EngineContents, Refusal};
+use super::{Command, EngineContents, RefusalReason};
 use crate::ids::ModelRef;
 use crate::units::Millis;
 
@@ -42,7 +42,7 @@
             .insert(model.clone(), FailedLoads { count, retry_ms });
         for id in self.queue.waiting_for(model) {
             self.queue.remove(id);
-            out.push(refuse(id, Refusal::LoadFailed, backoff_ms));
+            out.push(refuse(id, RefusalReason::LoadFailed, backoff_ms));
         }
     }
 
--- a/crates/tinbay-core/src/engine/mod.rs
+++ b/crates/tinbay-core/src/engine/mod.rs
@@ -126,7 +126,7 @@
         /// Request to refuse.
         id: RequestId,
         /// Cause of the refusal.
-        reason: Refusal,
+        reason: RefusalReason,
         /// Earliest useful time for a retry, from now.
         retry_after_ms: Millis,
     },
@@ -135,7 +135,7 @@
 /// Why a request did not run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Refusal {
+pub enum RefusalReason {
     /// By the estimate it would start after its latest start time.
     Overloaded,
     /// Its latest start time passed in the queue.
--- a/crates/tinbay-core/src/engine/owner.rs
+++ b/crates/tinbay-core/src/engine/owner.rs
@@ -8,7 +8,7 @@
 use super::queue::Queue;
 use super::settings::OwnerSettings;
 use super::slots::{Slot, SlotState, Slots};
-use super::{Command, EngineShape, Event, QueuedRequest, Refusal, Scheduler};
+use super::{Command, EngineShape, Event, QueuedRequest, RefusalReason, Scheduler};
 use crate::ids::{ModelRef, RequestId};
 use crate::rendezvous;
 use crate::units::Millis;
@@ -108,17 +108,17 @@
 
     fn submit(&mut self, now_ms: Millis, ask: QueuedRequest, out: &mut Vec<Command>) {
         if self.leaving {
-            out.push(refuse(ask.id, Refusal::EngineLeaves, 0));
+            out.push(refuse(ask.id, RefusalReason::EngineLeaves, 0));
             return;
         }
         if self.is_backing_off(&ask.model, now_ms) {
-            out.push(refuse(ask.id, Refusal::LoadFailed, LOAD_BACKOFF_MS));
+            out.push(refuse(ask.id, RefusalReason::LoadFailed, LOAD_BACKOFF_MS));
             return;
         }
         let wait_ms = self.estimate_wait_ms(now_ms, &ask);
         if now_ms + wait_ms > ask.start_by_ms {
             let late_ms = now_ms + wait_ms - ask.start_by_ms;
-            out.push(refuse(ask.id, Refusal::Overloaded, late_ms.max(1)));
+            out.push(refuse(ask.id, RefusalReason::Overloaded, late_ms.max(1)));
             return;
         }
         if let Some(slot) = self.slots.get_mut(&ask.model) {
@@ -172,16 +172,16 @@
 
     fn release(&mut self, out: &mut Vec<Command>) {
         self.learnt = false;
-        self.refuse_all(Refusal::NotOwner, out);
+        self.refuse_all(RefusalReason::NotOwner, out);
     }
 
     /// Refuses all requests until the engine reports its contents again after a restart.
     fn leave(&mut self, out: &mut Vec<Command>) {
         self.leaving = true;
-        self.refuse_all(Refusal::EngineLeaves, out);
+        self.refuse_all(RefusalReason::EngineLeaves, out);
     }
 
-    fn refuse_all(&mut self, reason: Refusal, out: &mut Vec<Command>) {
+    fn refuse_all(&mut self, reason: RefusalReason, out: &mut Vec<Command>) {
         for id in self.queue.ids() {
             self.queue.remove(id);
             out.push(refuse(id, reason, 0));
@@ -192,7 +192,7 @@
         while let Some(id) = self.queue.first_expired(now_ms) {
             let rank = self.queue.remove(id).map_or(0, |ask| ask.rank);
             let retry_after_ms = self.expected_wait_ms(now_ms, rank).max(1);
-            out.push(refuse(id, Refusal::DeadlinePassed, retry_after_ms));
+            out.push(refuse(id, RefusalReason::DeadlinePassed, retry_after_ms));
         }
     }
 
@@ -204,7 +204,7 @@
             let Some(slot) = self.slots.get_mut(&ask.model) else {
                 // A dispatchable model always has a slot. If that were violated, the caller would
                 // still need an answer.
-                out.push(refuse(id, Refusal::LoadFailed, 0));
+                out.push(refuse(id, RefusalReason::LoadFailed, 0));
                 continue;
             };
             slot.serving += 1;
@@ -308,7 +308,7 @@
 }
 
 /// Builds the command that refuses a request.
-pub(super) fn refuse(id: RequestId, reason: Refusal, retry_after_ms: Millis) -> Command {
+pub(super) fn refuse(id: RequestId, reason: RefusalReason, retry_after_ms: Millis) -> Command {
     Command::Refuse {
         id,
         reason,
--- a/crates/tinbay-core/src/naive.rs
+++ b/crates/tinbay-core/src/naive.rs
@@ -5,7 +5,7 @@
 
 use std::collections::{HashMap, VecDeque};
 
-use crate::engine::{Command, EngineShape, Event, QueuedRequest, Refusal, Scheduler};
+use crate::engine::{Command, EngineShape, Event, QueuedRequest, RefusalReason, Scheduler};
 use crate::ids::{ModelRef, RequestId};
 use crate::units::Millis;
 
@@ -135,7 +135,7 @@
         for ask in self.queue.iter().filter(|ask| failed(ask)) {
             out.push(Command::Refuse {
                 id: ask.id,
-                reason: Refusal::LoadFailed,
+                reason: RefusalReason::LoadFailed,
                 retry_after_ms: 0,
             });
         }
--- a/crates/tinbay-core/tests/owner_test.rs
+++ b/crates/tinbay-core/tests/owner_test.rs
@@ -4,7 +4,8 @@
 
 use common::{Bench, Fate, ask, model};
 use tinbay_core::engine::{
-    Command, EngineContents, EngineOwner, EngineShape, Event, OwnerSettings, Refusal, Scheduler,
+    Command, EngineContents, EngineOwner, EngineShape, Event, OwnerSettings, RefusalReason,
+    Scheduler,
 };
 use tinbay_core::ids::RequestId;
 
@@ -214,7 +215,7 @@
     let commands = owner.handle(10, Event::Released);
     let refused = Command::Refuse {
         id: RequestId(1),
-        reason: Refusal::NotOwner,
+        reason: RefusalReason::NotOwner,
         retry_after_ms: 0,
     };
     assert!(commands.contains(&refused));
--- a/crates/tinbay-core/tests/pace_test.rs
+++ b/crates/tinbay-core/tests/pace_test.rs
@@ -3,7 +3,7 @@
 
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
-use tinbay_core::pace::answer_times::{ResponseTimes, MIN_ANSWERS};
+use tinbay_core::pace::answer_times::{MIN_ANSWERS, ResponseTimes};
 use tinbay_core::pace::slowness::{Slowness, slowed_load};
 use tinbay_core::units::Millis;
 
--- a/crates/tinbay-experiment/src/run.rs
+++ b/crates/tinbay-experiment/src/run.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BinaryHeap, HashMap};
 
 use tinbay_core::engine::{
-    Command, EngineContents, EngineShape, Event, QueuedRequest, Refusal, Scheduler,
+    Command, EngineContents, EngineShape, Event, QueuedRequest, RefusalReason, Scheduler,
 };
 use tinbay_core::ids::{EngineId, ModelRef, RequestId};
 use tinbay_core::loads::{LoadArbiter, LoadRequest};
@@ -381,11 +381,11 @@
             }
             Command::Dispatch { id, stall_ms } => self.start(engine, id, stall_ms),
             Command::Refuse { id, reason, .. } => match reason {
-                Refusal::DeadlinePassed => self.refuse(id),
-                Refusal::Overloaded
-                | Refusal::LoadFailed
-                | Refusal::NotOwner
-                | Refusal::EngineLeaves => self.try_next(id),
+                RefusalReason::DeadlinePassed => self.refuse(id),
+                RefusalReason::Overloaded
+                | RefusalReason::LoadFailed
+                | RefusalReason::NotOwner
+                | RefusalReason::EngineLeaves => self.try_next(id),
             },
         }
     }
--- a/crates/tinbay-node/src/entry/local.rs
+++ b/crates/tinbay-node/src/entry/local.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use tinbay_core::engine::{Event, QueuedRequest, Refusal};
+use tinbay_core::engine::{Event, QueuedRequest, RefusalReason};
 use tinbay_core::ids::EngineId;
 use tinbay_core::units::Millis;
 use tinbay_core::vacancy::OwnerLoss;
@@ -236,13 +236,13 @@
     }
 }
 
-fn to_attempt_error(reason: Refusal, retry_after_ms: Millis) -> AttemptError {
+fn to_attempt_error(reason: RefusalReason, retry_after_ms: Millis) -> AttemptError {
     let failure = match reason {
-        Refusal::Overloaded => Failure::Overloaded { retry_after_ms },
-        Refusal::DeadlinePassed => Failure::DeadlinePassed { retry_after_ms },
-        Refusal::LoadFailed => Failure::LoadFailed { retry_after_ms },
-        Refusal::NotOwner => return AttemptError::owner_lost(OwnerLoss::TakingOver),
-        Refusal::EngineLeaves => Failure::EngineLeaves,
+        RefusalReason::Overloaded => Failure::Overloaded { retry_after_ms },
+        RefusalReason::DeadlinePassed => Failure::DeadlinePassed { retry_after_ms },
+        RefusalReason::LoadFailed => Failure::LoadFailed { retry_after_ms },
+        RefusalReason::NotOwner => return AttemptError::owner_lost(OwnerLoss::TakingOver),
+        RefusalReason::EngineLeaves => Failure::EngineLeaves,
     };
     AttemptError::not_run(failure)
 }
--- a/crates/tinbay-node/src/owners/owned.rs
+++ b/crates/tinbay-node/src/owners/owned.rs
@@ -6,7 +6,7 @@
 use tinbay_core::config::EngineSpec;
 use tinbay_core::engine::{
     Command, EngineContents, EngineOwner, EngineShape, Event, OwnerSettings, QueuedRequest,
-    Refusal, Scheduler,
+    RefusalReason, Scheduler,
 };
 use tinbay_core::fence::{Fence, Order};
 use tinbay_core::ids::{BoxId, ModelRef, RequestId};
@@ -33,7 +33,7 @@
     /// The request does not run here.
     Refused {
         /// Why the scheduler refused it.
-        reason: Refusal,
+        reason: RefusalReason,
         /// Delay after which a retry may succeed.
         retry_after_ms: Millis,
     },
@@ -202,7 +202,7 @@
     /// Queues a request and waits until it may run or is refused; `name` is its name at the engine.
     pub async fn submit(self: &Arc<Self>, ask: QueuedRequest, name: &str) -> QueueOutcome {
         let refused = QueueOutcome::Refused {
-            reason: Refusal::NotOwner,
+            reason: RefusalReason::NotOwner,
             retry_after_ms: 0,
         };
         let id = ask.id;
