--- a/crates/tinbay-core/src/keys.rs
+++ b/crates/tinbay-core/src/keys.rs
@@ -73,7 +73,7 @@
 
 /// The home's answer to a claim.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Claim {
+pub enum ClaimAnswer {
     /// First use: the claimant may run the request.
     Granted,
     /// The request is running or was answered, and must not run again.
@@ -111,21 +111,21 @@
     }
 
     /// Claims permission to run the request identified by `key`.
-    pub fn claim(&mut self, key: &RequestKey, wall_ms: Millis) -> Claim {
+    pub fn claim(&mut self, key: &RequestKey, wall_ms: Millis) -> ClaimAnswer {
         self.forget_expired(wall_ms);
         if !self.can_judge(key, wall_ms) {
-            return Claim::Unknown;
+            return ClaimAnswer::Unknown;
         }
         match self.entries.get(key) {
-            Some(Entry::Claimed) => Claim::Used,
+            Some(Entry::Claimed) => ClaimAnswer::Used,
             Some(Entry::NotRun) => {
                 self.entries.insert(key.clone(), Entry::Claimed);
-                Claim::Regranted
+                ClaimAnswer::Regranted
             }
             None => {
                 self.entries.insert(key.clone(), Entry::Claimed);
                 self.by_age.insert((key.minted_ms, key.nonce));
-                Claim::Granted
+                ClaimAnswer::Granted
             }
         }
     }
--- a/crates/tinbay-core/tests/keys_test.rs
+++ b/crates/tinbay-core/tests/keys_test.rs
@@ -2,7 +2,7 @@
 
 use quickcheck::{QuickCheck, TestResult};
 use tinbay_core::ids::BoxId;
-use tinbay_core::keys::{CLOCK_SKEW_MS, Claim, KEY_LIFE_MS, KeyTable, RequestKey};
+use tinbay_core::keys::{CLOCK_SKEW_MS, ClaimAnswer, KEY_LIFE_MS, KeyTable, RequestKey};
 
 fn key(incarnation: u64, minted_ms: u64, nonce: u64) -> RequestKey {
     RequestKey {
@@ -21,17 +21,17 @@
 fn claim_first_is_granted_second_is_used() {
     let mut table = table();
     let key = key(7, 1_000, 1);
-    assert_eq!(table.claim(&key, 1_000), Claim::Granted);
-    assert_eq!(table.claim(&key, 2_000), Claim::Used);
+    assert_eq!(table.claim(&key, 1_000), ClaimAnswer::Granted);
+    assert_eq!(table.claim(&key, 2_000), ClaimAnswer::Used);
 }
 
 #[test]
 fn claim_of_another_run_is_unknown() {
     let mut table = table();
-    assert_eq!(table.claim(&key(6, 1_000, 1), 1_000), Claim::Unknown);
+    assert_eq!(table.claim(&key(6, 1_000, 1), 1_000), ClaimAnswer::Unknown);
     let mut foreign = key(7, 1_000, 1);
     foreign.home = BoxId::new("box-2");
-    assert_eq!(table.claim(&foreign, 1_000), Claim::Unknown);
+    assert_eq!(table.claim(&foreign, 1_000), ClaimAnswer::Unknown);
 }
 
 #[test]
@@ -40,11 +40,11 @@
     let now_ms = 10 * KEY_LIFE_MS;
     assert_eq!(
         table.claim(&key(7, now_ms - KEY_LIFE_MS, 1), now_ms),
-        Claim::Unknown
+        ClaimAnswer::Unknown
     );
     assert_eq!(
         table.claim(&key(7, now_ms + CLOCK_SKEW_MS + 1, 2), now_ms),
-        Claim::Unknown
+        ClaimAnswer::Unknown
     );
 }
 
@@ -52,10 +52,10 @@
 fn release_not_run_allows_one_more() {
     let mut table = table();
     let key = key(7, 1_000, 1);
-    assert_eq!(table.claim(&key, 1_000), Claim::Granted);
+    assert_eq!(table.claim(&key, 1_000), ClaimAnswer::Granted);
     table.release_not_run(&key);
-    assert_eq!(table.claim(&key, 1_000), Claim::Regranted);
-    assert_eq!(table.claim(&key, 1_000), Claim::Used);
+    assert_eq!(table.claim(&key, 1_000), ClaimAnswer::Regranted);
+    assert_eq!(table.claim(&key, 1_000), ClaimAnswer::Used);
 }
 
 #[test]
@@ -78,7 +78,7 @@
         for (nonce, wall_ms) in claims {
             let wall_ms = u64::from(wall_ms);
             let key = key(7, 1_000_000, u64::from(nonce));
-            if table.claim(&key, wall_ms) == Claim::Granted {
+            if table.claim(&key, wall_ms) == ClaimAnswer::Granted {
                 granted[usize::from(nonce)] += 1;
             }
         }
--- a/crates/tinbay-node/src/filters/claim.rs
+++ b/crates/tinbay-node/src/filters/claim.rs
@@ -5,7 +5,7 @@
 
 use futures_util::FutureExt;
 use futures_util::future::LocalBoxFuture;
-use tinbay_core::keys::{Claim, RequestKey};
+use tinbay_core::keys::{ClaimAnswer, RequestKey};
 use tinbay_wire::control::{Message, Reply};
 
 use super::{Context, Failure, Filter};
@@ -38,29 +38,29 @@
                 return Ok(());
             };
             match claim(node, &key).await {
-                Claim::Granted | Claim::Regranted => {
+                ClaimAnswer::Granted | ClaimAnswer::Regranted => {
                     context.key_claim.key = Some(key);
                     Ok(())
                 }
-                Claim::Used => Err(Failure::AlreadyUsed),
-                Claim::Unknown => Err(Failure::OutcomeUnknown),
+                ClaimAnswer::Used => Err(Failure::AlreadyUsed),
+                ClaimAnswer::Unknown => Err(Failure::OutcomeUnknown),
             }
         }
         .boxed_local()
     }
 }
 
-async fn claim(node: &Node, key: &RequestKey) -> Claim {
+async fn claim(node: &Node, key: &RequestKey) -> ClaimAnswer {
     if key.home == *node.id() {
         return lock(&node.keys).claim(key, wall_ms());
     }
     let Some(address) = home_address(node, key) else {
-        return Claim::Unknown;
+        return ClaimAnswer::Unknown;
     };
     match node.ask_soon(&address, Message::Claim(key.clone())).await {
         Ok(Reply::Claim(claim)) => claim,
         // The home may have granted the claim, so the request must not run here or elsewhere.
-        _ => Claim::Unknown,
+        _ => ClaimAnswer::Unknown,
     }
 }
 
--- a/crates/tinbay-wire/src/control.rs
+++ b/crates/tinbay-wire/src/control.rs
@@ -4,7 +4,7 @@
 use tinbay_core::config::ConfigUpdate;
 use tinbay_core::fence::MAX_SUCCESSION;
 use tinbay_core::ids::{BoxId, EngineId, Incarnation, ModelRef};
-use tinbay_core::keys::{Claim, RequestKey};
+use tinbay_core::keys::{ClaimAnswer, RequestKey};
 use tinbay_core::loads::LoadRequest;
 use tinbay_core::units::{Millis, Revision};
 use tinbay_core::view::{BoxRecord, BoxRun};
@@ -115,7 +115,7 @@
     /// To a heartbeat.
     View(ViewUpdate),
     /// To a claim.
-    Claim(Claim),
+    Claim(ClaimAnswer),
     /// To a request for a load, once it is granted.
     LoadGranted,
     /// To a request for configuration.
