--- a/crates/tinbay-core/benches/decisions.rs
+++ b/crates/tinbay-core/benches/decisions.rs
@@ -13,7 +13,7 @@
 use tinbay_core::loads::{Allowance, LoadArbiter, LoadRequest};
 use tinbay_core::policy::{Policy, PolicyRequest, Treatment};
 use tinbay_core::route::Router;
-use tinbay_core::sharing::room::{AdmissionId, AdmissionQueue, AdmissionRequest};
+use tinbay_core::sharing::admission::{AdmissionId, AdmissionQueue, AdmissionRequest};
 use tinbay_core::sharing::scarcity::ServerLoad;
 use tinbay_core::sharing::weights::AccountWeights;
 use tinbay_core::view::{BoxRecord, BoxState, View};
--- a/crates/tinbay-core/src/sharing/mod.rs
+++ b/crates/tinbay-core/src/sharing/mod.rs
@@ -10,9 +10,9 @@
 //! No I/O, and no clock: callers pass the time in.
 
 pub mod accounts;
+pub mod admission;
 pub mod order;
 pub mod places;
 pub mod returns;
-pub mod room;
 pub mod scarcity;
 pub mod weights;
--- a/crates/tinbay-core/tests/sharing_test.rs
+++ b/crates/tinbay-core/tests/sharing_test.rs
@@ -7,7 +7,7 @@
 use tinbay_core::accounts::account::{Account, LimitUnit};
 use tinbay_core::limits::terms::Limit;
 use tinbay_core::serving::servers::Fingerprint;
-use tinbay_core::sharing::room::{
+use tinbay_core::sharing::admission::{
     AdmissionAnswer, AdmissionId, AdmissionQueue, AdmissionRequest, Decision,
 };
 use tinbay_core::sharing::scarcity::{Scarcity, ServerLoad};
--- a/crates/tinbay-gateway/src/orders/held_server.rs
+++ b/crates/tinbay-gateway/src/orders/held_server.rs
@@ -9,7 +9,7 @@
 use tinbay_core::serving::spread::Spreads;
 use tinbay_core::serving::subscribers::{ContentsChange, MAX_FAILURE_PENALTY, Subscribers};
 use tinbay_core::serving::wanted_loads::{WantedLoad, WantedLoads};
-use tinbay_core::sharing::room::AdmissionQueue;
+use tinbay_core::sharing::admission::AdmissionQueue;
 use tinbay_core::units::Millis;
 
 use crate::limits::notices;
--- a/crates/tinbay-gateway/src/sharing/holder.rs
+++ b/crates/tinbay-gateway/src/sharing/holder.rs
@@ -5,7 +5,7 @@
 use log::Level;
 use serde::Serialize;
 use tinbay_core::serving::servers::Fingerprint;
-use tinbay_core::sharing::room::Decision;
+use tinbay_core::sharing::admission::Decision;
 use tinbay_core::sharing::scarcity::ServerLoad;
 use tinbay_core::units::Millis;
 
--- a/crates/tinbay-gateway/src/sharing/messages.rs
+++ b/crates/tinbay-gateway/src/sharing/messages.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 use tinbay_core::serving::servers::Fingerprint;
-use tinbay_core::sharing::room::{AdmissionAnswer, AdmissionId, AdmissionRequest};
+use tinbay_core::sharing::admission::{AdmissionAnswer, AdmissionId, AdmissionRequest};
 use tinbay_core::units::Millis;
 
 /// Request for capacity at a server that the receiver holds.
