--- a/crates/tinbay-gateway/src/front/deliver.rs
+++ b/crates/tinbay-gateway/src/front/deliver.rs
@@ -10,6 +10,7 @@
 use tinbay_core::units::Millis;
 
 use super::adapters;
+use super::admission::{self, Admission};
 use super::attempt::{AttemptResult, AttemptTerms, BegunAnswer, UnknownCause, attempt};
 use super::choice::{self, Choice, HolderRequests};
 use super::headers::{self, ServerHeaders};
@@ -18,7 +19,6 @@
 use super::moving;
 use super::refusal::{NotRunReason, Refusal};
 use super::request_log::{Ending, log_end, log_try};
-use super::room::{self, Admission};
 use crate::crashes::{self, check, check::CutRequest};
 use crate::http::body::{AnswerBody, BodyError, RequestBody};
 use crate::http::pool::Trust;
@@ -96,7 +96,7 @@
         if is_quarantined(node, inbound).await {
             return Err(give_up_crashing(node, inbound, &tries));
         }
-        match room::take(node, inbound, &server, &tries.tried).await {
+        match admission::take(node, inbound, &server, &tries.tried).await {
             Ok(Admission::Here) => {}
             Ok(Admission::Elsewhere) => continue,
             Err(refusal) if tries.tried.is_empty() => return Err(refusal),
--- a/crates/tinbay-gateway/src/front/mod.rs
+++ b/crates/tinbay-gateway/src/front/mod.rs
@@ -1,6 +1,7 @@
 //! Accepts callers' requests, proxies them to servers and relays the answers.
 
 pub mod adapters;
+pub mod admission;
 pub mod answer_timing;
 pub mod attempt;
 pub mod choice;
@@ -14,5 +15,4 @@
 mod reader_choice;
 pub mod refusal;
 pub mod request_log;
-pub mod room;
 pub mod slow_callers;
