--- a/crates/tinbay-core/src/handover/mod.rs
+++ b/crates/tinbay-core/src/handover/mod.rs
@@ -9,6 +9,6 @@
 
 pub mod events;
 pub mod need;
-pub mod reading_room;
+pub mod prefill_limit;
 pub mod roles;
 pub mod transitions;
--- a/crates/tinbay-core/tests/handover_test.rs
+++ b/crates/tinbay-core/tests/handover_test.rs
@@ -4,7 +4,7 @@
 use quickcheck::quickcheck;
 use tinbay_core::handover::events::EventScanner;
 use tinbay_core::handover::need::PrefillNeed;
-use tinbay_core::handover::reading_room::can_prefill_beside_streams;
+use tinbay_core::handover::prefill_limit::can_prefill_beside_streams;
 use tinbay_core::handover::roles::{Engine, Role, assign_roles, has_places_for_two};
 use tinbay_core::handover::transitions::{
     MoveAnswer, Place, ResumeAnswer, Step, after_move, after_resume,
--- a/crates/tinbay-gateway/src/front/reader_choice.rs
+++ b/crates/tinbay-gateway/src/front/reader_choice.rs
@@ -7,7 +7,7 @@
 
 use std::rc::Rc;
 
-use tinbay_core::handover::reading_room::can_prefill_beside_streams;
+use tinbay_core::handover::prefill_limit::can_prefill_beside_streams;
 use tinbay_core::serving::placement::Pick;
 
 use super::adapters::needs_status;
