--- a/crates/tinbay-core/src/limits/home.rs
+++ b/crates/tinbay-core/src/limits/home.rs
@@ -12,8 +12,8 @@
 
 use super::bucket::{Bucket, Refill};
 use super::denied::{CallerTry, DeniedRequests};
+use super::retry_times::RetryTimes;
 use super::terms::LimitTerms;
-use super::turns::RetryTimes;
 
 /// Fraction of the bucket reserved for requests that wait. Only units above it are granted ahead of
 /// demand.
--- a/crates/tinbay-core/src/limits/mod.rs
+++ b/crates/tinbay-core/src/limits/mod.rs
@@ -13,6 +13,6 @@
 pub mod bucket;
 pub mod denied;
 pub mod home;
+pub mod retry_times;
 pub mod share;
 pub mod terms;
-pub mod turns;
--- a/crates/tinbay-core/src/sharing/accounts.rs
+++ b/crates/tinbay-core/src/sharing/accounts.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 
 use super::weights::AccountWeights;
-use crate::limits::turns::RetryTimes;
+use crate::limits::retry_times::RetryTimes;
 use crate::serving::decay::DecayingValue;
 use crate::serving::servers::Fingerprint;
 use crate::units::Millis;
