--- a/crates/tinbay-gateway/src/front/choice.rs
+++ b/crates/tinbay-gateway/src/front/choice.rs
@@ -11,7 +11,7 @@
 use tinbay_core::units::Millis;
 
 use super::inbound::InboundRequest;
-use super::reader_choice;
+use super::prefill_choice;
 use crate::node::Node;
 use crate::servers::Server;
 use crate::servers::view::ViewEntry;
@@ -158,7 +158,7 @@
     };
     match inbound.model.as_deref() {
         Some(model) if model.contains('/') => match split() {
-            Some(split) => reader_choice::choose_for_adapter(node, inbound, &split, asked),
+            Some(split) => prefill_choice::choose_for_adapter(node, inbound, &split, asked),
             None => {
                 let survey = Survey::make(node, inbound, &ready, asked);
                 survey.to_choice(survey.pick())
@@ -170,7 +170,7 @@
                     least_loaded(node, &holding(model, &split.decode_engines), objective_ms);
                 let prefill_engine =
                     least_loaded(node, &holding(model, &split.prefill_engines), objective_ms);
-                match reader_choice::choose_for_model(node, inbound, decode_engine, prefill_engine)
+                match prefill_choice::choose_for_model(node, inbound, decode_engine, prefill_engine)
                 {
                     Some(server) => send(server),
                     None => choose_for_model(node, model, &ready, objective_ms),
--- a/crates/tinbay-gateway/src/front/mod.rs
+++ b/crates/tinbay-gateway/src/front/mod.rs
@@ -12,7 +12,7 @@
 pub mod inbound;
 pub mod listener;
 pub mod moving;
-mod reader_choice;
+mod prefill_choice;
 pub mod refusal;
 pub mod request_log;
 pub mod slow_callers;
