--- a/crates/tinbay-gateway/src/front/deliver.rs
+++ b/crates/tinbay-gateway/src/front/deliver.rs
@@ -13,10 +13,10 @@
 use super::admission::{self, Admission};
 use super::attempt::{AttemptResult, AttemptTerms, BegunAnswer, UnknownCause, attempt};
 use super::choice::{self, Choice, HolderRequests};
+use super::handover;
 use super::headers::{self, ServerHeaders};
 use super::hedge::{self, HedgeTerms, Outgoing};
 use super::inbound::{InboundRequest, LastSend};
-use super::moving;
 use super::refusal::{NotRunReason, Refusal};
 use super::request_log::{Ending, log_end, log_try};
 use crate::crashes::{self, check, check::CutRequest};
@@ -111,7 +111,7 @@
         };
         body = sent.repeat();
         let before_ms = node.backlog_ms(&server);
-        moving::prepare(node, inbound, &server);
+        handover::prepare(node, inbound, &server);
         let outgoing = Outgoing {
             server,
             body: sent,
@@ -449,7 +449,7 @@
     let server = answer.running.server();
     let (mut parts, incoming) = answer.response.into_parts();
     let running = Rc::new(RefCell::new(answer.running));
-    let successor = moving::successor(node, inbound, &parts, &running, body);
+    let successor = handover::successor(node, inbound, &parts, &running, body);
     let terms = RelayTerms {
         connection: answer.connection,
         pool: Rc::clone(&server.pool),
@@ -482,7 +482,7 @@
             Err(error) => Ending::Cut(error),
         };
         let server = running.borrow().server();
-        moving::note_stream(&node, &inbound, sight, end);
+        handover::note_stream(&node, &inbound, sight, end);
         match (end, inbound.digest.get()) {
             (Err(BodyError::ServerBrokeOff), _) => note_cut(&node, &inbound, &server),
             (Ok(()), Some(digest)) if is_success(status) => crashes::note_proven(&node, *digest),
--- a/crates/tinbay-gateway/src/front/moving/mod.rs
+++ b/crates/tinbay-gateway/src/front/handover/mod.rs
@@ -1,6 +1,6 @@
 //! Hands over the runs of this box's requests from one server to another.
 
-mod mover;
+mod actions;
 mod successor;
 mod target;
 
@@ -16,7 +16,7 @@
 use tinbay_core::serving::configuration::RouteKind;
 use tinbay_core::serving::stream_timing::StreamTiming;
 
-use self::mover::NodeHandover;
+use self::actions::NodeHandover;
 use self::successor::RunSuccessor;
 use self::target::Target;
 use super::adapters;
--- a/crates/tinbay-gateway/src/front/moving/successor.rs
+++ b/crates/tinbay-gateway/src/front/handover/successor.rs
@@ -6,7 +6,7 @@
 
 use bytes::Bytes;
 
-use super::mover::NodeHandover;
+use super::actions::NodeHandover;
 use crate::handover::drive::{Outcome, drive};
 use crate::handover::event_gate::EventGate;
 use crate::http::relay::{ContinuedAnswer, Successor};
