--- a/crates/tinbay-core/benches/decisions.rs
+++ b/crates/tinbay-core/benches/decisions.rs
@@ -13,7 +13,7 @@
 use tinbay_core::loads::{Allowance, LoadArbiter, LoadRequest};
 use tinbay_core::policy::{Policy, PolicyRequest, Treatment};
 use tinbay_core::route::Router;
-use tinbay_core::sharing::room::{AdmissionId, AdmissionQueue, AdmissionRequest};
+use tinbay_core::sharing::admission::{AdmissionId, AdmissionQueue, AdmissionRequest};
 use tinbay_core::sharing::scarcity::ServerLoad;
 use tinbay_core::sharing::weights::AccountWeights;
 use tinbay_core::view::{BoxRecord, BoxState, View};
@@ -252,22 +252,22 @@
         account: number % 16,
         rank: (number % 3) as u8,
         units: 1_600.0,
-        reading_ms: 0.0,
+        prefill_ms: 0.0,
         in_time_ms: 60_000,
         digest: u64::from(number),
     };
     for waiting in [4, 16, 64] {
-        let mut room = AdmissionQueue::default();
+        let mut admission = AdmissionQueue::default();
         for number in 0..waiting {
-            room.ask(ask(number), 1_000);
+            admission.ask(ask(number), 1_000);
         }
-        room.decide(full, &weights, 1_000);
+        admission.decide(full, &weights, 1_000);
         group.bench_function(BenchmarkId::from_parameter(waiting), |b| {
             b.iter_batched_ref(
-                || room.clone(),
-                |room| {
-                    room.ask(ask(waiting), 1_001);
-                    black_box(room.decide(full, &weights, 1_001))
+                || admission.clone(),
+                |admission| {
+                    admission.ask(ask(waiting), 1_001);
+                    black_box(admission.decide(full, &weights, 1_001))
                 },
                 BatchSize::SmallInput,
             );
--- a/crates/tinbay-core/src/serving/configuration.rs
+++ b/crates/tinbay-core/src/serving/configuration.rs
@@ -97,18 +97,18 @@
     /// Connections that each server accepts from all callers together.
     pub most_connections: usize,
     /// Properties of its model engines; none for plain services.
-    pub engine: Option<EngineSpec>,
+    pub engine: Option<EngineProperties>,
 }
 
 /// Properties of each model engine of a service.
 #[derive(Debug, Clone, PartialEq)]
-pub struct EngineSpec {
+pub struct EngineProperties {
     /// Number of requests in a batch.
     pub batch_slots: usize,
     /// Number of adapters that fit at once.
     pub adapter_slots: usize,
     /// Whether engines can hand running requests over to each other.
-    pub moves_runs: bool,
+    pub supports_handover: bool,
     /// Loads per second that the weight store allows over all engines.
     pub loads_per_s: f64,
     /// Memory for weights and adapters together, in MB.
@@ -130,7 +130,7 @@
     pub adapters: usize,
 }
 
-impl EngineSpec {
+impl EngineProperties {
     /// Total number of adapters over all models.
     pub fn adapters(&self) -> usize {
         self.models.iter().map(|model| model.adapters).sum()
--- a/crates/tinbay-gateway/src/front/choice.rs
+++ b/crates/tinbay-gateway/src/front/choice.rs
@@ -11,7 +11,7 @@
 use tinbay_core::units::Millis;
 
 use super::inbound::InboundRequest;
-use super::reader_choice;
+use super::prefill_choice;
 use crate::node::Node;
 use crate::servers::Server;
 use crate::servers::view::ViewEntry;
@@ -41,8 +41,8 @@
 /// count as one of its copies: another server would load it in time.
 const SLOW_LOAD_RATIO: f64 = 1.0;
 
-/// Mistrust at which a server does not count as one of the adapter's copies.
-const DISTRUSTED: f64 = 1.5;
+/// Failure penalty at which a server does not count as one of the adapter's copies.
+const EXCLUDING_PENALTY: f64 = 1.5;
 
 /// Number of servers found at their rate limit after which a request considers only servers without
 /// one, as asking for a permit takes some milliseconds each time.
@@ -147,8 +147,8 @@
     let is_asked_enough = inbound.at_limits.get() >= MAX_AT_LIMITS;
     ready.retain(|server| {
         let is_passed_over = is_asked_enough && server.limit_per_s().is_some();
-        let has_room = !inbound.room.is_full(server.key);
-        !is_passed_over && has_room && !tried.contains(&server.record().id)
+        let may_be_admitted = !inbound.admission.is_full(server.key);
+        !is_passed_over && may_be_admitted && !tried.contains(&server.record().id)
     });
     let objective_ms = inbound.route.objective_ms;
     let now_ms = node.now_ms();
@@ -158,7 +158,7 @@
     };
     match inbound.model.as_deref() {
         Some(model) if model.contains('/') => match split() {
-            Some(split) => reader_choice::choose_for_adapter(node, inbound, &split, asked),
+            Some(split) => prefill_choice::choose_for_adapter(node, inbound, &split, asked),
             None => {
                 let survey = Survey::make(node, inbound, &ready, asked);
                 survey.to_choice(survey.pick())
@@ -166,9 +166,12 @@
         },
         Some(model) => match split() {
             Some(split) => {
-                let home = least_loaded(node, &holding(model, &split.homes), objective_ms);
-                let reader = least_loaded(node, &holding(model, &split.readers), objective_ms);
-                match reader_choice::choose_for_model(node, inbound, home, reader) {
+                let decode_engine =
+                    least_loaded(node, &holding(model, &split.decode_engines), objective_ms);
+                let prefill_engine =
+                    least_loaded(node, &holding(model, &split.prefill_engines), objective_ms);
+                match prefill_choice::choose_for_model(node, inbound, decode_engine, prefill_engine)
+                {
                     Some(server) => send(server),
                     None => choose_for_model(node, model, &ready, objective_ms),
                 }
@@ -192,8 +195,8 @@
     if let Some(server) = least_loaded(node, &holding(model, ready), objective_ms) {
         return send(server);
     }
-    let home = rendezvous_order(model, ready).into_iter().next();
-    home.map_or(Choice::Nowhere, Choice::Load)
+    let decode_engine = rendezvous_order(model, ready).into_iter().next();
+    decode_engine.map_or(Choice::Nowhere, Choice::Load)
 }
 
 /// The servers that hold a base model.
@@ -274,9 +277,9 @@
             }
             let is_outdated = added.presence == Presence::Outdated || survey.is_last_older();
             let is_crowded = added.load >= CROWDED_LOAD;
-            let is_distrusted = node.mistrust(&server) >= DISTRUSTED;
+            let is_penalized = node.failure_penalty(&server) >= EXCLUDING_PENALTY;
             let loads_late = entry.is_none() && added.load_wait >= SLOW_LOAD_RATIO;
-            if is_home && !is_outdated && !is_crowded && !is_distrusted && !loads_late {
+            if is_home && !is_outdated && !is_crowded && !is_penalized && !loads_late {
                 counted += 1;
             }
         }
@@ -297,7 +300,7 @@
             .max_by_key(|(_, (server, _))| rendezvous::score_of(shared.key, &server.address_text))
             .map(|(position, _)| position);
         if let Some(cached_at) = cached_at {
-            let saved_ms = node.reading_ms(&inbound.service, shared.tokens);
+            let saved_ms = node.prefill_ms(&inbound.service, shared.tokens);
             let objective_ms = inbound.route.objective_ms.max(1) as f64;
             self.candidates[cached_at].load -= saved_ms / objective_ms;
         }
@@ -446,7 +449,7 @@
     }
 }
 
-/// The load of a server with penalties for mistrust and another zone, and a random tie-breaker.
+/// The load of a server with penalties for failures and another zone, and a random tie-breaker.
 fn load(node: &Node, server: &Server, objective_ms: Millis) -> f64 {
     let distance = if server.record().zone == node.settings.borrow().zone {
         0.0
@@ -454,5 +457,5 @@
         OTHER_ZONE_LOAD
     };
     let tie: f64 = rand::rng().random_range(0.0..TIE_LOAD);
-    node.load(server, objective_ms) + node.mistrust(server) + distance + tie
+    node.load(server, objective_ms) + node.failure_penalty(server) + distance + tie
 }
--- a/crates/tinbay-gateway/src/front/deliver.rs
+++ b/crates/tinbay-gateway/src/front/deliver.rs
@@ -10,15 +10,15 @@
 use tinbay_core::units::Millis;
 
 use super::adapters;
+use super::admission::{self, Admission};
 use super::attempt::{AttemptResult, AttemptTerms, BegunAnswer, UnknownCause, attempt};
 use super::choice::{self, Choice, HolderRequests};
+use super::handover;
 use super::headers::{self, ServerHeaders};
 use super::hedge::{self, HedgeTerms, Outgoing};
 use super::inbound::{InboundRequest, LastSend};
-use super::moving;
 use super::refusal::{NotRunReason, Refusal};
 use super::request_log::{Ending, log_end, log_try};
-use super::room::{self, Room};
 use crate::crashes::{self, check, check::CutRequest};
 use crate::http::body::{AnswerBody, BodyError, RequestBody};
 use crate::http::pool::Trust;
@@ -45,14 +45,14 @@
 /// connecting, the transfer, and the server's response that it did not run the request.
 const BEGIN_MARGIN_MS: Millis = 250;
 
-/// Mistrust added after an attempt that may have run but was not answered.
-const MISTRUST_UNKNOWN: f64 = 1.0;
+/// Failure penalty added after an attempt that may have run but was not answered.
+const UNKNOWN_OUTCOME_PENALTY: f64 = 1.0;
 
-/// Mistrust added after a failure to connect.
-const MISTRUST_CONNECT: f64 = 2.0;
+/// Failure penalty added after a failure to connect.
+const CONNECT_FAILURE_PENALTY: f64 = 2.0;
 
-/// Mistrust added after the server declined.
-const MISTRUST_DECLINED: f64 = 0.5;
+/// Failure penalty added after the server declined.
+const DECLINED_PENALTY: f64 = 0.5;
 
 /// The attempts of a request so far.
 #[derive(Debug, Default, Clone)]
@@ -96,9 +96,9 @@
         if is_quarantined(node, inbound).await {
             return Err(give_up_crashing(node, inbound, &tries));
         }
-        match room::take(node, inbound, &server, &tries.tried).await {
-            Ok(Room::Here) => {}
-            Ok(Room::Elsewhere) => continue,
+        match admission::take(node, inbound, &server, &tries.tried).await {
+            Ok(Admission::Here) => {}
+            Ok(Admission::Elsewhere) => continue,
             Err(refusal) if tries.tried.is_empty() => return Err(refusal),
             Err(_) => return Err(give_up(node, inbound, &tries)),
         }
@@ -111,7 +111,7 @@
         };
         body = sent.repeat();
         let before_ms = node.backlog_ms(&server);
-        moving::prepare(node, inbound, &server);
+        handover::prepare(node, inbound, &server);
         let outgoing = Outgoing {
             server,
             body: sent,
@@ -120,7 +120,7 @@
         let sent = send_hedged(node, inbound, &mut tries, outgoing).await;
         let (server, sent_ms, result) = (sent.server, sent.sent_ms, sent.result);
         if matches!(result, AttemptResult::Begun(_)) {
-            node.note_reading(inbound, before_ms, node.now_ms() - sent_ms);
+            node.note_prefill(inbound, before_ms, node.now_ms() - sent_ms);
             note_answer_time(node, inbound, &server, sent_ms);
         }
         note_delay(node, inbound, &server, sent_ms);
@@ -148,7 +148,7 @@
             }
             AttemptResult::NotSent { .. } => {
                 permit.give_back(node, &server);
-                server.add_mistrust(MISTRUST_CONNECT, node.now_ms());
+                server.add_failure_penalty(CONNECT_FAILURE_PENALTY, node.now_ms());
                 tries.note(&server, AttemptEnd::NotRun);
                 // Nothing reached a server, so the next send needs no retry budget.
                 if !may_try_another(node, inbound, &tries, AttemptEnd::NotRun) {
@@ -160,7 +160,7 @@
                 if cause == UnknownCause::Closed {
                     note_cut(node, inbound, &server);
                 }
-                server.add_mistrust(MISTRUST_UNKNOWN, node.now_ms());
+                server.add_failure_penalty(UNKNOWN_OUTCOME_PENALTY, node.now_ms());
                 AttemptEnd::Unknown
             }
         };
@@ -198,7 +198,9 @@
     };
     let sent = hedge::send(node, inbound, terms, outgoing, send_to).await;
     if let Some(failed) = &sent.failed {
-        failed.server.add_mistrust(MISTRUST_UNKNOWN, node.now_ms());
+        failed
+            .server
+            .add_failure_penalty(UNKNOWN_OUTCOME_PENALTY, node.now_ms());
         tries.note(&failed.server, failed.end);
     }
     sent
@@ -212,7 +214,7 @@
             server.note_missing(key);
             node.report_contents_mismatch(server);
         }
-        _ => server.add_mistrust(MISTRUST_DECLINED, node.now_ms()),
+        _ => server.add_failure_penalty(DECLINED_PENALTY, node.now_ms()),
     }
 }
 
@@ -289,7 +291,7 @@
             resumption: None,
         },
         permit,
-        reading_tokens: inbound.prompt.tokens,
+        prefill_tokens: inbound.prompt.tokens,
         head_within: if is_last {
             Duration::from_millis(left_ms)
         } else {
@@ -349,8 +351,8 @@
 fn silent_after_ms(node: &Node, inbound: &InboundRequest, server: &Server) -> Millis {
     let objective_ms = inbound.route.objective_ms as f64;
     let usual_ms = server.delay(node.now_ms()) * objective_ms;
-    let reading_ms = node.reading_ms(&inbound.service, inbound.prompt.tokens);
-    let expected_ms = usual_ms.max(node.backlog_ms(server) + reading_ms);
+    let prefill_ms = node.prefill_ms(&inbound.service, inbound.prompt.tokens);
+    let expected_ms = usual_ms.max(node.backlog_ms(server) + prefill_ms);
     MIN_SILENCE_MS.max((expected_ms * SILENCE_FACTOR) as Millis)
 }
 
@@ -447,7 +449,7 @@
     let server = answer.running.server();
     let (mut parts, incoming) = answer.response.into_parts();
     let running = Rc::new(RefCell::new(answer.running));
-    let successor = moving::successor(node, inbound, &parts, &running, body);
+    let successor = handover::successor(node, inbound, &parts, &running, body);
     let terms = RelayTerms {
         connection: answer.connection,
         pool: Rc::clone(&server.pool),
@@ -480,7 +482,7 @@
             Err(error) => Ending::Cut(error),
         };
         let server = running.borrow().server();
-        moving::note_stream(&node, &inbound, sight, end);
+        handover::note_stream(&node, &inbound, sight, end);
         match (end, inbound.digest.get()) {
             (Err(BodyError::ServerBrokeOff), _) => note_cut(&node, &inbound, &server),
             (Ok(()), Some(digest)) if is_success(status) => crashes::note_proven(&node, *digest),
--- a/crates/tinbay-gateway/src/front/moving/mod.rs
+++ b/crates/tinbay-gateway/src/front/handover/mod.rs
@@ -1,6 +1,6 @@
 //! Hands over the runs of this box's requests from one server to another.
 
-mod mover;
+mod actions;
 mod successor;
 mod target;
 
@@ -16,7 +16,7 @@
 use tinbay_core::serving::configuration::RouteKind;
 use tinbay_core::serving::stream_timing::StreamTiming;
 
-use self::mover::NodeMover;
+use self::actions::NodeHandover;
 use self::successor::RunSuccessor;
 use self::target::Target;
 use super::adapters;
@@ -30,7 +30,7 @@
 use crate::servers::{RunningRequest, Server};
 
 /// The handover of an answer that has begun; `None` if its run stays where it is. Only a stream
-/// from a reader is handed over, and only if its length is not known in advance.
+/// from a prefill engine is handed over, and only if its length is not known in advance.
 pub fn successor(
     node: &Rc<Node>,
     inbound: &Rc<InboundRequest>,
@@ -43,27 +43,32 @@
     if !is_stream || is_whole_known || head.status != StatusCode::OK {
         return None;
     }
-    if !moves_runs(node, &inbound.service) {
+    if !supports_handover(node, &inbound.service) {
         return None;
     }
     let source = running.borrow().server();
-    if !node.splits.is_reader(&node.servers, &source, node.now_ms()) {
+    if !node
+        .splits
+        .is_prefill_engine(&node.servers, &source, node.now_ms())
+    {
         return None;
     }
-    let mover = NodeMover::new(node, inbound, running, body?);
-    Some(Box::new(RunSuccessor::new(mover)))
+    let actions = NodeHandover::new(node, inbound, running, body?);
+    Some(Box::new(RunSuccessor::new(actions)))
 }
 
-/// Has the server that will continue a run load the adapter while the reader prefills the prompt.
-pub fn prepare(node: &Node, inbound: &InboundRequest, reader: &Server) {
-    let is_reader = node.splits.is_reader(&node.servers, reader, node.now_ms());
-    if !is_reader || inbound.route.kind != RouteKind::Streaming {
+/// Has the server that will continue a run load the adapter while the source prefills the prompt.
+pub fn prepare(node: &Node, inbound: &InboundRequest, prefill_engine: &Server) {
+    let is_prefill_engine =
+        node.splits
+            .is_prefill_engine(&node.servers, prefill_engine, node.now_ms());
+    if !is_prefill_engine || inbound.route.kind != RouteKind::Streaming {
         return;
     }
-    let version = held_version(node, inbound, reader).unwrap_or_default();
+    let version = held_version(node, inbound, prefill_engine).unwrap_or_default();
     match target::choose(node, inbound, &HolderRequests::default(), version) {
-        Target::Later(home) => {
-            node.request_load(&home, adapters::want(node, inbound, false));
+        Target::Later(decode_engine) => {
+            node.request_load(&decode_engine, adapters::want(node, inbound, false));
         }
         Target::At {
             copy: Some(copy), ..
@@ -75,19 +80,19 @@
 }
 
 /// Records a stream that ended where it began. Whether the engines of its service are split into
-/// readers and homes depends on how many streams paused for too long.
+/// prefill engines and decode engines depends on how many streams paused for too long.
 pub fn note_stream(
     node: &Node,
     inbound: &InboundRequest,
     sight: StreamTiming,
     end: Result<(), BodyError>,
 ) {
-    let is_moved = inbound.handover.get() == Some(Handover::Moved);
+    let was_handed_over = inbound.handover.get() == Some(Handover::Moved);
     let allowed_ms = inbound.route.objective_gap_ms;
-    if end.is_err() || is_moved || sight.pieces() < 2 || allowed_ms.is_none() {
+    if end.is_err() || was_handed_over || sight.pieces() < 2 || allowed_ms.is_none() {
         return;
     }
-    if !moves_runs(node, &inbound.service) {
+    if !supports_handover(node, &inbound.service) {
         return;
     }
     let is_late = sight.has_long_pause(allowed_ms);
@@ -99,8 +104,11 @@
 
 /// Whether runs of a service may be handed over: its engines support it, and have enough places to
 /// hold each adapter on two of them.
-fn moves_runs(node: &Node, service: &str) -> bool {
-    let Some(engine) = node.engine_spec(service).filter(|engine| engine.moves_runs) else {
+fn supports_handover(node: &Node, service: &str) -> bool {
+    let Some(engine) = node
+        .engine_properties(service)
+        .filter(|engine| engine.supports_handover)
+    else {
         return false;
     };
     let engines = node.splits.engines(&node.servers, service, node.now_ms());
--- a/crates/tinbay-gateway/src/front/mod.rs
+++ b/crates/tinbay-gateway/src/front/mod.rs
@@ -1,18 +1,18 @@
 //! Accepts callers' requests, proxies them to servers and relays the answers.
 
 pub mod adapters;
+pub mod admission;
 pub mod answer_timing;
 pub mod attempt;
 pub mod choice;
 pub mod deliver;
 pub mod filters;
+pub mod handover;
 pub mod headers;
 pub mod hedge;
 pub mod inbound;
 pub mod listener;
-pub mod moving;
-mod reader_choice;
+mod prefill_choice;
 pub mod refusal;
 pub mod request_log;
-pub mod room;
 pub mod slow_callers;
--- a/crates/tinbay-gateway/src/node.rs
+++ b/crates/tinbay-gateway/src/node.rs
@@ -10,7 +10,7 @@
 use tinbay_core::memory::terms::MemoryTerms;
 use tinbay_core::serving::budget::AttemptBudget;
 use tinbay_core::serving::claims::{ClaimTable, ClaimTerms, Proof};
-use tinbay_core::serving::configuration::{Configuration, EngineSpec, Limits};
+use tinbay_core::serving::configuration::{Configuration, EngineProperties, Limits};
 use tinbay_core::serving::contents::AdapterKey;
 use tinbay_core::serving::pacing::LoadQuotaCounter;
 use tinbay_core::serving::position::Era;
@@ -191,7 +191,7 @@
     /// Number of open connections from callers.
     pub connections: Cell<usize>,
     /// Prefill rate of the engines, by service.
-    pub reading: RefCell<HashMap<String, PrefillRate>>,
+    pub prefill_rates: RefCell<HashMap<String, PrefillRate>>,
     /// Requests that servers crashed on.
     pub crashes: Crashes,
     /// Limits enforced across all boxes.
@@ -253,7 +253,7 @@
             is_leaving: Cell::default(),
             closing: Latch::default(),
             connections: Cell::default(),
-            reading: RefCell::default(),
+            prefill_rates: RefCell::default(),
             crashes: Crashes::default(),
             limits: BoxLimits::default(),
             splits: Splits::default(),
@@ -423,7 +423,7 @@
     }
 
     /// Capacity of the engines of a service.
-    pub fn engine_spec(&self, service: &str) -> Option<EngineSpec> {
+    pub fn engine_properties(&self, service: &str) -> Option<EngineProperties> {
         let in_force = self.in_force()?;
         in_force.configuration.services.get(service)?.engine.clone()
     }
@@ -441,7 +441,7 @@
     }
 
     /// Time until a server of a service accepts work again; none if one is ready now.
-    pub fn rest_ms(&self, service: &str) -> Option<Millis> {
+    pub fn available_in_ms(&self, service: &str) -> Option<Millis> {
         let servers = self.servers.borrow();
         if !servers.ready(service).is_empty() {
             return None;
@@ -560,7 +560,7 @@
             delay: view.delay(now_ms),
             running_elsewhere: view.running_elsewhere(now_ms),
             backlog_ms: view.backlog_ms(now_ms),
-            mistrust: view.mistrust(now_ms),
+            failure_penalty: view.failure_penalty(now_ms),
         }
     }
 
@@ -572,11 +572,11 @@
         }
     }
 
-    /// Distrust of a server: the higher of this box's own and the claim holder's.
-    pub fn mistrust(&self, server: &Server) -> f64 {
+    /// Failure penalty of a server: the higher of this box's own and the claim holder's.
+    pub fn failure_penalty(&self, server: &Server) -> f64 {
         let now_ms = self.now_ms();
-        let told = self.busyness(server, now_ms).mistrust;
-        server.mistrust(now_ms).max(told)
+        let told = self.busyness(server, now_ms).failure_penalty;
+        server.failure_penalty(now_ms).max(told)
     }
 
     /// Whether the claim on a server is held by this box, or by a box that may be alive and
@@ -592,15 +592,15 @@
     }
 
     /// Records a request's time to first byte, given the server's prompt backlog at that time.
-    pub fn note_reading(&self, inbound: &InboundRequest, backlog_ms: f64, took_ms: Millis) {
-        let mut rates = self.reading.borrow_mut();
+    pub fn note_prefill(&self, inbound: &InboundRequest, backlog_ms: f64, took_ms: Millis) {
+        let mut rates = self.prefill_rates.borrow_mut();
         let rate = rates.entry(inbound.service.clone()).or_default();
         rate.note_answer(inbound.prompt.tokens, backlog_ms, took_ms as f64);
     }
 
     /// Expected prefill time of `tokens` prompt tokens on an engine of a service.
-    pub fn reading_ms(&self, service: &str, tokens: u32) -> f64 {
-        let rates = self.reading.borrow();
+    pub fn prefill_ms(&self, service: &str, tokens: u32) -> f64 {
+        let rates = self.prefill_rates.borrow();
         let rate = rates.get(service).copied().unwrap_or_default();
         rate.time_ms(tokens)
     }
@@ -613,9 +613,9 @@
         tokens: u32,
     ) -> RunningRequest {
         if inbound.model_key.is_some() {
-            let reading_ms = self.reading_ms(&inbound.service, tokens);
+            let prefill_ms = self.prefill_ms(&inbound.service, tokens);
             let mut view = server.view.borrow_mut();
-            view.note_begun(reading_ms, self.now_ms());
+            view.note_begun(prefill_ms, self.now_ms());
             self.outbox.post_usage(server.key);
         }
         server.begin_request(inbound.model_key, tokens)
--- a/crates/tinbay-gateway/src/orders/holder.rs
+++ b/crates/tinbay-gateway/src/orders/holder.rs
@@ -108,7 +108,7 @@
     if node.held_servers.borrow().contains_key(&server.key) {
         return;
     }
-    let Some(spec) = node.engine_spec(&server.record().service) else {
+    let Some(spec) = node.engine_properties(&server.record().service) else {
         return;
     };
     let held = Rc::new(HeldServer::new(&spec, node.now_ms()));
@@ -195,7 +195,7 @@
     /// Whether the server may be contacted: no other server answers at its address and it has not
     /// asked for a pause.
     fn may_contact(&self, now_ms: Millis) -> bool {
-        !self.server.is_displaced(now_ms) && self.server.paused_until_ms(now_ms).is_none()
+        !self.server.is_displaced(now_ms) && self.server.back_off_until_ms(now_ms).is_none()
     }
 
     fn next_action(&self, wants: &[WantedLoad], now_ms: Millis) -> Option<Action> {
@@ -585,10 +585,10 @@
             running_elsewhere: busyness.running_elsewhere,
             delay: busyness.delay,
             backlog_ms: busyness.backlog_ms,
-            mistrust: busyness.mistrust,
+            failure_penalty: busyness.failure_penalty,
             takes_loads,
             load_wait_ms: self.held.load_wait_ms(),
-            is_scarce: self.held.room.borrow().is_scarce(),
+            is_scarce: self.held.admission.borrow().is_scarce(),
         })
     }
 }
--- a/crates/tinbay-gateway/src/peers/exchange.rs
+++ b/crates/tinbay-gateway/src/peers/exchange.rs
@@ -17,7 +17,7 @@
 use crate::node::Node;
 use crate::servers::Server;
 use crate::sharing::holder;
-use crate::sharing::links::RoomContext;
+use crate::sharing::links::AdmissionContext;
 
 /// Interval at which ended requests are reported and running ones reported again.
 const TICK: Duration = Duration::from_millis(250);
@@ -234,7 +234,7 @@
     let part = UsagePart {
         server: server.fingerprint(),
         uses: report.uses,
-        mistrust_percent: to_percent(report.mistrust),
+        failure_penalty_percent: to_percent(report.failure_penalty),
         delay_percent: report.delay.map(to_percent),
     };
     Some((holder, FramePart::Usage(part)))
--- a/crates/tinbay-gateway/src/peers/frame.rs
+++ b/crates/tinbay-gateway/src/peers/frame.rs
@@ -11,7 +11,7 @@
 use crate::limits::limited::LimitKey;
 use crate::limits::notices::LimitNoticePart;
 use crate::members::MemberRecord;
-use crate::sharing::messages::{RoomReplyPart, RoomRequestPart};
+use crate::sharing::messages::{AdmissionReplyPart, AdmissionRequestPart};
 
 /// Largest datagram, which fits into one packet on all usual links.
 pub const MAX_FRAME_BYTES: usize = 1_300;
@@ -65,9 +65,10 @@
     /// Status of a server that the sender holds.
     Status(StatusPart),
     /// Request for capacity at a server that the receiver holds.
-    RoomRequest(RoomRequestPart),
+    #[serde(rename = "RoomRequest")]
+    AdmissionRequest(AdmissionRequestPart),
     /// Reply to a request for capacity.
-    RoomReply(RoomReplyPart),
+    AdmissionReply(AdmissionReplyPart),
 }
 
 impl FramePart {
@@ -89,8 +90,8 @@
             FramePart::ContentsMismatch(_) => "contradiction",
             FramePart::Usage(_) => "usage",
             FramePart::Status(_) => "status",
-            FramePart::RoomRequest(_) => "room_request",
-            FramePart::RoomReply(_) => "room_word",
+            FramePart::AdmissionRequest(_) => "room_request",
+            FramePart::AdmissionReply(_) => "room_word",
         }
     }
 }
@@ -192,7 +193,8 @@
     /// Granted units.
     pub units: u32,
     /// If the needed units are not granted: time until the limit has them, in ms.
-    pub room_in_ms: Option<u16>,
+    #[serde(rename = "room_in_ms")]
+    pub retry_after_ms: Option<u16>,
     /// The sender's knowledge of the limit if it is a server's.
     pub notice: Option<LimitNoticePart>,
 }
@@ -218,7 +220,8 @@
     /// Running and newly begun requests by adapter.
     pub uses: Vec<AdapterUse>,
     /// Penalty for failures since the last such part, in percent.
-    pub mistrust_percent: u16,
+    #[serde(rename = "mistrust_percent")]
+    pub failure_penalty_percent: u16,
     /// Last time to the first byte in percent of the objective; `None` if there is no new one.
     pub delay_percent: Option<u16>,
 }
@@ -235,7 +238,8 @@
     /// Time the server needs for the prompts queued ahead of a new request, in ms.
     pub backlog_ms: u16,
     /// Penalty for failed requests of all boxes, in percent.
-    pub mistrust_percent: u16,
+    #[serde(rename = "mistrust_percent")]
+    pub failure_penalty_percent: u16,
     /// Whether the server could begin a load.
     pub takes_loads: bool,
     /// Expected time until a load requested now is finished, in ms.
--- a/crates/tinbay-gateway/src/sharing/messages.rs
+++ b/crates/tinbay-gateway/src/sharing/messages.rs
@@ -2,12 +2,12 @@
 
 use serde::{Deserialize, Serialize};
 use tinbay_core::serving::servers::Fingerprint;
-use tinbay_core::sharing::room::{AdmissionAnswer, AdmissionId, AdmissionRequest};
+use tinbay_core::sharing::admission::{AdmissionAnswer, AdmissionId, AdmissionRequest};
 use tinbay_core::units::Millis;
 
 /// Request for capacity at a server that the receiver holds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct RoomRequestPart {
+pub struct AdmissionRequestPart {
     /// Server at which the request would run.
     pub server: Fingerprint,
     /// Number chosen by the sender, which the reply repeats.
@@ -19,14 +19,15 @@
     /// Prompt and output tokens that the request costs.
     pub units: u32,
     /// Time the server needs to process the prompt, in ms.
-    pub reading_ms: u16,
+    #[serde(rename = "reading_ms")]
+    pub prefill_ms: u16,
     /// Time within which the request must start in order to meet its objective, in ms.
     pub in_time_ms: u16,
     /// Identifies the request; a retry has the same value.
     pub digest: u64,
 }
 
-impl RoomRequestPart {
+impl AdmissionRequestPart {
     /// Converts the message into a request of the box `box_key`.
     pub fn to_ask(self, box_key: Fingerprint) -> AdmissionRequest {
         let number = self.number;
@@ -35,7 +36,7 @@
             account: self.account,
             rank: self.rank,
             units: f64::from(self.units),
-            reading_ms: f64::from(self.reading_ms),
+            prefill_ms: f64::from(self.prefill_ms),
             in_time_ms: Millis::from(self.in_time_ms),
             digest: self.digest,
         }
@@ -44,16 +45,16 @@
 
 /// Reply of a server's holder to a request for capacity.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct RoomReplyPart {
+pub struct AdmissionReplyPart {
     /// Number of the request that is answered.
     pub number: u32,
     /// State of the request at the holder.
-    pub reply: RoomReply,
+    pub reply: AdmissionReply,
 }
 
 /// State of a request for capacity at the holder.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum RoomReply {
+pub enum AdmissionReply {
     /// The request is queued; another reply follows.
     Queued,
     /// The request may run.
@@ -67,12 +68,12 @@
     NotHolder,
 }
 
-impl From<AdmissionAnswer> for RoomReply {
+impl From<AdmissionAnswer> for AdmissionReply {
     fn from(answer: AdmissionAnswer) -> Self {
         match answer {
-            AdmissionAnswer::LetIn => RoomReply::Admitted,
-            AdmissionAnswer::TurnedAway { turn_in_ms } => RoomReply::Rejected {
-                retry_after_ms: u16::try_from(turn_in_ms).unwrap_or(u16::MAX),
+            AdmissionAnswer::Admitted => AdmissionReply::Admitted,
+            AdmissionAnswer::Rejected { retry_after_ms } => AdmissionReply::Rejected {
+                retry_after_ms: u16::try_from(retry_after_ms).unwrap_or(u16::MAX),
             },
         }
     }
