--- a/crates/tinbay-standin/src/boxes.rs
+++ b/crates/tinbay-standin/src/boxes.rs
@@ -1,4 +1,4 @@
-//! Stand-in for the platform's lagging list of boxes.
+//! Stand-in for the platform's list of boxes, which shows changes late.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -19,16 +19,16 @@
 #[derive(Debug, Clone, Copy, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct BoxListFaults {
-    /// How late changes show.
+    /// Time until a change becomes visible.
     pub lag_ms: u64,
-    /// Whether the list answers nothing.
+    /// Whether reads of the list fail with status 503.
     pub down: bool,
 }
 
 /// Body of `POST /control/remove`.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct RemoveBox {
-    /// The box that is gone.
+    /// Box to remove from the list.
     pub id: BoxId,
 }
 
@@ -87,7 +87,7 @@
 /// Starts the stand-in.
 ///
 /// # Errors
-/// When the server cannot start.
+/// Returns an error if the server can't start.
 pub fn start(listener: TcpListener) -> io::Result<ServerHandle> {
     let boxes = Arc::new(Boxes::default());
     start_server("boxes", listener, 1, move |app| {
--- a/crates/tinbay-standin/src/engine/mod.rs
+++ b/crates/tinbay-standin/src/engine/mod.rs
@@ -1,8 +1,9 @@
 //! Stand-in for a model engine: adapter slots, a batch, streams that can be resumed and
-//! cancelled, and orders checked by fence or not.
+//! cancelled, and an optional check of the fence of orders.
 //!
-//! Its text depends only on model, prompt and position, so a test can tell a wrong answer.
-//! `/control/faults` sets faults, `/control/report` tells what ran and what should not have.
+//! The generated text depends only on model, prompt and position, so that tests can recognize a
+//! wrong answer. `/control/faults` injects faults; `/control/report` returns what ran, and counts
+//! of orders and requests that a correct box does not send.
 
 mod model;
 mod text;
@@ -31,13 +32,13 @@
 use crate::weights::FetchRequest;
 use model::EngineModel;
 
-/// How long a load may take in all.
+/// Time-out of a fetch from the weight store.
 const LOAD_WITHIN: Duration = Duration::from_secs(30);
 
-/// How often a reader looks for new chunks of a running stream.
+/// Interval at which a reader polls a running stream for new chunks.
 const CHUNK_POLL: Duration = Duration::from_millis(1);
 
-/// How long a hanging request hangs at most.
+/// How long a hanging request is held before it is handled.
 const HANG: Duration = Duration::from_secs(60);
 
 struct Engine {
@@ -52,7 +53,7 @@
         self.model.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Checks the fence of an order where the engine checks any.
+    /// Checks the fence of an order, if this engine checks fences.
     fn check_order(&self, request: &HttpRequest) -> Result<(), EngineRefusal> {
         let order = read_order(request);
         if !self.settings.checks_orders {
@@ -75,7 +76,7 @@
 /// Starts the stand-in.
 ///
 /// # Errors
-/// When the server cannot start.
+/// Returns an error if the server can't start.
 pub fn start(listener: TcpListener, settings: EngineSettings) -> io::Result<ServerHandle> {
     let engine = Arc::new(Engine {
         model: Mutex::new(EngineModel::new(&settings)),
@@ -125,7 +126,7 @@
         .streaming(stream)
 }
 
-/// Generates a request's tokens, whether or not anyone reads them.
+/// Generates the tokens of a request, also if no one reads them.
 async fn generate(engine: Shared, call: EngineRequest, run: u64) {
     let prefill_ms = engine.settings.prefill_ms;
     tokio::time::sleep(Duration::from_millis(prefill_ms)).await;
@@ -137,7 +138,7 @@
     }
 }
 
-/// Sends a stream's chunks to one reader, with the faults asked for.
+/// Sends the chunks of a stream to one reader, with the injected faults.
 async fn send_stream(engine: Shared, call: EngineRequest, run: u64, body: BodySender) {
     let mut position = call.resume_from.unwrap_or(0);
     let breaks_after = engine.model().takes_break();
@@ -197,12 +198,15 @@
     if let Err(refusal) = engine.check_order(&request) {
         return refuse(refusal);
     }
-    let run = match engine.model().begin_load(&order.lora_name) {
-        Ok(run) => run,
+    let incarnation = match engine.model().begin_load(&order.lora_name) {
+        Ok(incarnation) => incarnation,
         Err(refusal) => return refuse(refusal),
     };
     let fetched = fetch_weights(&engine.settings, &order).await;
-    if engine.model().end_load(&order.lora_name, run, fetched) {
+    if engine
+        .model()
+        .end_load(&order.lora_name, incarnation, fetched)
+    {
         return reply::json(&engine.model().state());
     }
     refuse(EngineRefusal::LoadFailed)
@@ -229,7 +233,7 @@
     if let Err(refusal) = engine.check_order(&request) {
         return refuse(refusal);
     }
-    // Bound first: a lock taken in the scrutinee would be held while the answer takes it again.
+    // Not in the scrutinee of the match: its lock would be held while the response takes it again.
     let unloaded = engine.model().unload(&order.lora_name);
     match unloaded {
         Ok(()) => reply::json(&engine.model().state()),
@@ -237,7 +241,7 @@
     }
 }
 
-/// An order that changes nothing but the highest fence seen.
+/// Handles an order that only raises the highest fence seen.
 async fn fence(engine: State<Shared>, request: HttpRequest) -> HttpResponse {
     match engine.check_order(&request) {
         Ok(()) => reply::json(&engine.model().state()),
--- a/crates/tinbay-standin/src/engine/model.rs
+++ b/crates/tinbay-standin/src/engine/model.rs
@@ -1,4 +1,4 @@
-//! What the engine stand-in holds and runs.
+//! The simulated engine: adapter slots, batch, streams and faults.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
@@ -11,26 +11,26 @@
 
 use super::text::token_text;
 
-/// Each request in the batch slows the others' tokens by this share.
+/// Fraction by which each further request in the batch increases the time per token.
 const CROWDING: f64 = 0.02;
 
-/// Finished streams kept for readers that resume.
+/// Maximum number of finished streams kept for readers that resume.
 const KEPT_STREAMS: usize = 4_096;
 
-/// How the stand-in is to behave.
+/// Settings of the engine.
 #[derive(Debug, Clone)]
 pub struct EngineSettings {
-    /// Adapters it holds at once.
+    /// Number of adapters that it can hold at once.
     pub slots: u32,
-    /// Requests it runs at once.
+    /// Number of requests that it runs at once.
     pub batch_limit: u32,
-    /// Whether it refuses orders with a lower fence.
+    /// Whether it refuses orders with a missing or stale fence or for another incarnation.
     pub checks_orders: bool,
     /// Time before the first token.
     pub prefill_ms: u64,
-    /// Time between tokens of a request that runs alone.
+    /// Time per token of a request that runs alone.
     pub token_ms: u64,
-    /// Time of a load where no weight store is given.
+    /// Duration of a load if there is no weight store.
     pub load_ms: u64,
     /// `ip:port` of the weight store.
     pub weight_store: Option<String>,
@@ -50,45 +50,46 @@
     }
 }
 
-/// Body of `POST /control/faults`; each number counts down.
+/// Body of `POST /control/faults`. Each number of faults counts down as they occur.
 #[derive(Debug, Clone, Copy, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct EngineFaults {
-    /// So many of the next loads fail.
+    /// Number of next loads that fail.
     pub fail_loads: u32,
-    /// So many of the next requests are taken and never answered.
+    /// Number of next requests that are accepted without a timely response.
     pub hang_requests: u32,
-    /// So many of the next streams break off.
+    /// Number of next streams that are cut off.
     pub break_streams: u32,
-    /// Where they break off.
+    /// Position at which they are cut off.
     pub break_at: u64,
-    /// So many of the next answers name another version.
+    /// Number of next answers that report another version of the adapter.
     pub wrong_models: u32,
     /// Whether every chunk is sent twice.
     pub repeat_chunks: bool,
 }
 
-/// Answer of `GET /control/report`.
+/// Response of `GET /control/report`.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct EngineReport {
     /// How often each request ran.
     pub runs: BTreeMap<String, u32>,
     /// Loads that succeeded.
     pub loads: u64,
-    /// Unloads ordered while the model served a request; each is a broken promise.
+    /// Orders to unload a model that was serving; each violates a guarantee of tinbay.
     pub unloads_while_serving: u64,
-    /// Requests that came while it was leaving; each was refused.
+    /// Requests that arrived while it was draining; each was refused.
     pub asked_while_leaving: u64,
-    /// Orders refused for their fence.
+    /// Orders refused because of their fence or incarnation.
     pub fence_refusals: u64,
-    /// Most requests at once.
+    /// Maximum number of concurrent requests so far.
     pub most_running: u32,
 }
 
 struct Slot {
     ready: bool,
     serving: u32,
-    run: u64,
+    /// Incarnation in which the load started.
+    incarnation: Incarnation,
 }
 
 struct Stream {
@@ -101,17 +102,17 @@
     finished: bool,
 }
 
-/// What a reader finds at a position of a stream.
+/// Result of reading a stream at a position.
 pub enum NextChunk {
-    /// The chunk.
+    /// The chunk at the position.
     Ready(Chunk),
-    /// It is not generated yet.
+    /// The chunk is not generated yet.
     NotYet,
-    /// The stream is gone.
+    /// There is no such chunk, or the run no longer exists.
     Gone,
 }
 
-/// The state of one engine.
+/// State of one engine.
 pub struct EngineModel {
     slots_limit: usize,
     batch_limit: usize,
@@ -129,7 +130,7 @@
 }
 
 impl EngineModel {
-    /// An empty engine.
+    /// Creates an engine without adapters.
     pub fn new(settings: &EngineSettings) -> Self {
         Self {
             slots_limit: settings.slots as usize,
@@ -148,7 +149,7 @@
         }
     }
 
-    /// Checks an order's fence.
+    /// Checks the fence of an order.
     pub fn check_order(&mut self, order: &Order) -> Result<(), EngineRefusal> {
         self.guard
             .check(order, self.incarnation)
@@ -161,7 +162,7 @@
             })
     }
 
-    /// What it holds and runs.
+    /// The state reported to boxes.
     pub fn state(&self) -> EngineState {
         let mut loaded: Vec<ModelRef> = self
             .slots
@@ -188,7 +189,7 @@
         }
     }
 
-    /// Puts a request into the batch; gives the number of the run.
+    /// Adds a request to the batch; returns the number of its run.
     pub fn begin(&mut self, call: &EngineRequest) -> Result<u64, EngineRefusal> {
         if self.leaving {
             self.report.asked_while_leaving += 1;
@@ -200,7 +201,7 @@
         if !self.slots.get(&call.model).is_some_and(|slot| slot.ready) {
             return Err(EngineRefusal::NotLoaded);
         }
-        // A second run under a name takes the place of the first.
+        // A second run of the same request replaces the first.
         self.cancel(&call.request);
         if let Some(slot) = self.slots.get_mut(&call.model) {
             slot.serving += 1;
@@ -222,7 +223,7 @@
         Ok(self.next_run)
     }
 
-    /// Finds the stream a reader wants to resume.
+    /// Returns the run of the stream that a reader resumes.
     pub fn resume(&mut self, call: &EngineRequest) -> Result<u64, EngineRefusal> {
         let stream = self.streams.get(&call.request);
         stream
@@ -231,16 +232,16 @@
             .ok_or(EngineRefusal::NothingToResume)
     }
 
-    /// Time until the next token with the batch as it is.
+    /// Time per token at the current size of the batch.
     pub fn token_pause(&self) -> Duration {
         let crowd = 1.0 + CROWDING * self.running.saturating_sub(1) as f64;
         Duration::from_millis(self.token_ms).mul_f64(crowd)
     }
 
-    /// Generates a token; `false` when it was the last one, or the run is not there any more.
+    /// Generates a token; returns `false` if it was the last one or the run no longer exists.
     ///
-    /// A run ends with its last token: with a step of its own after that its reader, who had the whole answer,
-    /// unloaded the model of a run that still counted (5 ms between the two, 3 of 3 runs).
+    /// The run ends together with its last token. If it ended in a later step, a box that has read
+    /// the complete answer could unload the model while the run still counts as being served.
     pub fn add_token(&mut self, request: &str, run: u64) -> bool {
         let stream = self
             .streams
@@ -257,7 +258,7 @@
         false
     }
 
-    /// Takes a finished run out of the batch and keeps its text for readers that resume.
+    /// Removes a finished run from the batch and keeps its stream for readers that resume.
     fn finish(&mut self, request: &str, run: u64) {
         let Some(stream) = self.streams.get_mut(request).filter(|s| s.run == run) else {
             return;
@@ -275,7 +276,7 @@
         }
     }
 
-    /// Stops a run.
+    /// Stops the run of a request and drops its stream.
     pub fn cancel(&mut self, request: &str) {
         if let Some(stream) = self.streams.remove(request)
             && !stream.finished
@@ -284,7 +285,7 @@
         }
     }
 
-    /// The chunk at a position.
+    /// Reads a stream at a position.
     pub fn chunk(&self, call: &EngineRequest, run: u64, position: u64) -> NextChunk {
         let Some(stream) = self.streams.get(&call.request).filter(|s| s.run == run) else {
             return NextChunk::Gone;
@@ -305,25 +306,30 @@
         })
     }
 
-    /// Takes a slot for a load; gives its run, so that a restart in between is noticed.
-    pub fn begin_load(&mut self, model: &ModelRef) -> Result<u64, EngineRefusal> {
+    /// Reserves a slot for a load; returns the incarnation, by which [`Self::end_load`] notices a
+    /// restart during the load.
+    pub fn begin_load(&mut self, model: &ModelRef) -> Result<Incarnation, EngineRefusal> {
         if self.slots.len() >= self.slots_limit && !self.slots.contains_key(model) {
             return Err(EngineRefusal::NoSlot);
         }
-        let run = self.incarnation;
+        let incarnation = self.incarnation;
         self.slots.entry(model.clone()).or_insert(Slot {
             ready: false,
             serving: 0,
-            run,
+            incarnation,
         });
-        Ok(run)
+        Ok(incarnation)
     }
 
-    /// Ends a load; `false` when it failed.
-    pub fn end_load(&mut self, model: &ModelRef, run: u64, fetched: bool) -> bool {
+    /// Ends a load; returns `false` if it failed.
+    pub fn end_load(&mut self, model: &ModelRef, incarnation: Incarnation, fetched: bool) -> bool {
         let fails = self.faults.fail_loads > 0;
         self.faults.fail_loads = self.faults.fail_loads.saturating_sub(1);
-        let Some(slot) = self.slots.get_mut(model).filter(|slot| slot.run == run) else {
+        let Some(slot) = self
+            .slots
+            .get_mut(model)
+            .filter(|slot| slot.incarnation == incarnation)
+        else {
             return false;
         };
         if slot.ready {
@@ -338,7 +344,7 @@
         true
     }
 
-    /// Frees a slot. A model that serves is not unloaded, but the order is reported.
+    /// Frees a slot. An order to unload a model that is serving is refused and counted.
     pub fn unload(&mut self, model: &ModelRef) -> Result<(), EngineRefusal> {
         match self.slots.get(model) {
             None => Ok(()),
@@ -353,7 +359,7 @@
         }
     }
 
-    /// Loses everything and starts a new run, empty; the fence is lost as well.
+    /// Restarts as a new incarnation without adapters, requests and the highest fence seen.
     pub fn restart(&mut self) {
         self.incarnation = wall_ms().max(self.incarnation + 1);
         self.guard = FenceGuard::default();
@@ -364,24 +370,24 @@
         self.leaving = false;
     }
 
-    /// Begins to leave: what runs goes on, nothing new is taken.
+    /// Starts draining: running requests continue, new ones are refused.
     pub fn leave(&mut self) {
         self.leaving = true;
     }
 
-    /// Sets faults.
+    /// Replaces the injected faults.
     pub fn set_faults(&mut self, faults: EngineFaults) {
         self.faults = faults;
     }
 
-    /// Whether the next request is to hang.
+    /// Whether this request is to hang; consumes one such fault.
     pub fn takes_hang(&mut self) -> bool {
         let hangs = self.faults.hang_requests > 0;
         self.faults.hang_requests = self.faults.hang_requests.saturating_sub(1);
         hangs
     }
 
-    /// Where the next stream is to break off.
+    /// Position at which to cut off this stream; consumes one such fault.
     pub fn takes_break(&mut self) -> Option<u64> {
         if self.faults.break_streams == 0 {
             return None;
@@ -390,12 +396,12 @@
         Some(self.faults.break_at)
     }
 
-    /// Whether chunks are sent twice.
+    /// Whether every chunk is sent twice.
     pub fn repeats_chunks(&self) -> bool {
         self.faults.repeat_chunks
     }
 
-    /// What ran and what should not have.
+    /// The report of what ran.
     pub fn report(&self) -> &EngineReport {
         &self.report
     }
--- a/crates/tinbay-standin/src/kv/faults.rs
+++ b/crates/tinbay-standin/src/kv/faults.rs
@@ -1,17 +1,17 @@
-//! Faults of the key-value stand-in and its count of calls.
+//! Injected faults and call counts of the key-value stand-in.
 
 use serde::{Deserialize, Serialize};
 
-/// Whether the service answers.
+/// How the service responds to calls.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Mode {
-    /// It answers.
+    /// Handles them.
     #[default]
     Up,
-    /// It refuses every call at once.
+    /// Responds to every call with status 503 at once.
     Refuse,
-    /// It takes calls and never answers.
+    /// Accepts calls without a timely response.
     Hang,
 }
 
@@ -19,23 +19,23 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct KvFaults {
-    /// Whether it answers.
+    /// How it responds to calls.
     pub mode: Mode,
-    /// Added to every call.
+    /// Delay of every call.
     pub delay_ms: u64,
-    /// Whether watches stay open and say nothing.
+    /// Whether watches stay open without sending changes.
     pub mute_watches: bool,
-    /// So many of the next writes take effect and are answered with an error.
+    /// Number of next transactions that take effect although their response is an error.
     pub lose_write_replies: u32,
 }
 
-/// Answer of `GET /control/calls`.
+/// Response of `GET /control/calls`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct CallCounts {
-    /// Ranges.
+    /// Range requests.
     pub reads: u64,
     /// Transactions and lease calls.
     pub writes: u64,
-    /// Watches begun.
+    /// Watches opened.
     pub watches: u64,
 }
--- a/crates/tinbay-standin/src/kv/mod.rs
+++ b/crates/tinbay-standin/src/kv/mod.rs
@@ -1,8 +1,8 @@
-//! Stand-in for the key-value service: the part of the etcd v3 JSON interface tinbay uses.
+//! Stand-in for the key-value service: the part of the etcd v3 JSON interface that tinbay uses.
 //!
-//! `/control/faults` makes it refuse, hang, slow down, or lose the reply of writes that took
-//! effect; `/control/calls` counts its calls.
-//! It keeps no old revisions: a range at a revision reads the newest state.
+//! `/control/faults` makes it refuse calls, hang, slow down, or lose the responses of writes that
+//! took effect; `/control/calls` returns the number of calls. Old revisions are not kept: a range
+//! request for a revision reads the current state.
 
 mod faults;
 mod store;
@@ -29,10 +29,10 @@
 
 use crate::reply;
 
-/// How often lapsed leases are looked for.
+/// Interval of the check for expired leases.
 const LEASE_CHECK: Duration = Duration::from_millis(100);
 
-/// How long a hanging call hangs at most.
+/// How long a hanging call is held before it fails with status 503.
 const HANG: Duration = Duration::from_secs(120);
 
 #[derive(Default)]
@@ -57,7 +57,7 @@
         self.calls.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Plays the faults that come before a call has an effect.
+    /// Counts a call and applies the faults that precede its effect.
     async fn admit(&self, note: impl FnOnce(&mut CallCounts)) -> Result<(), HttpResponse> {
         note(&mut self.calls());
         let faults = *self.faults();
@@ -75,7 +75,7 @@
         Ok(())
     }
 
-    /// Whether the reply of this write is to be lost.
+    /// Whether to lose the response of this write; consumes one such fault.
     fn loses_reply(&self) -> bool {
         let mut faults = self.faults();
         if faults.lose_write_replies == 0 {
@@ -93,7 +93,7 @@
 /// Starts the stand-in.
 ///
 /// # Errors
-/// When the server cannot start.
+/// Returns an error if the server can't start.
 pub fn start(listener: TcpListener) -> io::Result<ServerHandle> {
     let kv = Arc::new(Kv::default());
     spawn_lease_thread(&kv);
@@ -110,7 +110,7 @@
     })
 }
 
-/// Leases lapse on a thread of their own, which ends with the stand-in.
+/// Expires leases on a thread of its own, which ends with the stand-in.
 fn spawn_lease_thread(kv: &Shared) {
     let kv = Arc::downgrade(kv);
     std::thread::spawn(move || {
--- a/crates/tinbay-standin/src/kv/store.rs
+++ b/crates/tinbay-standin/src/kv/store.rs
@@ -1,4 +1,4 @@
-//! The pairs, revisions, leases and watchers of the key-value stand-in.
+//! Key-value pairs, revisions, leases and watches of the key-value stand-in.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::time::{Duration, Instant};
@@ -9,7 +9,7 @@
 };
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 
-/// Changes kept for watchers that start in the past.
+/// Number of changes kept for watches that start at an earlier revision.
 const KEPT_CHANGES: usize = 50_000;
 
 struct Lease {
@@ -22,7 +22,7 @@
     sender: UnboundedSender<WatchResponse>,
 }
 
-/// Everything the stand-in holds, in memory.
+/// The in-memory state of the stand-in.
 #[derive(Default)]
 pub struct KvStore {
     revision: i64,
@@ -35,7 +35,7 @@
 }
 
 impl KvStore {
-    /// Answers a range.
+    /// Returns the pairs of a range.
     pub fn range(&self, request: &RangeRequest) -> RangeResponse {
         let limit = match request.limit.0 {
             0 => usize::MAX,
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Carries out a transaction; its writes share one revision.
+    /// Runs a transaction. All its writes get the same revision.
     pub fn txn(&mut self, request: &TxnRequest) -> TxnResponse {
         let succeeded = request.compare.iter().all(|compare| self.holds(compare));
         if succeeded && !request.success.is_empty() {
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Begins a lease.
+    /// Grants a lease and returns its id.
     pub fn grant_lease(&mut self, ttl_s: i64) -> i64 {
         self.last_lease += 1;
         let ttl = Duration::from_secs(ttl_s.max(1).unsigned_abs());
@@ -81,7 +81,7 @@
         self.last_lease
     }
 
-    /// Renews a lease; 0 when it has lapsed.
+    /// Renews a lease and returns its TTL in seconds, 0 if it has expired.
     pub fn keep_lease(&mut self, id: i64) -> i64 {
         self.expire_leases();
         let Some(lease) = self.leases.get_mut(&id) else {
@@ -91,7 +91,7 @@
         lease.ttl.as_secs().cast_signed()
     }
 
-    /// Ends a lease and deletes what hangs on it.
+    /// Ends a lease and deletes the pairs attached to it.
     pub fn revoke_lease(&mut self, id: i64) {
         if self.leases.remove(&id).is_none() {
             return;
@@ -110,7 +110,7 @@
         self.publish(events);
     }
 
-    /// Ends the leases that have lapsed.
+    /// Ends all expired leases.
     pub fn expire_leases(&mut self) {
         let now = Instant::now();
         let lapsed: Vec<i64> = self
@@ -124,7 +124,7 @@
         }
     }
 
-    /// Begins a watch: first the kept changes since its start, then each new one.
+    /// Opens a watch, which receives the kept changes since its start revision, then each new one.
     pub fn watch(&mut self, create: &WatchCreate) -> UnboundedReceiver<WatchResponse> {
         let (sender, receiver) = unbounded_channel();
         let start = create.start_revision.0;
@@ -152,7 +152,7 @@
         receiver
     }
 
-    /// Ends every watch.
+    /// Ends all watches.
     pub fn cut_watchers(&mut self) {
         self.watchers.clear();
     }
@@ -243,7 +243,8 @@
     }
 }
 
-/// An empty end means the one key; a zero byte means all keys from the first on.
+/// As in etcd, an empty `end` selects the single key `first`, and an `end` of one zero byte all
+/// keys from `first` on.
 fn in_range(key: &Bytes, first: &Bytes, end: &Bytes) -> bool {
     if end.0.is_empty() {
         return key == first;
--- a/crates/tinbay-standin/src/lib.rs
+++ b/crates/tinbay-standin/src/lib.rs
@@ -1,7 +1,8 @@
-//! Small stand-ins for the platform and the back ends.
+//! Stand-ins for the platform and the back ends, for tests and demos.
 //!
-//! Each is an HTTP server on loopback. Faults are set over its `/control` paths, never by
-//! the product. They are for tests and trials and make no claim to speed or durability.
+//! Each is an HTTP server on a loopback address. Its `/control` paths inject faults and report
+//! calls; only tests use them, never a box. All state is in memory, and throughput does not
+//! matter.
 
 pub mod boxes;
 pub mod engine;
@@ -16,7 +17,7 @@
 
 pub use tinbay_http::server::ServerHandle;
 
-/// The kinds of stand-in.
+/// Kind of a stand-in.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Kind {
     /// The key-value service.
@@ -25,14 +26,14 @@
     Engine,
     /// The weight store.
     Weights,
-    /// A plain service.
+    /// A plain service without adapters.
     Service,
-    /// The list of boxes.
+    /// The platform's list of boxes.
     Boxes,
 }
 
 impl Kind {
-    /// Every kind.
+    /// All kinds.
     pub const ALL: [Kind; 5] = [
         Kind::Kv,
         Kind::Engine,
@@ -41,7 +42,7 @@
         Kind::Boxes,
     ];
 
-    /// The kind as text.
+    /// Name on the command line.
     pub fn as_str(self) -> &'static str {
         match self {
             Kind::Kv => "kv",
@@ -53,19 +54,19 @@
     }
 }
 
-/// How a stand-in is to start.
+/// Settings of the stand-ins that have any.
 #[derive(Debug, Clone, Default)]
 pub struct StandinSettings {
     /// Settings of an engine.
     pub engine: engine::EngineSettings,
-    /// Settings of a weight store.
+    /// Settings of the weight store.
     pub weights: weights::WeightSettings,
 }
 
 /// Starts a stand-in on a listener.
 ///
 /// # Errors
-/// When the server cannot start.
+/// Returns an error if the server can't start.
 pub fn start(
     kind: Kind,
     listener: TcpListener,
--- a/crates/tinbay-standin/src/reply.rs
+++ b/crates/tinbay-standin/src/reply.rs
@@ -1,4 +1,4 @@
-//! Answers the stand-ins share.
+//! Request bodies and responses common to all stand-ins.
 
 use ntex::http::StatusCode;
 use ntex::web::HttpResponse;
@@ -6,20 +6,20 @@
 use serde::de::DeserializeOwned;
 use tinbay_http::body::read_json;
 
-/// Longest body a stand-in takes.
+/// Largest accepted request body.
 const MAX_BODY_BYTES: usize = 16 * 1024 * 1024;
 
-/// A JSON answer.
+/// Builds a JSON response with status 200.
 pub fn json<T: Serialize>(value: &T) -> HttpResponse {
     HttpResponse::Ok().json(value)
 }
 
-/// A JSON answer with another status.
+/// Builds a JSON response with the given status.
 pub fn json_status<T: Serialize>(status: StatusCode, value: &T) -> HttpResponse {
     HttpResponse::build(status).json(value)
 }
 
-/// Reads a JSON body, or gives the answer to a bad one.
+/// Parses a JSON body. The error is the response to a malformed one.
 pub async fn body<T: DeserializeOwned>(
     payload: ntex::web::types::Payload,
 ) -> Result<T, HttpResponse> {
--- a/crates/tinbay-standin/src/service.rs
+++ b/crates/tinbay-standin/src/service.rs
@@ -1,4 +1,4 @@
-//! Stand-in for a plain service; it counts how often each call ran.
+//! Stand-in for a plain service. It counts how often each call ran.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -18,35 +18,35 @@
 
 use crate::reply;
 
-/// Longest call body taken.
+/// Largest accepted request body.
 const MAX_CALL_BYTES: usize = 1024 * 1024;
 
-/// How long a hanging call hangs at most.
+/// How long the response of a call is withheld when its reply is lost.
 const HANG: Duration = Duration::from_secs(60);
 
 /// Body of `POST /control/faults`.
 #[derive(Debug, Clone, Copy, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct ServiceFaults {
-    /// Added to every call before it runs.
+    /// Delay of every call before it runs.
     pub delay_ms: u64,
-    /// So many of the next calls run and never answer.
+    /// Number of next calls that run without a timely response.
     pub lose_replies: u32,
-    /// So many of the next calls are refused before they run.
+    /// Number of next calls that are refused before they run.
     pub refuse: u32,
-    /// Share of the calls that run and never answer.
+    /// Fraction of calls that run without a timely response.
     pub lose_share: f64,
-    /// Share of the calls that are refused before they run.
+    /// Fraction of calls that are refused before they run.
     pub refuse_share: f64,
-    /// Share of the calls that run late, after `late_ms`.
+    /// Fraction of calls that run only after `late_ms`.
     pub late_share: f64,
-    /// How late.
+    /// Delay of those calls.
     pub late_ms: u64,
-    /// Seed of the shares' draws.
+    /// Seed for the selection of calls by these fractions.
     pub seed: u64,
 }
 
-/// What becomes of one call.
+/// How one call is handled.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Fate {
     Answer,
@@ -55,14 +55,14 @@
     Late,
 }
 
-/// Answer of a call.
+/// Response to a call.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceAnswer {
-    /// The call's name, as the caller's request id has it.
+    /// Request key of the call, or its request id if it has none.
     pub call: String,
-    /// How often it has run, this time included.
+    /// How often the call has run, including this time.
     pub runs: u32,
-    /// The body that came.
+    /// The request body.
     pub echo: String,
 }
 
@@ -74,7 +74,7 @@
 }
 
 impl Service {
-    /// Draws what becomes of the next call: the counted faults first, then the shares.
+    /// Selects the outcome of the next call: counted faults apply first, then the fractions.
     fn draw(&self) -> Fate {
         let mut faults = self.faults();
         if faults.refuse > 0 {
@@ -111,7 +111,7 @@
 /// Starts the stand-in.
 ///
 /// # Errors
-/// When the server cannot start.
+/// Returns an error if the server can't start.
 pub fn start(listener: TcpListener) -> io::Result<ServerHandle> {
     let service = Arc::new(Service::default());
     start_server("service", listener, 1, move |app| {
@@ -159,7 +159,7 @@
     })
 }
 
-/// The caller's key where there is one, else the request id.
+/// The caller's request key if present, otherwise the request id.
 fn call_name(request: &HttpRequest) -> String {
     let header = |name: &str| {
         let value = request.headers().get(name)?;
--- a/crates/tinbay-standin/src/weights.rs
+++ b/crates/tinbay-standin/src/weights.rs
@@ -1,4 +1,5 @@
-//! Stand-in for the weight store: so many loads a second, and slower beyond so many at once.
+//! Stand-in for the weight store: fetches are limited in rate, and slow down beyond a number of
+//! concurrent ones.
 
 use std::io;
 use std::net::TcpListener;
@@ -12,14 +13,14 @@
 
 use crate::reply;
 
-/// What the store allows.
+/// Capacity of the store.
 #[derive(Debug, Clone)]
 pub struct WeightSettings {
-    /// Fetches that may begin in a second.
+    /// Fetches that may start per second.
     pub loads_per_s: f64,
-    /// Fetches at once at full speed.
+    /// Maximum number of concurrent fetches at which each runs at full speed.
     pub at_once: u32,
-    /// Time of a fetch at full speed.
+    /// Duration of a fetch at full speed.
     pub load_ms: u64,
 }
 
@@ -36,16 +37,16 @@
 /// Body of `POST /v1/fetch`.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct FetchRequest {
-    /// Where the weights are.
+    /// Location of the weights.
     pub path: String,
 }
 
-/// Answer of `GET /control/fetches`.
+/// Response of `GET /control/fetches`.
 #[derive(Debug, Clone, Copy, Default, Serialize, Deserialize)]
 pub struct FetchCounts {
-    /// Fetches begun.
+    /// Fetches started.
     pub begun: u64,
-    /// Most fetches at once.
+    /// Maximum number of concurrent fetches so far.
     pub most_at_once: u32,
 }
 
@@ -61,7 +62,7 @@
 }
 
 impl Weights {
-    /// Books the next start the rate allows.
+    /// Reserves the next start time that the rate allows.
     fn book(&self) -> Instant {
         let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
         let start = state.next_start.max(Instant::now());
@@ -69,7 +70,7 @@
         start
     }
 
-    /// Begins a fetch and says how long it takes with those that run already.
+    /// Starts a fetch; returns its duration, given the fetches that already run.
     fn begin(&self) -> Duration {
         let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
         state.active += 1;
@@ -88,7 +89,7 @@
 /// Starts the stand-in.
 ///
 /// # Errors
-/// When the server cannot start.
+/// Returns an error if the server can't start.
 pub fn start(listener: TcpListener, settings: WeightSettings) -> io::Result<ServerHandle> {
     let weights = Arc::new(Weights {
         settings,
