--- a/crates/tinbay-experiment/src/arrivals.rs
+++ b/crates/tinbay-experiment/src/arrivals.rs
@@ -1,4 +1,4 @@
-//! The requests of a workload, worked out from its seed before anything is decided.
+//! Generates the requests of a workload from its seed, before the simulation starts.
 
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -11,23 +11,23 @@
 /// One request of a workload.
 #[derive(Debug, Clone)]
 pub struct Arrival {
-    /// When it comes.
+    /// Arrival time.
     pub at_ms: Millis,
-    /// Number of its traffic stream.
+    /// Index of its traffic stream.
     pub traffic: usize,
-    /// Number of its adapter.
+    /// Index of its adapter.
     pub adapter: usize,
-    /// What it names.
+    /// Requested model.
     pub model: ModelRef,
-    /// Number of its organisation.
+    /// Index of its organisation.
     pub organisation: usize,
 }
 
-/// Step of the adapters' numbers at a shift of popularity; any number that shares no factor
-/// with usual adapter counts does.
+/// Offset added to the adapter indices at a shift of popularity. A prime, so that it shares no
+/// factor with usual adapter counts.
 const SHIFT_STEP: usize = 1_009;
 
-/// Every request, by time. All strategies get the same ones.
+/// Returns all requests, ordered by arrival time. They don't depend on the strategy.
 pub fn work_out(workload: &Workload, seed: u64) -> Vec<Arrival> {
     let mut arrivals = Vec::new();
     for (index, traffic) in workload.traffic.iter().enumerate() {
@@ -38,7 +38,7 @@
     arrivals
 }
 
-/// Poisson arrivals, thinned from the stream's highest rate.
+/// Adds the Poisson arrivals of a stream: generated at its highest rate, then thinned.
 fn add_stream(
     workload: &Workload,
     index: usize,
--- a/crates/tinbay-experiment/src/bound.rs
+++ b/crates/tinbay-experiment/src/bound.rs
@@ -1,4 +1,5 @@
-//! What no strategy can beat, worked out with the future known.
+//! Bounds on the load stall and hit rate of any strategy, computed offline with all future requests
+//! known.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -7,22 +8,22 @@
 use crate::arrivals;
 use crate::workload::Workload;
 
-/// The bound of one workload and seed.
+/// The bounds for one workload and seed.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct Bound {
-    /// 99th percentile of the load stall by urgent class.
+    /// Lower bound of the 99th percentile of the load stall, by urgent class.
     pub stall_p99_ms: BTreeMap<String, f64>,
-    /// Share of requests that find their adapter loaded, by urgent class.
+    /// Upper bound of the fraction of requests that find their adapter loaded, by urgent class.
     pub hit_share: BTreeMap<String, f64>,
 }
 
-/// Works the bound out.
+/// Computes the bounds.
 ///
-/// All slots of a base model count as one cache that only the urgent classes use. Unloads
-/// are chosen with the future known (Belady, "A study of replacement algorithms for a
-/// virtual-storage computer", IBM Systems Journal 1966); loads begin when a request comes,
-/// are never held up by the rate, and take their full-speed time. A request for an adapter
-/// that is not there stalls for one load. No strategy that loads on demand stalls less.
+/// All slots of a base model count as one cache that only the urgent classes use. Evictions are
+/// optimal (Belady, "A study of replacement algorithms for a virtual-storage computer", IBM
+/// Systems Journal 1966). A load starts when its request arrives, is not delayed by the rate limit
+/// of the weight store and runs at full speed, so that a miss stalls for the duration of one load.
+/// No strategy that loads on demand stalls less.
 pub fn work_out(workload: &Workload, seed: u64) -> Bound {
     let arrivals = arrivals::work_out(workload, seed);
     let urgent: Vec<(usize, usize)> = arrivals
@@ -64,7 +65,7 @@
         }
         *missed.entry(*traffic).or_default() += 1;
         if cached.len() > slots {
-            // The one used again latest gives way; it may be the one that just came.
+            // Evicts the adapter whose next use is farthest away, possibly the one just loaded.
             let farthest = cached
                 .iter()
                 .max_by_key(|(adapter, next)| (**next, **adapter));
@@ -75,7 +76,7 @@
     }
 }
 
-/// Where each request's adapter is asked for again.
+/// For each request, the index of the next request for the same adapter.
 fn next_uses(requests: &[(usize, usize)]) -> Vec<usize> {
     let mut next_use = vec![usize::MAX; requests.len()];
     let mut seen: HashMap<usize, usize> = HashMap::new();
--- a/crates/tinbay-experiment/src/engines.rs
+++ b/crates/tinbay-experiment/src/engines.rs
@@ -1,25 +1,25 @@
-//! The fake engines: how long a request runs, and how full the batch is.
+//! Fake engines: duration of requests and use of the batch.
 
 use tinbay_core::units::Millis;
 
 use crate::workload::EnginePark;
 
-/// One fake engine.
+/// A fake engine.
 #[derive(Debug, Clone, Default)]
 pub struct FakeEngine {
-    /// Requests in the batch.
+    /// Number of requests in the batch.
     pub running: u32,
-    /// Its run; a restart raises it, and ends of orders and requests from before are void.
+    /// Incremented by a restart. Loads and requests of an earlier incarnation have no effect.
     pub run: u64,
     noted_ms: Millis,
-    /// Places used while requests waited, times milliseconds.
+    /// Occupied batch places while requests waited, integrated over time.
     used_ms: u64,
-    /// Places offered while requests waited, times milliseconds.
+    /// All batch places while requests waited, integrated over time.
     offered_ms: u64,
 }
 
 impl FakeEngine {
-    /// Counts the time since the last note; call before the batch or the queue changes.
+    /// Adds the time since the last call. To be called before the batch or the queue changes.
     pub fn note(&mut self, now_ms: Millis, queued: usize, batch_limit: u32) {
         let passed_ms = now_ms.saturating_sub(self.noted_ms);
         self.noted_ms = now_ms;
@@ -29,13 +29,13 @@
         }
     }
 
-    /// Places used and offered while requests waited.
+    /// Occupied and total batch places while requests waited, in place-milliseconds.
     pub fn use_of_batch(&self) -> (u64, u64) {
         (self.used_ms, self.offered_ms)
     }
 
-    /// How long a request runs that enters the batch now. The batch of this moment stands
-    /// for the batch of its whole run.
+    /// Duration of a request that enters the batch now. The current size of the batch is assumed
+    /// for the whole duration.
     pub fn run_ms(&self, park: &EnginePark, tokens: u32) -> Millis {
         let crowd = 1.0 + park.crowding * f64::from(self.running.saturating_sub(1));
         (park.prefill_ms + f64::from(tokens) * park.token_ms * crowd) as Millis
--- a/crates/tinbay-experiment/src/lib.rs
+++ b/crates/tinbay-experiment/src/lib.rs
@@ -1,9 +1,9 @@
-//! Repeatable experiments on the decision core.
+//! Repeatable experiments on the decision core, simulated in virtual time.
 //!
-//! A workload file gives engines, weight store, adapters, traffic and disturbances. The
-//! core decides, through the same borders as in a box; small fakes of engines and weight
-//! store answer on virtual time. No network, boxes or membership are modelled. The same
-//! seed gives the same figures.
+//! A workload file describes engines, weight store, adapters, traffic and disturbances. The core
+//! decides, called through the same interfaces as in a box; fakes of the engines and of the
+//! weight store respond. Network, boxes and membership are not modelled. The same seed gives the
+//! same figures.
 
 mod arrivals;
 mod bound;
--- a/crates/tinbay-experiment/src/limits/demand.rs
+++ b/crates/tinbay-experiment/src/limits/demand.rs
@@ -1,4 +1,4 @@
-//! Who asks, where, and how much.
+//! Generates the requests: account, box and units of each.
 
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
@@ -7,31 +7,32 @@
 
 use super::{LEAST_LIMIT_PER_S, LIMIT_FACTOR, LimitTerms};
 
-/// Skew of the accounts' demand: a few of them are large.
+/// Zipf exponent of the accounts' load: a few accounts are large.
 const SKEW: f64 = 1.0;
 
-/// What a short request counts, and a long one.
+/// Units of a short request.
 const SHORT_UNITS: f64 = 661.0;
+/// Units of a long request.
 const LONG_UNITS: f64 = 9_240.0;
 
-/// Part of the requests that is long.
+/// Fraction of long requests.
 const LONG_PART: f64 = 0.03;
 
-/// The account that turns hot, by its rank: one of the large ones.
+/// Index of the account that turns hot, in order of load: the second largest.
 pub const HOT_ACCOUNT: usize = 1;
 
-/// A request.
+/// A request of an account at a box.
 #[derive(Debug, Clone, Copy)]
 pub struct Asked {
-    /// The account.
+    /// Index of the account.
     pub account: usize,
-    /// The box.
+    /// Index of the box that receives it.
     pub at: usize,
-    /// What it counts.
+    /// Units that it needs.
     pub units: f64,
 }
 
-/// Requests by time.
+/// Generator of requests.
 pub struct Demand {
     random: SmallRng,
     ranks: Zipf<f64>,
@@ -42,19 +43,19 @@
     owed_hot: f64,
 }
 
-/// Mean units of a request.
+/// Mean number of units of a request.
 fn mean_units() -> f64 {
     LONG_PART * LONG_UNITS + (1.0 - LONG_PART) * SHORT_UNITS
 }
 
-/// Parts of all requests that the accounts have, the largest first.
+/// Fraction of all requests that each account sends, the largest first.
 fn parts(accounts: usize) -> Vec<f64> {
     let weight = |rank: usize| 1.0 / (rank as f64).powf(SKEW);
     let all: f64 = (1..=accounts).map(weight).sum();
     (1..=accounts).map(|rank| weight(rank) / all).collect()
 }
 
-/// Limits of all accounts.
+/// Computes the limits of all accounts.
 pub fn limits(terms: &LimitTerms) -> Vec<Limit> {
     let to_limit = |part: f64| {
         let usual = part * terms.requests_per_s * mean_units();
@@ -68,10 +69,10 @@
 }
 
 impl Demand {
-    /// The demand of a run.
+    /// Creates the generator for a run.
     ///
     /// # Errors
-    /// When there is no account.
+    /// Returns an error if there are no accounts.
     pub fn new(terms: &LimitTerms) -> Result<Self, rand_distr::ZipfError> {
         let hot_part = parts(terms.accounts)[HOT_ACCOUNT.min(terms.accounts - 1)];
         let usual_per_ms = terms.requests_per_s / 1_000.0;
@@ -86,7 +87,7 @@
         })
     }
 
-    /// The requests of one millisecond.
+    /// Generates the requests of one millisecond.
     pub fn next_ms(&mut self, is_hot: bool) -> Vec<Asked> {
         self.owed += self.usual_per_ms;
         let mut asked = Vec::new();
@@ -114,7 +115,7 @@
         }
     }
 
-    /// Whether a box is among those that are killed.
+    /// Draws whether a box is among the fraction that is killed.
     pub fn draw(&mut self, part: f64) -> bool {
         self.random.random_bool(part.clamp(0.0, 1.0))
     }
--- a/crates/tinbay-experiment/src/limits/measures.rs
+++ b/crates/tinbay-experiment/src/limits/measures.rs
@@ -1,4 +1,4 @@
-//! What a run shows.
+//! Results of a simulation, and what limits allow.
 
 use std::collections::VecDeque;
 
@@ -7,43 +7,43 @@
 
 use super::{OVERSHOOT, SLACK, WINDOW_MS};
 
-/// One second of the hot account, in units.
+/// Units of the hot account in one second.
 #[derive(Debug, Clone, Copy, Default, Serialize)]
 pub struct Second {
-    /// What it asked for.
+    /// Units requested.
     pub asked: f64,
-    /// What it got.
+    /// Units admitted.
     pub admitted: f64,
 }
 
-/// What a run shows.
+/// Results of a simulation.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct LimitMeasures {
-    /// Requests.
+    /// Number of requests.
     pub requests: u64,
-    /// Requests that were refused.
+    /// Number of refused requests.
     pub refused: u64,
-    /// Those refused though their account had asked for less than its limit in the window.
+    /// Requests refused although their account had requested no more than its limit in the window.
     pub refused_below: u64,
-    /// Most that any account got in a window, against its limit there without what is allowed.
+    /// Highest ratio, over all accounts, of the units admitted in a window to those of the limit.
     pub most_of_limit: f64,
-    /// Accounts that got more in a window than is allowed.
+    /// Number of accounts that exceeded their limit by more than the allowed overshoot.
     pub accounts_over: usize,
-    /// Messages a second and box.
+    /// Messages per second and box, sent and received.
     pub messages_per_s: f64,
-    /// Bytes a second and box, sent and taken.
+    /// Bytes per second and box, sent and received.
     pub bytes_per_s: f64,
-    /// Bytes a second of the busiest box.
+    /// Bytes per second of the busiest box.
     pub busiest_bytes_per_s: f64,
-    /// Accounts of which a box keeps something, in the mean.
+    /// Mean number of accounts for which a box holds the state of a share at the end.
     pub accounts_a_box: f64,
-    /// Limit of the hot account, in units a second.
+    /// Limit of the hot account, in units per second.
     pub hot_limit_per_s: f64,
-    /// The hot account, second by second.
+    /// Units of the hot account in each second.
     pub hot: Vec<Second>,
 }
 
-/// Units in the window that ends now.
+/// Units in a sliding window.
 #[derive(Debug, Default)]
 pub struct Window {
     units: VecDeque<(u64, f64)>,
@@ -60,13 +60,13 @@
         self.most = self.most.max(self.sum);
     }
 
-    /// Units in the window now.
+    /// Units in the window that ends now.
     pub fn sum(&mut self, now_ms: u64) -> f64 {
         self.leave(now_ms);
         self.sum
     }
 
-    /// Most units of any window.
+    /// Maximum units of any window so far.
     pub fn most(&self) -> f64 {
         self.most
     }
@@ -82,12 +82,12 @@
     }
 }
 
-/// What a limit gives in a window.
+/// Units that a limit gives in one window.
 pub fn in_window(limit: Limit) -> f64 {
     limit.per_s * WINDOW_MS as f64 / 1_000.0 + limit.burst
 }
 
-/// What an account may get in a window at most.
+/// Maximum units of an account in one window, including the allowed overshoot.
 pub fn allowed(limit: Limit) -> f64 {
     in_window(limit) * (1.0 + OVERSHOOT) + SLACK
 }
--- a/crates/tinbay-experiment/src/limits/mod.rs
+++ b/crates/tinbay-experiment/src/limits/mod.rs
@@ -1,8 +1,9 @@
-//! Limits of client accounts over many boxes, in virtual time.
+//! Simulates the limits of client accounts in a fleet of many boxes, in virtual time.
 //!
-//! Accounts of skewed demand ask at all boxes; one of them asks many times its usual for a third of
-//! the run, and a part of the boxes is killed in its middle. The decisions are those of the core;
-//! messages take a time and are counted. The same seed gives the same figures.
+//! Accounts with a skewed load send requests to all boxes. During the second third of the run one
+//! account sends a multiple of its usual load, and in the middle of the run a fraction of the boxes
+//! is killed. Limits are enforced by the code of the core; messages between boxes are delayed and
+//! counted. The same seed gives the same figures.
 
 mod demand;
 mod measures;
@@ -11,18 +12,18 @@
 pub use measures::{LimitMeasures, Second};
 pub use play::play;
 
-/// How limits are kept.
+/// How limits are enforced.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, serde::Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LimitStrategy {
-    /// Each box lives on its share; no messages.
+    /// Each box only uses its own share of the limit, without messages.
     Shares,
-    /// A home for each account deals to all boxes.
+    /// The home of each account grants units to all boxes.
     Homes,
 }
 
 impl LimitStrategy {
-    /// All of them.
+    /// All strategies.
     pub const ALL: [LimitStrategy; 2] = [LimitStrategy::Shares, LimitStrategy::Homes];
 
     /// Name in reports.
@@ -34,45 +35,45 @@
     }
 }
 
-/// What is played.
+/// Parameters of a simulation.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct LimitTerms {
-    /// Boxes.
+    /// Number of boxes.
     pub boxes: usize,
-    /// Client accounts.
+    /// Number of client accounts.
     pub accounts: usize,
-    /// Requests a second of all accounts at their usual.
+    /// Requests per second of all accounts together at their usual load.
     pub requests_per_s: f64,
-    /// Length of the run.
+    /// Duration of the run in seconds.
     pub seconds: u64,
-    /// How many times its usual the hot account asks.
+    /// Factor of the hot account's load while it is hot.
     pub hot: f64,
-    /// Part of the boxes that is killed in the middle.
+    /// Fraction of the boxes that is killed in the middle of the run.
     pub killed: f64,
     /// Seed of all random choices.
     pub seed: u64,
 }
 
-/// Time of a message between two boxes, one way: half of what it takes between zones with the gap
-/// that collects messages.
+/// One-way delay of a message between two boxes: half of a round trip between zones, including the
+/// interval in which a box collects messages before it sends them.
 pub const MESSAGE_MS: u64 = 3;
 
-/// Bytes of a question or an answer with the frame and the datagram's headers.
+/// Size of a request for units or a grant, including the frame and the headers of the datagram.
 pub const MESSAGE_BYTES: u64 = 90;
 
-/// Window over which a limit binds.
+/// Window over which a limit applies.
 pub const WINDOW_MS: u64 = 8_000;
 
-/// Part of what a limit allows in a window by which it may be exceeded.
+/// Fraction of the units of a window by which a limit may be exceeded.
 pub const OVERSHOOT: f64 = 0.1;
 
-/// Units by which it may be exceeded besides, and the part of them that shares overdraw.
+/// Units by which a limit may be exceeded in addition.
 pub const SLACK: f64 = 110_000.0;
-/// Part of the slack that boxes without a home overdraw together.
+/// Fraction of [`OVERSHOOT_UNITS`] by which boxes without a home may overdraw their shares together.
 pub const OVERDRAFT_PART: f64 = 0.5;
 
-/// An account's limit against its usual use.
+/// Ratio of an account's limit to its usual load.
 pub const LIMIT_FACTOR: f64 = 1.8;
 
-/// Least limit of an account, in units a second.
+/// Minimum limit of an account, in units per second.
 pub const LEAST_LIMIT_PER_S: f64 = 29_000.0;
--- a/crates/tinbay-experiment/src/limits/play.rs
+++ b/crates/tinbay-experiment/src/limits/play.rs
@@ -1,4 +1,4 @@
-//! Plays a run, millisecond by millisecond.
+//! The simulation, in steps of one millisecond.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -10,7 +10,7 @@
 use super::measures::{LimitMeasures, Second, Window, allowed, in_window};
 use super::{LimitStrategy, LimitTerms, MESSAGE_BYTES, MESSAGE_MS, OVERDRAFT_PART, SLACK};
 
-/// A message on its way.
+/// A message between two boxes.
 enum Message {
     Question { asked: Asked, ahead: f64 },
     Answer { asked: Asked, grant: UnitGrant },
@@ -28,10 +28,10 @@
     measures: LimitMeasures,
 }
 
-/// Plays a run.
+/// Runs a simulation.
 ///
 /// # Errors
-/// When there is no account.
+/// Returns an error if there are no accounts.
 pub fn play(
     terms: &LimitTerms,
     strategy: LimitStrategy,
@@ -77,12 +77,12 @@
         terms::LimitTerms::of_account(self.limits[account], SLACK * OVERDRAFT_PART)
     }
 
-    /// The box that keeps an account's limit.
+    /// The box that is the home of an account's limit.
     fn home_of(&self, account: usize) -> usize {
         account.wrapping_mul(0x9e37_79b9) % self.terms.boxes
     }
 
-    /// Boxes are killed and come back at once, knowing nothing.
+    /// Kills the given fraction of the boxes. They restart at once, without any state of limits.
     fn kill(&mut self, demand: &mut Demand) {
         for at in 0..self.terms.boxes {
             if !demand.draw(self.terms.killed) {
--- a/crates/tinbay-experiment/src/measures.rs
+++ b/crates/tinbay-experiment/src/measures.rs
@@ -1,4 +1,4 @@
-//! What an experiment measures.
+//! Results of an experiment.
 
 use std::collections::BTreeMap;
 
@@ -9,54 +9,54 @@
 /// Significant digits of the histograms.
 const DIGITS: u8 = 3;
 
-/// Quantiles of one measure.
+/// Quantiles of a duration.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize)]
 pub struct Quantiles {
-    /// Half are below.
+    /// Median.
     pub p50_ms: f64,
-    /// 95 in 100 are below.
+    /// 95th percentile.
     pub p95_ms: f64,
-    /// 99 in 100 are below.
+    /// 99th percentile.
     pub p99_ms: f64,
 }
 
-/// What was measured of one class.
+/// Results of one priority class.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct ClassMeasures {
-    /// Requests that came.
+    /// Requests that arrived.
     pub came: u64,
-    /// Requests that started in time.
+    /// Requests that started within their maximum wait.
     pub in_time: u64,
-    /// Requests that started after their last moment; only the naive ways do that.
+    /// Requests that started later; only the naive strategies start these.
     pub late: u64,
-    /// Requests refused as not run.
+    /// Requests that were refused without having run.
     pub refused: u64,
-    /// Wait for the adapter to be loaded, over started requests.
+    /// Wait for the adapter to be loaded, of started requests.
     pub stall: Quantiles,
-    /// Whole wait before the start, over started requests.
+    /// Total wait before the start, of started requests.
     pub wait: Quantiles,
 }
 
-/// What was measured in one run.
+/// Results of one run.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct Measures {
-    /// By class.
+    /// Results by class.
     pub classes: BTreeMap<String, ClassMeasures>,
-    /// Share of the batch in use while requests waited.
+    /// Fraction of the batch places that were occupied while requests waited.
     pub batch_efficiency: f64,
-    /// Loads begun.
+    /// Loads started.
     pub loads: u64,
-    /// Unloads of a model that served; must be 0.
+    /// Unloads of a model that was serving; must be 0.
     pub unloads_while_serving: u64,
-    /// Least share of an organisation's requests that started in time, over organisations
-    /// with at least [`FAIRNESS_LEAST`] requests of urgent classes.
+    /// Lowest fraction of urgent requests that started in time, of all organisations with at least
+    /// [`FAIRNESS_LEAST`] of them.
     pub least_organisation_in_time: f64,
 }
 
-/// Requests below which an organisation's share says little.
+/// Minimum number of urgent requests of an organisation for its fraction to be meaningful.
 pub const FAIRNESS_LEAST: u64 = 20;
 
-/// Collects the measures of one class.
+/// Collects the results of one class.
 #[derive(Debug)]
 pub struct ClassCollector {
     came: u64,
@@ -68,7 +68,7 @@
 }
 
 impl ClassCollector {
-    /// Nothing collected yet.
+    /// Creates a collector without results.
     pub fn new() -> Self {
         Self {
             came: 0,
@@ -80,12 +80,12 @@
         }
     }
 
-    /// A request came.
+    /// Records the arrival of a request.
     pub fn note_arrival(&mut self) {
         self.came += 1;
     }
 
-    /// A request started.
+    /// Records the start of a request.
     pub fn note_start(&mut self, stall_ms: Millis, wait_ms: Millis, in_time: bool) {
         self.in_time += u64::from(in_time);
         self.late += u64::from(!in_time);
@@ -93,12 +93,12 @@
         self.wait.saturating_record(wait_ms);
     }
 
-    /// A request was refused.
+    /// Records the refusal of a request.
     pub fn note_refusal(&mut self) {
         self.refused += 1;
     }
 
-    /// The measures.
+    /// Returns the results.
     pub fn finish(&self) -> ClassMeasures {
         ClassMeasures {
             came: self.came,
@@ -112,7 +112,7 @@
 }
 
 fn histogram() -> Histogram<u64> {
-    // Between 1 ms and a day; the bounds are valid, so this cannot fail.
+    // From 1 ms to one day. These bounds are valid, so that this can't fail.
     Histogram::new_with_bounds(1, 86_400_000, DIGITS).unwrap_or_else(|_| unreachable!())
 }
 
@@ -125,7 +125,7 @@
     }
 }
 
-/// Mean and half the width of a 95% confidence interval over seeds (normal approximation).
+/// Returns the mean and half the width of its 95% confidence interval (normal approximation).
 pub fn mean_and_spread(values: &[f64]) -> (f64, f64) {
     let count = values.len() as f64;
     if values.is_empty() {
--- a/crates/tinbay-experiment/src/run.rs
+++ b/crates/tinbay-experiment/src/run.rs
@@ -1,4 +1,4 @@
-//! Runs one strategy over one workload and seed, on virtual time.
+//! Simulates one strategy with one workload and seed in virtual time.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap};
@@ -18,16 +18,16 @@
 use crate::weights::FakeWeightStore;
 use crate::workload::{Disturbance, Workload};
 
-/// Time between ticks of the schedulers, as in a box.
+/// Interval of the schedulers' ticks, the same as in a box.
 const TICK_MS: Millis = 20;
 
-/// Time of an unload.
+/// Duration of an unload.
 const UNLOAD_MS: Millis = 5;
 
-/// Engines tried for one request.
+/// Maximum number of engines tried for one request.
 const MAX_ATTEMPTS: usize = 4;
 
-/// Something that happens.
+/// An event of the simulation.
 #[derive(Debug, Clone)]
 enum Happening {
     Arrive(usize),
@@ -52,7 +52,7 @@
     },
 }
 
-/// A request under way.
+/// A request that has neither started nor been refused.
 struct Request {
     arrival: usize,
     treatment: Treatment,
@@ -81,7 +81,7 @@
     unloads_while_serving: u64,
 }
 
-/// Runs a strategy; the same arguments give the same figures.
+/// Runs a strategy. The same arguments give the same figures.
 pub fn run(workload: &Workload, policy: &Policy, kind: StrategyKind, seed: u64) -> Measures {
     let mut experiment = Experiment::new(workload, policy, kind, seed);
     experiment.schedule_all();
@@ -148,7 +148,8 @@
         self.next += 1;
     }
 
-    /// Runs until every request has started or been refused, at most as long again.
+    /// Runs until every request has started or been refused, for at most twice the duration of the
+    /// workload.
     fn run_to_end(&mut self) {
         let last_ms = 2 * self.workload.length_ms();
         while let Some(Reverse((at_ms, _, number))) = self.heap.pop() {
@@ -261,7 +262,7 @@
         policy.classify(&request).unwrap_or(base)
     }
 
-    /// Submits a request to the next engine in its order.
+    /// Submits a request to the next engine of its order, or refuses it if none is left.
     fn try_next(&mut self, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
@@ -390,7 +391,8 @@
         }
     }
 
-    /// The naive ways load without asking; the weight store makes them wait.
+    /// Requests a load from the arbiter. The naive strategies load without permission and wait at
+    /// the weight store.
     fn ask_load(&mut self, engine: usize, model: ModelRef, rank: u8) {
         if !self.kind.is_core() {
             self.give(engine, Event::LoadGranted(model));
--- a/crates/tinbay-experiment/src/strategy.rs
+++ b/crates/tinbay-experiment/src/strategy.rs
@@ -1,4 +1,4 @@
-//! The ways of deciding that are compared.
+//! The strategies that are compared.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -13,22 +13,22 @@
 
 use crate::workload::Workload;
 
-/// A way of deciding.
+/// A strategy for routing, scheduling and loading.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum StrategyKind {
-    /// First come first served, least connections, least recently used unload.
+    /// Least-connections routing, first-come-first-served queue, least-recently-used eviction.
     Naive,
-    /// The same, but an engine that holds the adapter is preferred.
+    /// The same, but routing prefers engines that hold the adapter.
     NaiveAffinity,
-    /// The core, without a policy program.
+    /// The core without a policy program.
     Core,
     /// The core with the workload's policy.
     CorePolicy,
 }
 
 impl StrategyKind {
-    /// Every way.
+    /// All strategies.
     pub const ALL: [StrategyKind; 4] = [
         StrategyKind::Naive,
         StrategyKind::NaiveAffinity,
@@ -36,7 +36,7 @@
         StrategyKind::CorePolicy,
     ];
 
-    /// The name in tables.
+    /// Name in reports.
     pub fn as_str(self) -> &'static str {
         match self {
             StrategyKind::Naive => "naive",
@@ -46,12 +46,12 @@
         }
     }
 
-    /// Whether it is the core.
+    /// Whether the strategy uses the core.
     pub fn is_core(self) -> bool {
         matches!(self, StrategyKind::Core | StrategyKind::CorePolicy)
     }
 
-    /// A scheduler for one engine.
+    /// Creates the scheduler of one engine.
     pub fn scheduler(self, shape: EngineShape, policy: Option<&Policy>) -> Box<dyn Scheduler> {
         match self {
             StrategyKind::Naive | StrategyKind::NaiveAffinity => {
@@ -69,14 +69,14 @@
     }
 }
 
-/// What routing looks at of each engine.
+/// Load of an engine, as seen by routing.
 #[derive(Debug, Clone, Copy)]
 pub struct EngineLoad {
-    /// Requests waiting and running.
+    /// Number of requests queued and running.
     pub connections: usize,
 }
 
-/// Chooses engines.
+/// Selects the engines for requests.
 pub struct Routing {
     kind: StrategyKind,
     base_models: usize,
@@ -87,7 +87,7 @@
 }
 
 impl Routing {
-    /// Routing over a workload's engines.
+    /// Creates the routing for the engines of a workload.
     pub fn new(kind: StrategyKind, workload: &Workload) -> Self {
         let names: Vec<EngineId> = (0..workload.engines.count)
             .map(|number| EngineId::new(format!("engine-{number}")))
@@ -103,7 +103,7 @@
         }
     }
 
-    /// The engines to try, best first.
+    /// The engines to try, in order of preference.
     pub fn order(
         &mut self,
         now_ms: Millis,
@@ -158,25 +158,25 @@
             .collect()
     }
 
-    /// Notes the wait an engine's owner told with an answer.
+    /// Records the wait that the owner of an engine reported with an answer.
     pub fn note_wait(&mut self, engine: usize, urgent: bool, wait_ms: Millis, now_ms: Millis) {
         self.router
             .note_wait(&self.names[engine], urgent, wait_ms, now_ms);
     }
 
-    /// Notes that an engine holds a model.
+    /// Records that an engine holds a model.
     pub fn note_loaded(&mut self, engine: usize, model: &ModelRef) {
         self.holders.entry(model.clone()).or_default().push(engine);
     }
 
-    /// Notes that an engine holds a model no more.
+    /// Records that an engine has unloaded a model.
     pub fn note_unloaded(&mut self, engine: usize, model: &ModelRef) {
         if let Some(holders) = self.holders.get_mut(model) {
             holders.retain(|holder| *holder != engine);
         }
     }
 
-    /// Notes that an engine has lost everything.
+    /// Records that an engine has restarted without adapters.
     pub fn note_restarted(&mut self, engine: usize) {
         for holders in self.holders.values_mut() {
             holders.retain(|holder| *holder != engine);
--- a/crates/tinbay-experiment/src/weights.rs
+++ b/crates/tinbay-experiment/src/weights.rs
@@ -1,21 +1,21 @@
-//! The fake weight store: a rate, and loads that slow down beyond so many at once.
+//! Fake weight store: loads are limited in rate, and slow down beyond a number of concurrent ones.
 
 use tinbay_core::units::Millis;
 
 use crate::workload::WeightStorePlan;
 
-/// The fake weight store.
+/// A fake weight store.
 #[derive(Debug, Clone)]
 pub struct FakeWeightStore {
     plan: WeightStorePlan,
     next_start_ms: f64,
     active: u32,
-    /// Loads begun.
+    /// Number of loads started.
     pub loads: u64,
 }
 
 impl FakeWeightStore {
-    /// An idle store.
+    /// Creates an idle store.
     pub fn new(plan: WeightStorePlan) -> Self {
         Self {
             plan,
@@ -25,7 +25,8 @@
         }
     }
 
-    /// Begins a load; gives the time until it ends. Beyond the rate it waits at the store.
+    /// Starts a load and returns the time until it ends, including the wait at the store for loads
+    /// above its rate.
     pub fn begin(&mut self, now_ms: Millis) -> Millis {
         let start_ms = self.next_start_ms.max(now_ms as f64);
         self.next_start_ms = start_ms + 1_000.0 / self.plan.loads_per_s;
--- a/crates/tinbay-experiment/src/workload.rs
+++ b/crates/tinbay-experiment/src/workload.rs
@@ -5,7 +5,7 @@
 use tinbay_core::policy::{Policy, PolicyError};
 use tinbay_core::units::Millis;
 
-/// Why a workload cannot be run.
+/// Why a workload can't be run.
 #[derive(Debug, thiserror::Error)]
 pub enum WorkloadError {
     /// The file is malformed.
@@ -17,24 +17,24 @@
     /// A value is out of range.
     #[error("{field} must be {allowed}")]
     Range {
-        /// The field.
+        /// Path of the field.
         field: &'static str,
-        /// What it may be.
+        /// Allowed values.
         allowed: &'static str,
     },
 }
 
-/// A workload as its file has it.
+/// Contents of a workload file.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Workload {
     /// Its name.
     pub name: String,
-    /// How long it runs, in virtual time.
+    /// Duration in virtual time.
     pub length_s: u64,
     /// Seeds for development.
     pub seeds: Vec<u64>,
-    /// Seeds kept aside for judging.
+    /// Seeds reserved for the final evaluation.
     pub judging_seeds: Vec<u64>,
     /// The engines.
     pub engines: EnginePark,
@@ -42,30 +42,30 @@
     pub weight_store: WeightStorePlan,
     /// The adapters.
     pub adapters: AdapterPlan,
-    /// The traffic, a stream of requests each.
+    /// The streams of requests.
     pub traffic: Vec<Traffic>,
-    /// What disturbs it.
+    /// Disturbances during the run.
     #[serde(default)]
     pub disturbance: Vec<Disturbance>,
 }
 
-/// The engines of a workload, all alike.
+/// The engines of a workload, all of the same kind.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EnginePark {
-    /// How many.
+    /// Number of engines.
     pub count: usize,
-    /// Base models, engines dealt out to them in turn.
+    /// Number of base models, assigned to the engines in turn.
     pub base_models: usize,
-    /// Adapters each holds at once.
+    /// Number of adapters that an engine can hold at once.
     pub slots: u32,
-    /// Requests each batches at once.
+    /// Number of requests that an engine runs in one batch.
     pub batch_limit: u32,
     /// Time before the first token.
     pub prefill_ms: f64,
-    /// Time between tokens of a request that runs alone.
+    /// Time per token of a request that runs alone.
     pub token_ms: f64,
-    /// Share by which each further request in the batch slows the others' tokens.
+    /// Fraction by which each further request in the batch increases the time per token.
     pub crowding: f64,
 }
 
@@ -73,11 +73,11 @@
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct WeightStorePlan {
-    /// Loads that may begin in a second.
+    /// Loads that may start per second.
     pub loads_per_s: f64,
-    /// Loads at once at full speed.
+    /// Maximum number of concurrent loads at which each runs at full speed.
     pub at_once: u32,
-    /// Time of a load at full speed.
+    /// Duration of a load at full speed.
     pub load_ms: Millis,
 }
 
@@ -85,11 +85,11 @@
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct AdapterPlan {
-    /// How many, dealt out to the base models in turn.
+    /// Number of adapters, assigned to the base models in turn.
     pub count: usize,
     /// Zipf exponent of their popularity.
     pub skew: f64,
-    /// Organisations that own them, in turn.
+    /// Number of organisations, to which the adapters are assigned in turn.
     pub organisations: usize,
 }
 
@@ -97,57 +97,57 @@
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Traffic {
-    /// Name of the class.
+    /// Name of the priority class.
     pub class: String,
-    /// 0 goes first.
+    /// Priority; 0 goes first.
     pub rank: u8,
-    /// Counter or desk traffic.
+    /// Whether a person waits for the answer, as opposed to batch work.
     #[serde(default)]
     pub urgent: bool,
-    /// How long a request may wait before it starts.
+    /// Maximum wait before a request starts.
     pub max_wait_ms: Millis,
-    /// Requests a second.
+    /// Requests per second.
     pub rate_per_s: f64,
-    /// Length of the prompt.
+    /// Length of the prompt in bytes.
     pub prompt_bytes: usize,
-    /// Tokens of an answer.
+    /// Number of tokens of an answer.
     pub tokens: u32,
 }
 
-/// Something that disturbs a workload.
+/// A disturbance of a workload.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(tag = "kind", rename_all = "snake_case", deny_unknown_fields)]
 pub enum Disturbance {
-    /// A class comes at a multiple of its rate.
+    /// The rate of a class is multiplied.
     Flood {
-        /// When it begins.
+        /// Start time.
         at_s: u64,
-        /// How long it lasts.
+        /// Duration.
         for_s: u64,
-        /// The class.
+        /// Name of the class.
         class: String,
-        /// The multiple.
+        /// Factor of the rate.
         factor: f64,
     },
-    /// The popularity moves: yesterday's cold adapters are asked for.
+    /// The popularity moves to adapters that were rarely requested before.
     Shift {
-        /// When.
+        /// Time of the change.
         at_s: u64,
     },
-    /// An engine restarts empty.
+    /// An engine restarts without adapters and requests.
     Restart {
-        /// When.
+        /// Time of the restart.
         at_s: u64,
-        /// Its number.
+        /// Index of the engine.
         engine: usize,
     },
 }
 
 impl Workload {
-    /// Reads a workload file's text.
+    /// Parses the text of a workload file.
     ///
     /// # Errors
-    /// [`WorkloadError`].
+    /// Returns [`WorkloadError`] if the text is malformed or a value out of range.
     pub fn parse(text: &str) -> Result<Self, WorkloadError> {
         let workload: Self = toml::from_str(text)?;
         workload.check()?;
@@ -157,12 +157,12 @@
     /// Compiles the policy that goes with a workload.
     ///
     /// # Errors
-    /// [`WorkloadError::Policy`].
+    /// Returns [`WorkloadError::Policy`].
     pub fn compile_policy(text: &str) -> Result<Policy, WorkloadError> {
         Ok(Policy::compile(text)?)
     }
 
-    /// What the weight store allows.
+    /// The load allowance of the weight store.
     pub fn allowance(&self) -> Allowance {
         Allowance {
             loads_per_s: self.weight_store.loads_per_s,
@@ -170,7 +170,7 @@
         }
     }
 
-    /// How long it runs.
+    /// Duration in virtual time.
     pub fn length_ms(&self) -> Millis {
         self.length_s * 1_000
     }
--- a/crates/tinbay-experiment/tests/limits_test.rs
+++ b/crates/tinbay-experiment/tests/limits_test.rs
@@ -1,4 +1,4 @@
-//! Limits over many boxes, played in virtual time.
+//! Simulated limits of client accounts in a fleet of many boxes.
 
 use tinbay_experiment::limits::{LimitStrategy, LimitTerms, play};
 
@@ -16,28 +16,29 @@
 
 #[test]
 fn play_same_seed_gives_the_same() {
-    let first = play(&terms(), LimitStrategy::Homes).expect("a run");
-    let second = play(&terms(), LimitStrategy::Homes).expect("a run");
+    let first = play(&terms(), LimitStrategy::Homes).expect("simulation runs");
+    let second = play(&terms(), LimitStrategy::Homes).expect("simulation runs");
     assert_eq!(first.refused, second.refused);
     assert!(first.requests > 30_000);
 }
 
-/// Homes keep the limit of each account, and refuse next to nothing below it; the busiest box stays
-/// within what control may cost.
+/// With homes, no account exceeds its limit by more than the allowed overshoot, and less than 2% of
+/// all requests are refused below the limit.
 #[test]
 fn play_homes_keep_limits_and_refuse_little_below_them() {
-    let measures = play(&terms(), LimitStrategy::Homes).expect("a run");
+    let measures = play(&terms(), LimitStrategy::Homes).expect("simulation runs");
     assert_eq!(measures.accounts_over, 0);
     assert!(measures.refused > 1_000);
     let below = measures.refused_below as f64 / measures.requests as f64;
     assert!(below < 0.02, "{below}");
 }
 
-/// Shares refuse what homes let in: an account's requests are uneven over the boxes.
+/// Shares refuse requests below the limit that homes admit, as the requests of an account are
+/// distributed unevenly over the boxes.
 #[test]
 fn play_shares_refuse_below_the_limit() {
-    let shares = play(&terms(), LimitStrategy::Shares).expect("a run");
-    let homes = play(&terms(), LimitStrategy::Homes).expect("a run");
+    let shares = play(&terms(), LimitStrategy::Shares).expect("simulation runs");
+    let homes = play(&terms(), LimitStrategy::Homes).expect("simulation runs");
     assert!(shares.refused_below > 2 * homes.refused_below);
     assert_eq!(shares.messages_per_s, 0.0);
 }
