--- a/crates/tinbay-standin/src/boxes.rs
+++ b/crates/tinbay-standin/src/boxes.rs
@@ -35,12 +35,12 @@
 #[derive(Default)]
 struct Boxes {
     faults: Mutex<BoxListFaults>,
-    list: Mutex<Listing>,
+    list: Mutex<BoxListState>,
 }
 
 #[derive(Default)]
-struct Listing {
-    shown: BTreeMap<BoxId, ListedBox>,
+struct BoxListState {
+    visible: BTreeMap<BoxId, ListedBox>,
     pending: Vec<(Instant, Change)>,
 }
 
@@ -54,30 +54,30 @@
         self.faults.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn list(&self) -> MutexGuard<'_, Listing> {
+    fn list(&self) -> MutexGuard<'_, BoxListState> {
         self.list.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     fn change(&self, change: Change) {
-        let shows_at = Instant::now() + Duration::from_millis(self.faults().lag_ms);
-        self.list().pending.push((shows_at, change));
+        let visible_at = Instant::now() + Duration::from_millis(self.faults().lag_ms);
+        self.list().pending.push((visible_at, change));
     }
 }
 
-impl Listing {
-    fn show_due(&mut self) {
+impl BoxListState {
+    fn apply_due(&mut self) {
         let now = Instant::now();
-        for (shows_at, change) in std::mem::take(&mut self.pending) {
-            if shows_at > now {
-                self.pending.push((shows_at, change));
+        for (visible_at, change) in std::mem::take(&mut self.pending) {
+            if visible_at > now {
+                self.pending.push((visible_at, change));
                 continue;
             }
             match change {
                 Change::Set(listed) => {
-                    self.shown.insert(listed.id.clone(), listed);
+                    self.visible.insert(listed.id.clone(), listed);
                 }
                 Change::Remove(id) => {
-                    self.shown.remove(&id);
+                    self.visible.remove(&id);
                 }
             }
         }
@@ -104,14 +104,14 @@
         return HttpResponse::ServiceUnavailable().finish();
     }
     let mut list = boxes.list();
-    list.show_due();
+    list.apply_due();
     reply::json(&BoxList {
-        boxes: list.shown.values().cloned().collect(),
+        boxes: list.visible.values().cloned().collect(),
     })
 }
 
 async fn set_box(boxes: State<Arc<Boxes>>, payload: Payload) -> HttpResponse {
-    match reply::body::<ListedBox>(payload).await {
+    match reply::parse_body::<ListedBox>(payload).await {
         Ok(listed) => {
             boxes.change(Change::Set(listed.clone()));
             reply::json(&listed)
@@ -121,17 +121,17 @@
 }
 
 async fn remove_box(boxes: State<Arc<Boxes>>, payload: Payload) -> HttpResponse {
-    match reply::body::<RemoveBox>(payload).await {
-        Ok(gone) => {
-            boxes.change(Change::Remove(gone.id.clone()));
-            reply::json(&gone)
+    match reply::parse_body::<RemoveBox>(payload).await {
+        Ok(removal) => {
+            boxes.change(Change::Remove(removal.id.clone()));
+            reply::json(&removal)
         }
         Err(answer) => answer,
     }
 }
 
 async fn set_faults(boxes: State<Arc<Boxes>>, payload: Payload) -> HttpResponse {
-    match reply::body::<BoxListFaults>(payload).await {
+    match reply::parse_body::<BoxListFaults>(payload).await {
         Ok(faults) => {
             *boxes.faults() = faults;
             reply::json(&faults)
--- a/crates/tinbay-standin/src/engine/mod.rs
+++ b/crates/tinbay-standin/src/engine/mod.rs
@@ -30,27 +30,29 @@
 
 use crate::reply;
 use crate::weights::FetchRequest;
-use model::EngineModel;
+use model::SimulatedEngine;
 
 /// Time-out of a fetch from the weight store.
-const LOAD_WITHIN: Duration = Duration::from_secs(30);
+const LOAD_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Interval at which a reader polls a running stream for new chunks.
-const CHUNK_POLL: Duration = Duration::from_millis(1);
+const CHUNK_POLL_INTERVAL: Duration = Duration::from_millis(1);
 
 /// How long a hanging request is held before it is handled.
-const HANG: Duration = Duration::from_secs(60);
+const MAX_HANG: Duration = Duration::from_secs(60);
 
 struct Engine {
     settings: EngineSettings,
-    model: Mutex<EngineModel>,
+    simulation: Mutex<SimulatedEngine>,
 }
 
 type Shared = Arc<Engine>;
 
 impl Engine {
-    fn model(&self) -> MutexGuard<'_, EngineModel> {
-        self.model.lock().unwrap_or_else(PoisonError::into_inner)
+    fn simulation(&self) -> MutexGuard<'_, SimulatedEngine> {
+        self.simulation
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Checks the fence of an order, if this engine checks fences.
@@ -60,7 +62,7 @@
             return Ok(());
         }
         let order = order.ok_or(EngineRefusal::NoFence)?;
-        self.model().check_order(&order)
+        self.simulation().check_order(&order)
     }
 }
 
@@ -79,7 +81,7 @@
 /// Returns an error if the server can't start.
 pub fn start(listener: TcpListener, settings: EngineSettings) -> io::Result<ServerHandle> {
     let engine = Arc::new(Engine {
-        model: Mutex::new(EngineModel::new(&settings)),
+        simulation: Mutex::new(SimulatedEngine::new(&settings)),
         settings,
     });
     start_server("engine", listener, 2, move |app| {
@@ -98,21 +100,21 @@
 }
 
 async fn complete(engine: State<Shared>, request: HttpRequest, payload: Payload) -> HttpResponse {
-    let call: EngineRequest = match reply::body(payload).await {
+    let call: EngineRequest = match reply::parse_body(payload).await {
         Ok(call) => call,
         Err(answer) => return answer,
     };
-    if engine.model().takes_hang() {
-        tokio::time::sleep(HANG).await;
+    if engine.simulation().take_hang() {
+        tokio::time::sleep(MAX_HANG).await;
     }
     if let Err(refusal) = engine.check_order(&request) {
         return refuse(refusal);
     }
-    let begun = match call.resume_from {
-        Some(_) => engine.model().resume(&call),
-        None => engine.model().begin(&call),
+    let started = match call.resume_from {
+        Some(_) => engine.simulation().resume(&call),
+        None => engine.simulation().start_run(&call),
     };
-    let run = match begun {
+    let run = match started {
         Ok(run) => run,
         Err(refusal) => return refuse(refusal),
     };
@@ -130,36 +132,36 @@
 async fn generate(engine: Shared, call: EngineRequest, run: u64) {
     let prefill_ms = engine.settings.prefill_ms;
     tokio::time::sleep(Duration::from_millis(prefill_ms)).await;
-    let mut goes_on = true;
-    while goes_on {
-        let pause = engine.model().token_pause();
-        tokio::time::sleep(pause).await;
-        goes_on = engine.model().add_token(&call.request, run);
+    let mut continues = true;
+    while continues {
+        let interval = engine.simulation().token_interval();
+        tokio::time::sleep(interval).await;
+        continues = engine.simulation().add_token(&call.request, run);
     }
 }
 
 /// Sends the chunks of a stream to one reader, with the injected faults.
 async fn send_stream(engine: Shared, call: EngineRequest, run: u64, body: BodySender) {
     let mut position = call.resume_from.unwrap_or(0);
-    let breaks_after = engine.model().takes_break();
+    let break_position = engine.simulation().take_break();
     loop {
-        let ready = engine.model().chunk(&call, run, position);
+        let ready = engine.simulation().chunk(&call, run, position);
         let chunk = match ready {
             model::NextChunk::Ready(chunk) => chunk,
-            model::NextChunk::NotYet => {
+            model::NextChunk::Pending => {
                 if body.is_closed() {
                     return;
                 }
-                tokio::time::sleep(CHUNK_POLL).await;
+                tokio::time::sleep(CHUNK_POLL_INTERVAL).await;
                 continue;
             }
-            model::NextChunk::Gone => return,
+            model::NextChunk::Ended => return,
         };
-        if breaks_after == Some(position) {
+        if break_position == Some(position) {
             return;
         }
-        let repeats = engine.model().repeats_chunks();
-        for _ in 0..=u32::from(repeats) {
+        let sends_twice = engine.simulation().sends_chunks_twice();
+        for _ in 0..=u32::from(sends_twice) {
             if send_chunk(&body, &chunk).await.is_err() {
                 return;
             }
@@ -173,41 +175,41 @@
 }
 
 #[derive(Debug)]
-struct ReaderGone;
+struct Disconnected;
 
-async fn send_chunk(body: &BodySender, chunk: &Chunk) -> Result<(), ReaderGone> {
+async fn send_chunk(body: &BodySender, chunk: &Chunk) -> Result<(), Disconnected> {
     let json = serde_json::to_string(chunk).unwrap_or_default();
-    body.send(event(&json)).await.map_err(|_| ReaderGone)
+    body.send(event(&json)).await.map_err(|_| Disconnected)
 }
 
 async fn cancel(engine: State<Shared>, payload: Payload) -> HttpResponse {
-    match reply::body::<EngineRequest>(payload).await {
+    match reply::parse_body::<EngineRequest>(payload).await {
         Ok(call) => {
-            engine.model().cancel(&call.request);
-            reply::json(&engine.model().state())
+            engine.simulation().cancel(&call.request);
+            reply::json(&engine.simulation().state())
         }
         Err(answer) => answer,
     }
 }
 
 async fn load(engine: State<Shared>, request: HttpRequest, payload: Payload) -> HttpResponse {
-    let order: AdapterOrder = match reply::body(payload).await {
+    let order: AdapterOrder = match reply::parse_body(payload).await {
         Ok(order) => order,
         Err(answer) => return answer,
     };
     if let Err(refusal) = engine.check_order(&request) {
         return refuse(refusal);
     }
-    let incarnation = match engine.model().begin_load(&order.lora_name) {
+    let incarnation = match engine.simulation().start_load(&order.lora_name) {
         Ok(incarnation) => incarnation,
         Err(refusal) => return refuse(refusal),
     };
     let fetched = fetch_weights(&engine.settings, &order).await;
     if engine
-        .model()
+        .simulation()
         .end_load(&order.lora_name, incarnation, fetched)
     {
-        return reply::json(&engine.model().state());
+        return reply::json(&engine.simulation().state());
     }
     refuse(EngineRefusal::LoadFailed)
 }
@@ -221,12 +223,12 @@
         path: order.lora_path.clone(),
     };
     let url = format!("http://{store}/v1/fetch");
-    let fetched: Result<FetchRequest, _> = post_json(&url, &request, LOAD_WITHIN).await;
+    let fetched: Result<FetchRequest, _> = post_json(&url, &request, LOAD_TIMEOUT).await;
     fetched.is_ok()
 }
 
 async fn unload(engine: State<Shared>, request: HttpRequest, payload: Payload) -> HttpResponse {
-    let order: AdapterOrder = match reply::body(payload).await {
+    let order: AdapterOrder = match reply::parse_body(payload).await {
         Ok(order) => order,
         Err(answer) => return answer,
     };
@@ -234,9 +236,9 @@
         return refuse(refusal);
     }
     // Not in the scrutinee of the match: its lock would be held while the response takes it again.
-    let unloaded = engine.model().unload(&order.lora_name);
+    let unloaded = engine.simulation().unload(&order.lora_name);
     match unloaded {
-        Ok(()) => reply::json(&engine.model().state()),
+        Ok(()) => reply::json(&engine.simulation().state()),
         Err(refusal) => refuse(refusal),
     }
 }
@@ -244,19 +246,19 @@
 /// Handles an order that only raises the highest fence seen.
 async fn fence(engine: State<Shared>, request: HttpRequest) -> HttpResponse {
     match engine.check_order(&request) {
-        Ok(()) => reply::json(&engine.model().state()),
+        Ok(()) => reply::json(&engine.simulation().state()),
         Err(refusal) => refuse(refusal),
     }
 }
 
 async fn read_state(engine: State<Shared>) -> HttpResponse {
-    reply::json(&engine.model().state())
+    reply::json(&engine.simulation().state())
 }
 
 async fn set_faults(engine: State<Shared>, payload: Payload) -> HttpResponse {
-    match reply::body::<EngineFaults>(payload).await {
+    match reply::parse_body::<EngineFaults>(payload).await {
         Ok(faults) => {
-            engine.model().set_faults(faults);
+            engine.simulation().set_faults(faults);
             reply::json(&faults)
         }
         Err(answer) => answer,
@@ -264,15 +266,15 @@
 }
 
 async fn restart(engine: State<Shared>) -> HttpResponse {
-    engine.model().restart();
-    reply::json(&engine.model().state())
+    engine.simulation().restart();
+    reply::json(&engine.simulation().state())
 }
 
 async fn leave(engine: State<Shared>) -> HttpResponse {
-    engine.model().leave();
-    reply::json(&engine.model().state())
+    engine.simulation().leave();
+    reply::json(&engine.simulation().state())
 }
 
 async fn read_report(engine: State<Shared>) -> HttpResponse {
-    reply::json(engine.model().report())
+    reply::json(engine.simulation().report())
 }
--- a/crates/tinbay-standin/src/engine/model.rs
+++ b/crates/tinbay-standin/src/engine/model.rs
@@ -12,10 +12,10 @@
 use super::text::token_text;
 
 /// Fraction by which each further request in the batch increases the time per token.
-const CROWDING: f64 = 0.02;
+const SLOWDOWN_PER_REQUEST: f64 = 0.02;
 
 /// Maximum number of finished streams kept for readers that resume.
-const KEPT_STREAMS: usize = 4_096;
+const MAX_FINISHED_STREAMS: usize = 4_096;
 
 /// Settings of the engine.
 #[derive(Debug, Clone)]
@@ -95,7 +95,7 @@
 struct Stream {
     run: u64,
     model: ModelRef,
-    answers_as: ModelRef,
+    reported_model: ModelRef,
     prompt: String,
     tokens: u64,
     limit: u64,
@@ -107,21 +107,21 @@
     /// The chunk at the position.
     Ready(Chunk),
     /// The chunk is not generated yet.
-    NotYet,
+    Pending,
     /// There is no such chunk, or the run no longer exists.
-    Gone,
+    Ended,
 }
 
 /// State of one engine.
-pub struct EngineModel {
+pub struct SimulatedEngine {
     slots_limit: usize,
     batch_limit: usize,
     token_ms: u64,
     incarnation: Incarnation,
-    guard: FenceGuard,
+    fence_guard: FenceGuard,
     slots: HashMap<ModelRef, Slot>,
     streams: HashMap<String, Stream>,
-    ended: Vec<String>,
+    finished_requests: Vec<String>,
     running: usize,
     leaving: bool,
     next_run: u64,
@@ -129,18 +129,18 @@
     report: EngineReport,
 }
 
-impl EngineModel {
+impl SimulatedEngine {
     /// Creates an engine without adapters.
     pub fn new(settings: &EngineSettings) -> Self {
         Self {
             slots_limit: settings.slots as usize,
             batch_limit: settings.batch_limit as usize,
             token_ms: settings.token_ms,
-            incarnation: wall_ms(),
-            guard: FenceGuard::default(),
+            incarnation: unix_ms(),
+            fence_guard: FenceGuard::default(),
             slots: HashMap::new(),
             streams: HashMap::new(),
-            ended: Vec::new(),
+            finished_requests: Vec::new(),
             running: 0,
             leaving: false,
             next_run: 0,
@@ -151,7 +151,7 @@
 
     /// Checks the fence of an order.
     pub fn check_order(&mut self, order: &Order) -> Result<(), EngineRefusal> {
-        self.guard
+        self.fence_guard
             .check(order, self.incarnation)
             .map_err(|refusal| {
                 self.report.fence_refusals += 1;
@@ -185,12 +185,12 @@
             loaded,
             running,
             leaving: self.leaving,
-            fence: self.guard.highest(),
+            fence: self.fence_guard.highest(),
         }
     }
 
     /// Adds a request to the batch; returns the number of its run.
-    pub fn begin(&mut self, call: &EngineRequest) -> Result<u64, EngineRefusal> {
+    pub fn start_run(&mut self, call: &EngineRequest) -> Result<u64, EngineRefusal> {
         if self.leaving {
             self.report.asked_while_leaving += 1;
             return Err(EngineRefusal::Leaving);
@@ -213,7 +213,7 @@
         let stream = Stream {
             run: self.next_run,
             model: call.model.clone(),
-            answers_as: self.answer_model(&call.model),
+            reported_model: self.reported_model_of(&call.model),
             prompt: call.prompt.clone(),
             tokens: 0,
             limit: u64::from(call.max_tokens.max(1)),
@@ -233,9 +233,9 @@
     }
 
     /// Time per token at the current size of the batch.
-    pub fn token_pause(&self) -> Duration {
-        let crowd = 1.0 + CROWDING * self.running.saturating_sub(1) as f64;
-        Duration::from_millis(self.token_ms).mul_f64(crowd)
+    pub fn token_interval(&self) -> Duration {
+        let slowdown = 1.0 + SLOWDOWN_PER_REQUEST * self.running.saturating_sub(1) as f64;
+        Duration::from_millis(self.token_ms).mul_f64(slowdown)
     }
 
     /// Generates a token; returns `false` if it was the last one or the run no longer exists.
@@ -268,10 +268,10 @@
         }
         stream.finished = true;
         let model = stream.model.clone();
-        self.leave_batch(&model);
-        self.ended.push(request.to_owned());
-        if self.ended.len() > KEPT_STREAMS {
-            let oldest = self.ended.remove(0);
+        self.release_place(&model);
+        self.finished_requests.push(request.to_owned());
+        if self.finished_requests.len() > MAX_FINISHED_STREAMS {
+            let oldest = self.finished_requests.remove(0);
             self.streams.remove(&oldest);
         }
     }
@@ -281,25 +281,25 @@
         if let Some(stream) = self.streams.remove(request)
             && !stream.finished
         {
-            self.leave_batch(&stream.model);
+            self.release_place(&stream.model);
         }
     }
 
     /// Reads a stream at a position.
     pub fn chunk(&self, call: &EngineRequest, run: u64, position: u64) -> NextChunk {
         let Some(stream) = self.streams.get(&call.request).filter(|s| s.run == run) else {
-            return NextChunk::Gone;
+            return NextChunk::Ended;
         };
         if position >= stream.limit {
-            return NextChunk::Gone;
+            return NextChunk::Ended;
         }
         if position >= stream.tokens {
-            return NextChunk::NotYet;
+            return NextChunk::Pending;
         }
         NextChunk::Ready(Chunk {
             request: call.request.clone(),
             attempt: call.attempt,
-            model: stream.answers_as.clone(),
+            model: stream.reported_model.clone(),
             position,
             text: token_text(&stream.model, &stream.prompt, position),
             last: position + 1 == stream.limit,
@@ -308,7 +308,7 @@
 
     /// Reserves a slot for a load; returns the incarnation, by which [`Self::end_load`] notices a
     /// restart during the load.
-    pub fn begin_load(&mut self, model: &ModelRef) -> Result<Incarnation, EngineRefusal> {
+    pub fn start_load(&mut self, model: &ModelRef) -> Result<Incarnation, EngineRefusal> {
         if self.slots.len() >= self.slots_limit && !self.slots.contains_key(model) {
             return Err(EngineRefusal::NoSlot);
         }
@@ -361,11 +361,11 @@
 
     /// Restarts as a new incarnation without adapters, requests and the highest fence seen.
     pub fn restart(&mut self) {
-        self.incarnation = wall_ms().max(self.incarnation + 1);
-        self.guard = FenceGuard::default();
+        self.incarnation = unix_ms().max(self.incarnation + 1);
+        self.fence_guard = FenceGuard::default();
         self.slots.clear();
         self.streams.clear();
-        self.ended.clear();
+        self.finished_requests.clear();
         self.running = 0;
         self.leaving = false;
     }
@@ -381,14 +381,14 @@
     }
 
     /// Whether this request is to hang; consumes one such fault.
-    pub fn takes_hang(&mut self) -> bool {
+    pub fn take_hang(&mut self) -> bool {
         let hangs = self.faults.hang_requests > 0;
         self.faults.hang_requests = self.faults.hang_requests.saturating_sub(1);
         hangs
     }
 
     /// Position at which to cut off this stream; consumes one such fault.
-    pub fn takes_break(&mut self) -> Option<u64> {
+    pub fn take_break(&mut self) -> Option<u64> {
         if self.faults.break_streams == 0 {
             return None;
         }
@@ -397,7 +397,7 @@
     }
 
     /// Whether every chunk is sent twice.
-    pub fn repeats_chunks(&self) -> bool {
+    pub fn sends_chunks_twice(&self) -> bool {
         self.faults.repeat_chunks
     }
 
@@ -406,7 +406,7 @@
         &self.report
     }
 
-    fn answer_model(&mut self, model: &ModelRef) -> ModelRef {
+    fn reported_model_of(&mut self, model: &ModelRef) -> ModelRef {
         if self.faults.wrong_models == 0 {
             return model.clone();
         }
@@ -414,7 +414,7 @@
         ModelRef::new(model.adapter(), "another-version")
     }
 
-    fn leave_batch(&mut self, model: &ModelRef) {
+    fn release_place(&mut self, model: &ModelRef) {
         self.running = self.running.saturating_sub(1);
         if let Some(slot) = self.slots.get_mut(model) {
             slot.serving = slot.serving.saturating_sub(1);
@@ -422,7 +422,7 @@
     }
 }
 
-fn wall_ms() -> u64 {
+fn unix_ms() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
     since.map_or(1, |age| age.as_millis() as u64)
 }
--- a/crates/tinbay-standin/src/kv/faults.rs
+++ b/crates/tinbay-standin/src/kv/faults.rs
@@ -5,7 +5,7 @@
 /// How the service responds to calls.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Mode {
+pub enum ResponseMode {
     /// Handles them.
     #[default]
     Up,
@@ -20,7 +20,7 @@
 #[serde(default)]
 pub struct KvFaults {
     /// How it responds to calls.
-    pub mode: Mode,
+    pub mode: ResponseMode,
     /// Delay of every call.
     pub delay_ms: u64,
     /// Whether watches stay open without sending changes.
--- a/crates/tinbay-standin/src/kv/mod.rs
+++ b/crates/tinbay-standin/src/kv/mod.rs
@@ -24,16 +24,16 @@
     WatchRequest, WatchResponse,
 };
 
-pub use faults::{CallCounts, KvFaults, Mode};
+pub use faults::{CallCounts, KvFaults, ResponseMode};
 use store::KvStore;
 
 use crate::reply;
 
 /// Interval of the check for expired leases.
-const LEASE_CHECK: Duration = Duration::from_millis(100);
+const LEASE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// How long a hanging call is held before it fails with status 503.
-const HANG: Duration = Duration::from_secs(120);
+const MAX_HANG: Duration = Duration::from_secs(120);
 
 #[derive(Default)]
 struct Kv {
@@ -58,14 +58,14 @@
     }
 
     /// Counts a call and applies the faults that precede its effect.
-    async fn admit(&self, note: impl FnOnce(&mut CallCounts)) -> Result<(), HttpResponse> {
-        note(&mut self.calls());
+    async fn apply_faults(&self, count: impl FnOnce(&mut CallCounts)) -> Result<(), HttpResponse> {
+        count(&mut self.calls());
         let faults = *self.faults();
         match faults.mode {
-            Mode::Up => {}
-            Mode::Refuse => return Err(unavailable()),
-            Mode::Hang => {
-                tokio::time::sleep(HANG).await;
+            ResponseMode::Up => {}
+            ResponseMode::Refuse => return Err(unavailable()),
+            ResponseMode::Hang => {
+                tokio::time::sleep(MAX_HANG).await;
                 return Err(unavailable());
             }
         }
@@ -76,7 +76,7 @@
     }
 
     /// Whether to lose the response of this write; consumes one such fault.
-    fn loses_reply(&self) -> bool {
+    fn takes_reply_loss(&self) -> bool {
         let mut faults = self.faults();
         if faults.lose_write_replies == 0 {
             return false;
@@ -96,7 +96,7 @@
 /// Returns an error if the server can't start.
 pub fn start(listener: TcpListener) -> io::Result<ServerHandle> {
     let kv = Arc::new(Kv::default());
-    spawn_lease_thread(&kv);
+    spawn_lease_expiry(&kv);
     start_server("kv", listener, 2, move |app| {
         app.state(Arc::clone(&kv))
             .route("/v3/kv/range", web::post().to(range))
@@ -111,11 +111,11 @@
 }
 
 /// Expires leases on a thread of its own, which ends with the stand-in.
-fn spawn_lease_thread(kv: &Shared) {
+fn spawn_lease_expiry(kv: &Shared) {
     let kv = Arc::downgrade(kv);
     std::thread::spawn(move || {
         loop {
-            std::thread::sleep(LEASE_CHECK);
+            std::thread::sleep(LEASE_CHECK_INTERVAL);
             let Some(kv) = kv.upgrade() else { return };
             kv.store().expire_leases();
         }
@@ -123,37 +123,37 @@
 }
 
 async fn range(kv: State<Shared>, payload: Payload) -> HttpResponse {
-    let request: RangeRequest = match reply::body(payload).await {
+    let request: RangeRequest = match reply::parse_body(payload).await {
         Ok(request) => request,
         Err(answer) => return answer,
     };
-    if let Err(answer) = kv.admit(|calls| calls.reads += 1).await {
+    if let Err(answer) = kv.apply_faults(|calls| calls.reads += 1).await {
         return answer;
     }
     reply::json(&kv.store().range(&request))
 }
 
 async fn txn(kv: State<Shared>, payload: Payload) -> HttpResponse {
-    let request: TxnRequest = match reply::body(payload).await {
+    let request: TxnRequest = match reply::parse_body(payload).await {
         Ok(request) => request,
         Err(answer) => return answer,
     };
-    if let Err(answer) = kv.admit(|calls| calls.writes += 1).await {
+    if let Err(answer) = kv.apply_faults(|calls| calls.writes += 1).await {
         return answer;
     }
     let answer = kv.store().txn(&request);
-    if kv.loses_reply() {
+    if kv.takes_reply_loss() {
         return unavailable();
     }
     reply::json(&answer)
 }
 
 async fn lease_grant(kv: State<Shared>, payload: Payload) -> HttpResponse {
-    let request: LeaseGrantRequest = match reply::body(payload).await {
+    let request: LeaseGrantRequest = match reply::parse_body(payload).await {
         Ok(request) => request,
         Err(answer) => return answer,
     };
-    if let Err(answer) = kv.admit(|calls| calls.writes += 1).await {
+    if let Err(answer) = kv.apply_faults(|calls| calls.writes += 1).await {
         return answer;
     }
     let id = kv.store().grant_lease(request.ttl_s.0);
@@ -164,14 +164,14 @@
 }
 
 async fn lease_keepalive(kv: State<Shared>, payload: Payload) -> HttpResponse {
-    let request: LeaseRequest = match reply::body(payload).await {
+    let request: LeaseRequest = match reply::parse_body(payload).await {
         Ok(request) => request,
         Err(answer) => return answer,
     };
-    if let Err(answer) = kv.admit(|calls| calls.writes += 1).await {
+    if let Err(answer) = kv.apply_faults(|calls| calls.writes += 1).await {
         return answer;
     }
-    let ttl_s = kv.store().keep_lease(request.id.0);
+    let ttl_s = kv.store().renew_lease(request.id.0);
     reply::json(&StreamItem {
         result: LeaseResponse {
             id: request.id,
@@ -181,11 +181,11 @@
 }
 
 async fn lease_revoke(kv: State<Shared>, payload: Payload) -> HttpResponse {
-    let request: LeaseRequest = match reply::body(payload).await {
+    let request: LeaseRequest = match reply::parse_body(payload).await {
         Ok(request) => request,
         Err(answer) => return answer,
     };
-    if let Err(answer) = kv.admit(|calls| calls.writes += 1).await {
+    if let Err(answer) = kv.apply_faults(|calls| calls.writes += 1).await {
         return answer;
     }
     kv.store().revoke_lease(request.id.0);
@@ -193,11 +193,11 @@
 }
 
 async fn watch(kv: State<Shared>, payload: Payload) -> HttpResponse {
-    let request: WatchRequest = match reply::body(payload).await {
+    let request: WatchRequest = match reply::parse_body(payload).await {
         Ok(request) => request,
         Err(answer) => return answer,
     };
-    if let Err(answer) = kv.admit(|calls| calls.watches += 1).await {
+    if let Err(answer) = kv.apply_faults(|calls| calls.watches += 1).await {
         return answer;
     }
     let (body, stream) = body_channel();
@@ -208,7 +208,9 @@
             if kv.faults().mute_watches {
                 continue;
             }
-            if kv.faults().mode != Mode::Up || send_line(&body, response).await.is_err() {
+            if kv.faults().mode != ResponseMode::Up
+                || send_json_line(&body, response).await.is_err()
+            {
                 return;
             }
         }
@@ -217,24 +219,24 @@
 }
 
 #[derive(Debug)]
-struct WatcherGone;
+struct Disconnected;
 
-async fn send_line(body: &BodySender, response: WatchResponse) -> Result<(), WatcherGone> {
-    let mut line = to_line(&StreamItem { result: response });
+async fn send_json_line(body: &BodySender, response: WatchResponse) -> Result<(), Disconnected> {
+    let mut line = to_json(&StreamItem { result: response });
     line.push('\n');
-    body.send(Bytes::from(line)).await.map_err(|_| WatcherGone)
+    body.send(Bytes::from(line)).await.map_err(|_| Disconnected)
 }
 
-fn to_line<T: Serialize>(item: &T) -> String {
+fn to_json<T: Serialize>(item: &T) -> String {
     serde_json::to_string(item).unwrap_or_default()
 }
 
 async fn set_faults(kv: State<Shared>, payload: Payload) -> HttpResponse {
-    match reply::body::<KvFaults>(payload).await {
+    match reply::parse_body::<KvFaults>(payload).await {
         Ok(faults) => {
             *kv.faults() = faults;
-            if faults.mode != Mode::Up {
-                kv.store().cut_watchers();
+            if faults.mode != ResponseMode::Up {
+                kv.store().close_watches();
             }
             reply::json(&faults)
         }
--- a/crates/tinbay-standin/src/kv/store.rs
+++ b/crates/tinbay-standin/src/kv/store.rs
@@ -10,11 +10,11 @@
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 
 /// Number of changes kept for watches that start at an earlier revision.
-const KEPT_CHANGES: usize = 50_000;
+const MAX_HISTORY: usize = 50_000;
 
 struct Lease {
     ttl: Duration,
-    lapses: Instant,
+    expires_at: Instant,
 }
 
 struct Watcher {
@@ -28,7 +28,7 @@
     revision: i64,
     pairs: BTreeMap<Bytes, KeyValue>,
     changes: VecDeque<WatchEvent>,
-    compacted: i64,
+    compacted_revision: i64,
     leases: HashMap<i64, Lease>,
     last_lease: i64,
     watchers: Vec<Watcher>,
@@ -56,13 +56,16 @@
 
     /// Runs a transaction. All its writes get the same revision.
     pub fn txn(&mut self, request: &TxnRequest) -> TxnResponse {
-        let succeeded = request.compare.iter().all(|compare| self.holds(compare));
+        let succeeded = request
+            .compare
+            .iter()
+            .all(|compare| self.is_satisfied(compare));
         if succeeded && !request.success.is_empty() {
             self.revision += 1;
             let events = request
                 .success
                 .iter()
-                .filter_map(|op| self.carry_out(op))
+                .filter_map(|op| self.apply(op))
                 .collect();
             self.publish(events);
         }
@@ -76,18 +79,19 @@
     pub fn grant_lease(&mut self, ttl_s: i64) -> i64 {
         self.last_lease += 1;
         let ttl = Duration::from_secs(ttl_s.max(1).unsigned_abs());
-        let lapses = Instant::now() + ttl;
-        self.leases.insert(self.last_lease, Lease { ttl, lapses });
+        let expires_at = Instant::now() + ttl;
+        self.leases
+            .insert(self.last_lease, Lease { ttl, expires_at });
         self.last_lease
     }
 
     /// Renews a lease and returns its TTL in seconds, 0 if it has expired.
-    pub fn keep_lease(&mut self, id: i64) -> i64 {
+    pub fn renew_lease(&mut self, id: i64) -> i64 {
         self.expire_leases();
         let Some(lease) = self.leases.get_mut(&id) else {
             return 0;
         };
-        lease.lapses = Instant::now() + lease.ttl;
+        lease.expires_at = Instant::now() + lease.ttl;
         lease.ttl.as_secs().cast_signed()
     }
 
@@ -96,30 +100,30 @@
         if self.leases.remove(&id).is_none() {
             return;
         }
-        let hanging: Vec<Bytes> = self
+        let attached: Vec<Bytes> = self
             .pairs
             .values()
             .filter(|pair| pair.lease.0 == id)
             .map(|pair| pair.key.clone())
             .collect();
-        if hanging.is_empty() {
+        if attached.is_empty() {
             return;
         }
         self.revision += 1;
-        let events = hanging.iter().filter_map(|key| self.delete(key)).collect();
+        let events = attached.iter().filter_map(|key| self.delete(key)).collect();
         self.publish(events);
     }
 
     /// Ends all expired leases.
     pub fn expire_leases(&mut self) {
         let now = Instant::now();
-        let lapsed: Vec<i64> = self
+        let expired: Vec<i64> = self
             .leases
             .iter()
-            .filter(|(_, lease)| lease.lapses <= now)
+            .filter(|(_, lease)| lease.expires_at <= now)
             .map(|(id, _)| *id)
             .collect();
-        for id in lapsed {
+        for id in expired {
             self.revoke_lease(id);
         }
     }
@@ -128,11 +132,11 @@
     pub fn watch(&mut self, create: &WatchCreate) -> UnboundedReceiver<WatchResponse> {
         let (sender, receiver) = unbounded_channel();
         let start = create.start_revision.0;
-        if start > 0 && start <= self.compacted {
+        if start > 0 && start <= self.compacted_revision {
             let _ = sender.send(WatchResponse {
                 header: self.header(),
                 canceled: true,
-                compact_revision: Int64(self.compacted),
+                compact_revision: Int64(self.compacted_revision),
                 events: Vec::new(),
             });
             return receiver;
@@ -153,7 +157,7 @@
     }
 
     /// Ends all watches.
-    pub fn cut_watchers(&mut self) {
+    pub fn close_watches(&mut self) {
         self.watchers.clear();
     }
 
@@ -171,7 +175,7 @@
         }
     }
 
-    fn holds(&self, compare: &Compare) -> bool {
+    fn is_satisfied(&self, compare: &Compare) -> bool {
         let current = self
             .pairs
             .get(&compare.key)
@@ -179,7 +183,7 @@
         current == compare.mod_revision.0
     }
 
-    fn carry_out(&mut self, op: &RequestOp) -> Option<WatchEvent> {
+    fn apply(&mut self, op: &RequestOp) -> Option<WatchEvent> {
         match op {
             RequestOp::Put(put) => Some(self.put(put)),
             RequestOp::Delete(delete) => self.delete(&delete.key),
@@ -219,25 +223,25 @@
         let header = self.header();
         self.watchers.retain(|watcher| {
             let create = &watcher.create;
-            let wanted: Vec<WatchEvent> = events
+            let matching: Vec<WatchEvent> = events
                 .iter()
                 .filter(|event| in_range(&event.kv.key, &create.key, &create.range_end))
                 .cloned()
                 .collect();
-            if wanted.is_empty() {
+            if matching.is_empty() {
                 return !watcher.sender.is_closed();
             }
             let response = WatchResponse {
                 header,
-                events: wanted,
+                events: matching,
                 ..WatchResponse::default()
             };
             watcher.sender.send(response).is_ok()
         });
         self.changes.extend(events);
-        while self.changes.len() > KEPT_CHANGES {
+        while self.changes.len() > MAX_HISTORY {
             if let Some(oldest) = self.changes.pop_front() {
-                self.compacted = oldest.kv.mod_revision.0;
+                self.compacted_revision = oldest.kv.mod_revision.0;
             }
         }
     }
--- a/crates/tinbay-standin/src/reply.rs
+++ b/crates/tinbay-standin/src/reply.rs
@@ -20,7 +20,7 @@
 }
 
 /// Parses a JSON body. The error is the response to a malformed one.
-pub async fn body<T: DeserializeOwned>(
+pub async fn parse_body<T: DeserializeOwned>(
     payload: ntex::web::types::Payload,
 ) -> Result<T, HttpResponse> {
     read_json(payload.into_inner(), MAX_BODY_BYTES)
--- a/crates/tinbay-standin/src/service.rs
+++ b/crates/tinbay-standin/src/service.rs
@@ -19,10 +19,10 @@
 use crate::reply;
 
 /// Largest accepted request body.
-const MAX_CALL_BYTES: usize = 1024 * 1024;
+const MAX_BODY_BYTES: usize = 1024 * 1024;
 
 /// How long the response of a call is withheld when its reply is lost.
-const HANG: Duration = Duration::from_secs(60);
+const MAX_HANG: Duration = Duration::from_secs(60);
 
 /// Body of `POST /control/faults`.
 #[derive(Debug, Clone, Copy, Default, Serialize, Deserialize)]
@@ -48,11 +48,11 @@
 
 /// How one call is handled.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Fate {
+enum Outcome {
     Answer,
     Refuse,
-    Lose,
-    Late,
+    LoseReply,
+    Delay,
 }
 
 /// Response to a call.
@@ -75,27 +75,27 @@
 
 impl Service {
     /// Selects the outcome of the next call: counted faults apply first, then the fractions.
-    fn draw(&self) -> Fate {
+    fn next_outcome(&self) -> Outcome {
         let mut faults = self.faults();
         if faults.refuse > 0 {
             faults.refuse -= 1;
-            return Fate::Refuse;
+            return Outcome::Refuse;
         }
         if faults.lose_replies > 0 {
             faults.lose_replies -= 1;
-            return Fate::Lose;
+            return Outcome::LoseReply;
         }
         let number = self.calls.fetch_add(1, Ordering::Relaxed);
         let hash = xxh3_64_with_seed(&number.to_be_bytes(), faults.seed);
-        let point = hash as f64 / u64::MAX as f64;
-        if point < faults.lose_share {
-            Fate::Lose
-        } else if point < faults.lose_share + faults.refuse_share {
-            Fate::Refuse
-        } else if point < faults.lose_share + faults.refuse_share + faults.late_share {
-            Fate::Late
+        let sample = hash as f64 / u64::MAX as f64;
+        if sample < faults.lose_share {
+            Outcome::LoseReply
+        } else if sample < faults.lose_share + faults.refuse_share {
+            Outcome::Refuse
+        } else if sample < faults.lose_share + faults.refuse_share + faults.late_share {
+            Outcome::Delay
         } else {
-            Fate::Answer
+            Outcome::Answer
         }
     }
 
@@ -127,30 +127,30 @@
     request: HttpRequest,
     payload: Payload,
 ) -> HttpResponse {
-    let Ok(body) = read_body(payload.into_inner(), MAX_CALL_BYTES).await else {
+    let Ok(body) = read_body(payload.into_inner(), MAX_BODY_BYTES).await else {
         return HttpResponse::BadRequest().finish();
     };
     let faults = *service.faults();
-    let fate = service.draw();
-    if fate == Fate::Refuse {
+    let outcome = service.next_outcome();
+    if outcome == Outcome::Refuse {
         return HttpResponse::build(StatusCode::SERVICE_UNAVAILABLE)
             .header(headers::NOT_RUN, "true")
             .finish();
     }
-    let delay_ms = match fate {
-        Fate::Late => faults.late_ms,
+    let delay_ms = match outcome {
+        Outcome::Delay => faults.late_ms,
         _ => faults.delay_ms,
     };
     tokio::time::sleep(Duration::from_millis(delay_ms)).await;
-    let name = call_name(&request);
+    let name = call_id(&request);
     let runs = {
         let mut runs = service.runs();
         let count = runs.entry(name.clone()).or_default();
         *count += 1;
         *count
     };
-    if fate == Fate::Lose {
-        tokio::time::sleep(HANG).await;
+    if outcome == Outcome::LoseReply {
+        tokio::time::sleep(MAX_HANG).await;
     }
     reply::json(&ServiceAnswer {
         call: name,
@@ -160,7 +160,7 @@
 }
 
 /// The caller's request key if present, otherwise the request id.
-fn call_name(request: &HttpRequest) -> String {
+fn call_id(request: &HttpRequest) -> String {
     let header = |name: &str| {
         let value = request.headers().get(name)?;
         value.to_str().ok().map(str::to_owned)
@@ -171,7 +171,7 @@
 }
 
 async fn set_faults(service: State<Arc<Service>>, payload: Payload) -> HttpResponse {
-    match reply::body::<ServiceFaults>(payload).await {
+    match reply::parse_body::<ServiceFaults>(payload).await {
         Ok(faults) => {
             *service.faults() = faults;
             reply::json(&faults)
--- a/crates/tinbay-standin/src/weights.rs
+++ b/crates/tinbay-standin/src/weights.rs
@@ -52,10 +52,10 @@
 
 struct Weights {
     settings: WeightSettings,
-    state: Mutex<WeightState>,
+    state: Mutex<StoreState>,
 }
 
-struct WeightState {
+struct StoreState {
     next_start: Instant,
     active: u32,
     counts: FetchCounts,
@@ -63,7 +63,7 @@
 
 impl Weights {
     /// Reserves the next start time that the rate allows.
-    fn book(&self) -> Instant {
+    fn reserve_start(&self) -> Instant {
         let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
         let start = state.next_start.max(Instant::now());
         state.next_start = start + Duration::from_secs_f64(1.0 / self.settings.loads_per_s);
@@ -71,16 +71,16 @@
     }
 
     /// Starts a fetch; returns its duration, given the fetches that already run.
-    fn begin(&self) -> Duration {
+    fn start_fetch(&self) -> Duration {
         let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
         state.active += 1;
         state.counts.begun += 1;
         state.counts.most_at_once = state.counts.most_at_once.max(state.active);
-        let crowd = f64::from(state.active) / f64::from(self.settings.at_once);
-        Duration::from_millis(self.settings.load_ms).mul_f64(crowd.max(1.0))
+        let slowdown = f64::from(state.active) / f64::from(self.settings.at_once);
+        Duration::from_millis(self.settings.load_ms).mul_f64(slowdown.max(1.0))
     }
 
-    fn end(&self) {
+    fn end_fetch(&self) {
         let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
         state.active -= 1;
     }
@@ -93,7 +93,7 @@
 pub fn start(listener: TcpListener, settings: WeightSettings) -> io::Result<ServerHandle> {
     let weights = Arc::new(Weights {
         settings,
-        state: Mutex::new(WeightState {
+        state: Mutex::new(StoreState {
             next_start: Instant::now(),
             active: 0,
             counts: FetchCounts::default(),
@@ -107,14 +107,14 @@
 }
 
 async fn fetch(weights: State<Arc<Weights>>, payload: Payload) -> HttpResponse {
-    let request: FetchRequest = match reply::body(payload).await {
+    let request: FetchRequest = match reply::parse_body(payload).await {
         Ok(request) => request,
         Err(answer) => return answer,
     };
-    tokio::time::sleep_until(weights.book().into()).await;
-    let takes = weights.begin();
-    tokio::time::sleep(takes).await;
-    weights.end();
+    tokio::time::sleep_until(weights.reserve_start().into()).await;
+    let duration = weights.start_fetch();
+    tokio::time::sleep(duration).await;
+    weights.end_fetch();
     reply::json(&request)
 }
 
