--- a/crates/tinbay-experiment/src/arrivals.rs
+++ b/crates/tinbay-experiment/src/arrivals.rs
@@ -28,38 +28,39 @@
 const SHIFT_STEP: usize = 1_009;
 
 /// Returns all requests, ordered by arrival time. They don't depend on the strategy.
-pub fn work_out(workload: &Workload, seed: u64) -> Vec<Arrival> {
+pub fn generate(workload: &Workload, seed: u64) -> Vec<Arrival> {
     let mut arrivals = Vec::new();
     for (index, traffic) in workload.traffic.iter().enumerate() {
         let mut rng = StdRng::seed_from_u64(seed ^ (index as u64) << 32);
-        add_stream(workload, index, traffic, &mut rng, &mut arrivals);
+        add_arrivals(workload, index, traffic, &mut rng, &mut arrivals);
     }
     arrivals.sort_by_key(|arrival| arrival.at_ms);
     arrivals
 }
 
 /// Adds the Poisson arrivals of a stream: generated at its highest rate, then thinned.
-fn add_stream(
+fn add_arrivals(
     workload: &Workload,
     index: usize,
     traffic: &Traffic,
     rng: &mut StdRng,
     arrivals: &mut Vec<Arrival>,
 ) {
-    let highest = highest_factor(workload, &traffic.class);
+    let peak_factor = peak_flood_factor(workload, &traffic.class);
     let count = workload.adapters.count;
     let (Ok(gaps), Ok(popularity)) = (
-        Exp::new(traffic.rate_per_s * highest),
+        Exp::new(traffic.rate_per_s * peak_factor),
         Zipf::new(count as f64, workload.adapters.skew),
     ) else {
         return;
     };
     let mut at_s = gaps.sample(rng);
     while at_s < workload.length_s as f64 {
-        let kept = rng.random::<f64>() * highest < factor_at(workload, &traffic.class, at_s);
+        let kept =
+            rng.random::<f64>() * peak_factor < flood_factor_at(workload, &traffic.class, at_s);
         let rank = popularity.sample(rng) as usize;
         if kept {
-            let adapter = (rank - 1 + shift_at(workload, at_s)) % count;
+            let adapter = (rank - 1 + shift_offset(workload, at_s)) % count;
             arrivals.push(Arrival {
                 at_ms: (at_s * 1_000.0) as Millis,
                 traffic: index,
@@ -83,27 +84,27 @@
             Disturbance::Flood {
                 at_s,
                 for_s,
-                class: flooded,
+                class: flooded_class,
                 factor,
-            } if flooded == class => Some((*at_s, *for_s, *factor)),
+            } if flooded_class == class => Some((*at_s, *for_s, *factor)),
             _ => None,
         })
 }
 
-fn highest_factor(workload: &Workload, class: &str) -> f64 {
+fn peak_flood_factor(workload: &Workload, class: &str) -> f64 {
     floods(workload, class)
         .map(|(_, _, factor)| factor)
         .fold(1.0, f64::max)
 }
 
-fn factor_at(workload: &Workload, class: &str, at_s: f64) -> f64 {
+fn flood_factor_at(workload: &Workload, class: &str, at_s: f64) -> f64 {
     floods(workload, class)
         .filter(|(from_s, for_s, _)| (*from_s as f64..(from_s + for_s) as f64).contains(&at_s))
         .map(|(_, _, factor)| factor)
         .fold(1.0, f64::max)
 }
 
-fn shift_at(workload: &Workload, now_s: f64) -> usize {
+fn shift_offset(workload: &Workload, now_s: f64) -> usize {
     let shifts = workload.disturbance.iter().filter(
         |disturbance| matches!(disturbance, Disturbance::Shift { at_s } if *at_s as f64 <= now_s),
     );
--- a/crates/tinbay-experiment/src/bound.rs
+++ b/crates/tinbay-experiment/src/bound.rs
@@ -25,41 +25,46 @@
 /// of the weight store and runs at full speed, so that a miss stalls for the duration of one load.
 /// No strategy that loads on demand stalls less.
 pub fn work_out(workload: &Workload, seed: u64) -> Bound {
-    let arrivals = arrivals::work_out(workload, seed);
+    let arrivals = arrivals::generate(workload, seed);
     let urgent: Vec<(usize, usize)> = arrivals
         .iter()
         .filter(|arrival| workload.traffic[arrival.traffic].urgent)
         .map(|arrival| (arrival.adapter, arrival.traffic))
         .collect();
-    let mut came: BTreeMap<usize, u64> = BTreeMap::new();
+    let mut arrived: BTreeMap<usize, u64> = BTreeMap::new();
     let mut missed: BTreeMap<usize, u64> = BTreeMap::new();
     for base in 0..workload.engines.base_models {
-        let mine: Vec<(usize, usize)> = urgent
+        let base_requests: Vec<(usize, usize)> = urgent
             .iter()
             .copied()
             .filter(|(adapter, _)| adapter % workload.engines.base_models == base)
             .collect();
-        count_misses(&mine, slots_of(workload, base), &mut came, &mut missed);
+        count_misses(
+            &base_requests,
+            cache_slots(workload, base),
+            &mut arrived,
+            &mut missed,
+        );
     }
-    to_bound(workload, &came, &missed)
+    to_bound(workload, &arrived, &missed)
 }
 
-fn slots_of(workload: &Workload, base: usize) -> usize {
-    let park = &workload.engines;
-    let engines = (0..park.count).filter(|engine| engine % park.base_models == base);
-    engines.count() * park.slots as usize
+fn cache_slots(workload: &Workload, base: usize) -> usize {
+    let config = &workload.engines;
+    let engines = (0..config.count).filter(|engine| engine % config.base_models == base);
+    engines.count() * config.slots as usize
 }
 
 fn count_misses(
     requests: &[(usize, usize)],
     slots: usize,
-    came: &mut BTreeMap<usize, u64>,
+    arrived: &mut BTreeMap<usize, u64>,
     missed: &mut BTreeMap<usize, u64>,
 ) {
-    let next_use = next_uses(requests);
+    let next_use = next_use_indices(requests);
     let mut cached: HashMap<usize, usize> = HashMap::new();
     for (index, (adapter, traffic)) in requests.iter().enumerate() {
-        *came.entry(*traffic).or_default() += 1;
+        *arrived.entry(*traffic).or_default() += 1;
         if cached.insert(*adapter, next_use[index]).is_some() {
             continue;
         }
@@ -77,7 +82,7 @@
 }
 
 /// For each request, the index of the next request for the same adapter.
-fn next_uses(requests: &[(usize, usize)]) -> Vec<usize> {
+fn next_use_indices(requests: &[(usize, usize)]) -> Vec<usize> {
     let mut next_use = vec![usize::MAX; requests.len()];
     let mut seen: HashMap<usize, usize> = HashMap::new();
     for (index, (adapter, _)) in requests.iter().enumerate().rev() {
@@ -90,13 +95,13 @@
 
 fn to_bound(
     workload: &Workload,
-    came: &BTreeMap<usize, u64>,
+    arrived: &BTreeMap<usize, u64>,
     missed: &BTreeMap<usize, u64>,
 ) -> Bound {
     let mut bound = Bound::default();
-    for (traffic, came) in came {
+    for (traffic, arrived) in arrived {
         let missed = missed.get(traffic).copied().unwrap_or(0);
-        let share = missed as f64 / *came as f64;
+        let share = missed as f64 / *arrived as f64;
         let stall = if share > 0.01 {
             workload.weight_store.load_ms as f64
         } else {
--- a/crates/tinbay-experiment/src/limits/measures.rs
+++ b/crates/tinbay-experiment/src/limits/measures.rs
@@ -5,7 +5,7 @@
 use serde::Serialize;
 use tinbay_core::limits::terms::Limit;
 
-use super::{OVERSHOOT, SLACK, WINDOW_MS};
+use super::{OVERSHOOT_FRACTION, OVERSHOOT_UNITS, WINDOW_MS};
 
 /// Units of the hot account in one second.
 #[derive(Debug, Clone, Copy, Default, Serialize)]
@@ -54,7 +54,7 @@
 impl Window {
     /// Adds units.
     pub fn add(&mut self, units: f64, now_ms: u64) {
-        self.leave(now_ms);
+        self.expire(now_ms);
         self.units.push_back((now_ms, units));
         self.sum += units;
         self.most = self.most.max(self.sum);
@@ -62,7 +62,7 @@
 
     /// Units in the window that ends now.
     pub fn sum(&mut self, now_ms: u64) -> f64 {
-        self.leave(now_ms);
+        self.expire(now_ms);
         self.sum
     }
 
@@ -71,7 +71,7 @@
         self.most
     }
 
-    fn leave(&mut self, now_ms: u64) {
+    fn expire(&mut self, now_ms: u64) {
         while let Some((at_ms, units)) = self.units.front().copied() {
             if at_ms + WINDOW_MS > now_ms {
                 break;
@@ -83,11 +83,11 @@
 }
 
 /// Units that a limit gives in one window.
-pub fn in_window(limit: Limit) -> f64 {
+pub fn units_per_window(limit: Limit) -> f64 {
     limit.per_s * WINDOW_MS as f64 / 1_000.0 + limit.burst
 }
 
 /// Maximum units of an account in one window, including the allowed overshoot.
-pub fn allowed(limit: Limit) -> f64 {
-    in_window(limit) * (1.0 + OVERSHOOT) + SLACK
+pub fn max_units_per_window(limit: Limit) -> f64 {
+    units_per_window(limit) * (1.0 + OVERSHOOT_FRACTION) + OVERSHOOT_UNITS
 }
--- a/crates/tinbay-experiment/src/limits/mod.rs
+++ b/crates/tinbay-experiment/src/limits/mod.rs
@@ -56,7 +56,7 @@
 
 /// One-way delay of a message between two boxes: half of a round trip between zones, including the
 /// interval in which a box collects messages before it sends them.
-pub const MESSAGE_MS: u64 = 3;
+pub const MESSAGE_DELAY_MS: u64 = 3;
 
 /// Size of a request for units or a grant, including the frame and the headers of the datagram.
 pub const MESSAGE_BYTES: u64 = 90;
@@ -65,15 +65,17 @@
 pub const WINDOW_MS: u64 = 8_000;
 
 /// Fraction of the units of a window by which a limit may be exceeded.
-pub const OVERSHOOT: f64 = 0.1;
+pub const OVERSHOOT_FRACTION: f64 = 0.1;
 
 /// Units by which a limit may be exceeded in addition.
-pub const SLACK: f64 = 110_000.0;
-/// Fraction of [`OVERSHOOT_UNITS`] by which boxes without a home may overdraw their shares together.
-pub const OVERDRAFT_PART: f64 = 0.5;
+pub const OVERSHOOT_UNITS: f64 = 110_000.0;
+
+/// Fraction of [`OVERSHOOT_UNITS`] by which boxes without a home may overdraw their shares
+/// together.
+pub const OVERDRAFT_FRACTION: f64 = 0.5;
 
 /// Ratio of an account's limit to its usual load.
-pub const LIMIT_FACTOR: f64 = 1.8;
+pub const LIMIT_TO_USUAL_LOAD: f64 = 1.8;
 
 /// Minimum limit of an account, in units per second.
-pub const LEAST_LIMIT_PER_S: f64 = 29_000.0;
+pub const MIN_LIMIT_PER_S: f64 = 29_000.0;
--- a/crates/tinbay-experiment/src/limits/play.rs
+++ b/crates/tinbay-experiment/src/limits/play.rs
@@ -6,24 +6,26 @@
 use tinbay_core::limits::share::{LimitShare, ShareTerms};
 use tinbay_core::limits::terms::{self, Limit};
 
-use super::demand::{self, Asked, Demand, HOT_ACCOUNT};
-use super::measures::{LimitMeasures, Second, Window, allowed, in_window};
-use super::{LimitStrategy, LimitTerms, MESSAGE_BYTES, MESSAGE_MS, OVERDRAFT_PART, SLACK};
+use super::demand::{self, Demand, HOT_ACCOUNT, Request};
+use super::measures::{LimitMeasures, Second, Window, max_units_per_window, units_per_window};
+use super::{
+    LimitStrategy, LimitTerms, MESSAGE_BYTES, MESSAGE_DELAY_MS, OVERDRAFT_FRACTION, OVERSHOOT_UNITS,
+};
 
 /// A message between two boxes.
 enum Message {
-    Question { asked: Asked, ahead: f64 },
-    Answer { asked: Asked, grant: UnitGrant },
+    UnitRequest { request: Request, ahead: f64 },
+    UnitGrant { request: Request, grant: UnitGrant },
 }
 
-struct Play<'a> {
+struct Simulation<'a> {
     terms: &'a LimitTerms,
     limits: Vec<Limit>,
     shares: Vec<HashMap<usize, LimitShare>>,
     homes: HashMap<usize, LimitHome>,
-    on_way: VecDeque<(u64, Message)>,
+    in_flight: VecDeque<(u64, Message)>,
     messages: Vec<u64>,
-    asked: HashMap<usize, Window>,
+    requested: HashMap<usize, Window>,
     admitted: HashMap<usize, Window>,
     measures: LimitMeasures,
 }
@@ -37,22 +39,22 @@
     strategy: LimitStrategy,
 ) -> Result<LimitMeasures, rand_distr::ZipfError> {
     let mut demand = Demand::new(terms)?;
-    let mut play = Play::new(terms);
+    let mut simulation = Simulation::new(terms);
     let third_ms = terms.seconds * 1_000 / 3;
     for now_ms in 0..terms.seconds * 1_000 {
         if now_ms == terms.seconds * 500 {
-            play.kill(&mut demand);
+            simulation.restart_killed_boxes(&mut demand);
         }
-        play.deliver(now_ms);
+        simulation.deliver(now_ms);
         let is_hot = (third_ms..2 * third_ms).contains(&now_ms);
-        for asked in demand.next_ms(is_hot) {
-            play.ask(asked, strategy, now_ms);
+        for request in demand.next_ms(is_hot) {
+            simulation.handle_request(request, strategy, now_ms);
         }
     }
-    Ok(play.end())
+    Ok(simulation.end())
 }
 
-impl<'a> Play<'a> {
+impl<'a> Simulation<'a> {
     fn new(terms: &'a LimitTerms) -> Self {
         let limits = demand::limits(terms);
         let measures = LimitMeasures {
@@ -65,16 +67,16 @@
             limits,
             shares: (0..terms.boxes).map(|_| HashMap::new()).collect(),
             homes: HashMap::new(),
-            on_way: VecDeque::new(),
+            in_flight: VecDeque::new(),
             messages: vec![0; terms.boxes],
-            asked: HashMap::new(),
+            requested: HashMap::new(),
             admitted: HashMap::new(),
             measures,
         }
     }
 
     fn limit_terms(&self, account: usize) -> terms::LimitTerms {
-        terms::LimitTerms::of_account(self.limits[account], SLACK * OVERDRAFT_PART)
+        terms::LimitTerms::of_account(self.limits[account], OVERSHOOT_UNITS * OVERDRAFT_FRACTION)
     }
 
     /// The box that is the home of an account's limit.
@@ -83,127 +85,130 @@
     }
 
     /// Kills the given fraction of the boxes. They restart at once, without any state of limits.
-    fn kill(&mut self, demand: &mut Demand) {
-        for at in 0..self.terms.boxes {
+    fn restart_killed_boxes(&mut self, demand: &mut Demand) {
+        for box_index in 0..self.terms.boxes {
             if !demand.draw(self.terms.killed) {
                 continue;
             }
-            self.shares[at].clear();
+            self.shares[box_index].clear();
             let boxes = self.terms.boxes;
             self.homes
-                .retain(|account, _| account.wrapping_mul(0x9e37_79b9) % boxes != at);
+                .retain(|account, _| account.wrapping_mul(0x9e37_79b9) % boxes != box_index);
         }
     }
 
-    fn share(&mut self, asked: Asked, now_ms: u64) -> &mut LimitShare {
-        let shares = &mut self.shares[asked.at];
+    fn share(&mut self, request: Request, now_ms: u64) -> &mut LimitShare {
+        let shares = &mut self.shares[request.box_index];
         shares
-            .entry(asked.account)
+            .entry(request.account)
             .or_insert_with(|| LimitShare::new(now_ms))
     }
 
-    fn ask(&mut self, asked: Asked, strategy: LimitStrategy, now_ms: u64) {
+    fn handle_request(&mut self, request: Request, strategy: LimitStrategy, now_ms: u64) {
         self.measures.requests += 1;
-        if asked.account == HOT_ACCOUNT {
-            self.measures.hot[(now_ms / 1_000) as usize].asked += asked.units;
+        if request.account == HOT_ACCOUNT {
+            self.measures.hot[(now_ms / 1_000) as usize].asked += request.units;
         }
-        let window = self.asked.entry(asked.account).or_default();
-        window.add(asked.units, now_ms);
-        if self.share(asked, now_ms).take_given(asked.units, now_ms) {
-            return self.admit(asked, now_ms);
+        let window = self.requested.entry(request.account).or_default();
+        window.add(request.units, now_ms);
+        if self
+            .share(request, now_ms)
+            .take_given(request.units, now_ms)
+        {
+            return self.admit(request, now_ms);
         }
         match strategy {
-            LimitStrategy::Shares => self.ask_share(asked, now_ms),
-            LimitStrategy::Homes => self.send_question(asked, now_ms),
+            LimitStrategy::Shares => self.take_from_share(request, now_ms),
+            LimitStrategy::Homes => self.request_units(request, now_ms),
         }
     }
 
-    fn ask_share(&mut self, asked: Asked, now_ms: u64) {
+    fn take_from_share(&mut self, request: Request, now_ms: u64) {
         let terms = ShareTerms {
-            limit_terms: self.limit_terms(asked.account),
+            limit_terms: self.limit_terms(request.account),
             boxes: self.terms.boxes,
         };
         let taken = self
-            .share(asked, now_ms)
-            .take_share(terms, asked.units, now_ms);
+            .share(request, now_ms)
+            .take_share(terms, request.units, now_ms);
         match taken {
-            Ok(()) => self.admit(asked, now_ms),
-            Err(_) => self.refuse(asked, now_ms),
+            Ok(()) => self.admit(request, now_ms),
+            Err(_) => self.refuse(request, now_ms),
         }
     }
 
-    fn send_question(&mut self, asked: Asked, now_ms: u64) {
-        let ahead = self.share(asked, now_ms).ahead(now_ms);
-        self.send(asked, Message::Question { asked, ahead }, now_ms);
+    fn request_units(&mut self, request: Request, now_ms: u64) {
+        let ahead = self.share(request, now_ms).ahead(now_ms);
+        self.send(request, Message::UnitRequest { request, ahead }, now_ms);
     }
 
-    fn send(&mut self, asked: Asked, message: Message, now_ms: u64) {
-        let home = self.home_of(asked.account);
-        if home != asked.at {
+    fn send(&mut self, request: Request, message: Message, now_ms: u64) {
+        let home = self.home_of(request.account);
+        if home != request.box_index {
             self.messages[home] += 1;
-            self.messages[asked.at] += 1;
+            self.messages[request.box_index] += 1;
         }
-        let arrives_ms = if home == asked.at {
+        let arrives_ms = if home == request.box_index {
             now_ms
         } else {
-            now_ms + MESSAGE_MS
+            now_ms + MESSAGE_DELAY_MS
         };
-        self.on_way.push_back((arrives_ms, message));
+        self.in_flight.push_back((arrives_ms, message));
     }
 
     fn deliver(&mut self, now_ms: u64) {
-        let due = std::mem::take(&mut self.on_way);
+        let due = std::mem::take(&mut self.in_flight);
         for (arrives_ms, message) in due {
             if arrives_ms > now_ms {
-                self.on_way.push_back((arrives_ms, message));
+                self.in_flight.push_back((arrives_ms, message));
                 continue;
             }
             match message {
-                Message::Question { asked, ahead } => self.deal(asked, ahead, now_ms),
-                Message::Answer { asked, grant } => self.take(asked, grant, now_ms),
+                Message::UnitRequest { request, ahead } => self.grant_units(request, ahead, now_ms),
+                Message::UnitGrant { request, grant } => self.handle_grant(request, grant, now_ms),
             }
         }
     }
 
-    fn deal(&mut self, asked: Asked, ahead: f64, now_ms: u64) {
-        let request = UnitRequest {
-            needed: asked.units,
+    fn grant_units(&mut self, request: Request, ahead: f64, now_ms: u64) {
+        let unit_request = UnitRequest {
+            needed: request.units,
             ahead,
         };
         let terms = DealTerms {
-            limit_terms: self.limit_terms(asked.account),
+            limit_terms: self.limit_terms(request.account),
             reached: 1.0,
             boxes: self.terms.boxes,
         };
         let home = self
             .homes
-            .entry(asked.account)
+            .entry(request.account)
             .or_insert_with(|| LimitHome::new(now_ms));
-        let grant = home.deal(terms, request, now_ms);
-        self.send(asked, Message::Answer { asked, grant }, now_ms);
+        let grant = home.deal(terms, unit_request, now_ms);
+        self.send(request, Message::UnitGrant { request, grant }, now_ms);
     }
 
-    fn take(&mut self, asked: Asked, grant: UnitGrant, now_ms: u64) {
-        let share = self.share(asked, now_ms);
+    fn handle_grant(&mut self, request: Request, grant: UnitGrant, now_ms: u64) {
+        let share = self.share(request, now_ms);
         share.note_given(grant.units, now_ms);
-        if grant.room_in_ms.is_none() && share.take_given(asked.units, now_ms) {
-            return self.admit(asked, now_ms);
+        if grant.room_in_ms.is_none() && share.take_given(request.units, now_ms) {
+            return self.admit(request, now_ms);
         }
-        self.refuse(asked, now_ms);
+        self.refuse(request, now_ms);
     }
 
-    fn admit(&mut self, asked: Asked, now_ms: u64) {
-        if asked.account == HOT_ACCOUNT {
-            self.measures.hot[(now_ms / 1_000) as usize].admitted += asked.units;
+    fn admit(&mut self, request: Request, now_ms: u64) {
+        if request.account == HOT_ACCOUNT {
+            self.measures.hot[(now_ms / 1_000) as usize].admitted += request.units;
         }
-        let window = self.admitted.entry(asked.account).or_default();
-        window.add(asked.units, now_ms);
+        let window = self.admitted.entry(request.account).or_default();
+        window.add(request.units, now_ms);
     }
 
-    fn refuse(&mut self, asked: Asked, now_ms: u64) {
+    fn refuse(&mut self, request: Request, now_ms: u64) {
         self.measures.refused += 1;
-        let window = self.asked.entry(asked.account).or_default();
-        if window.sum(now_ms) <= in_window(self.limits[asked.account]) {
+        let window = self.requested.entry(request.account).or_default();
+        if window.sum(now_ms) <= units_per_window(self.limits[request.account]) {
             self.measures.refused_below += 1;
         }
     }
@@ -211,9 +216,9 @@
     fn end(mut self) -> LimitMeasures {
         for (account, window) in &self.admitted {
             let limit = self.limits[*account];
-            let part = window.most() / in_window(limit);
-            self.measures.most_of_limit = self.measures.most_of_limit.max(part);
-            self.measures.accounts_over += usize::from(window.most() > allowed(limit));
+            let ratio = window.most() / units_per_window(limit);
+            self.measures.most_of_limit = self.measures.most_of_limit.max(ratio);
+            self.measures.accounts_over += usize::from(window.most() > max_units_per_window(limit));
         }
         let seconds = self.terms.seconds as f64;
         let per_s = |count: u64| count as f64 / seconds;
--- a/crates/tinbay-experiment/src/measures.rs
+++ b/crates/tinbay-experiment/src/measures.rs
@@ -7,7 +7,7 @@
 use tinbay_core::units::Millis;
 
 /// Significant digits of the histograms.
-const DIGITS: u8 = 3;
+const SIGNIFICANT_DIGITS: u8 = 3;
 
 /// Quantiles of a duration.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize)]
@@ -49,12 +49,12 @@
     /// Unloads of a model that was serving; must be 0.
     pub unloads_while_serving: u64,
     /// Lowest fraction of urgent requests that started in time, of all organisations with at least
-    /// [`FAIRNESS_LEAST`] of them.
+    /// [`MIN_ORGANISATION_REQUESTS`] of them.
     pub least_organisation_in_time: f64,
 }
 
 /// Minimum number of urgent requests of an organisation for its fraction to be meaningful.
-pub const FAIRNESS_LEAST: u64 = 20;
+pub const MIN_ORGANISATION_REQUESTS: u64 = 20;
 
 /// Collects the results of one class.
 #[derive(Debug)]
@@ -113,7 +113,7 @@
 
 fn histogram() -> Histogram<u64> {
     // From 1 ms to one day. These bounds are valid, so that this can't fail.
-    Histogram::new_with_bounds(1, 86_400_000, DIGITS).unwrap_or_else(|_| unreachable!())
+    Histogram::new_with_bounds(1, 86_400_000, SIGNIFICANT_DIGITS).unwrap_or_else(|_| unreachable!())
 }
 
 fn quantiles(histogram: &Histogram<u64>) -> Quantiles {
--- a/crates/tinbay-experiment/src/run.rs
+++ b/crates/tinbay-experiment/src/run.rs
@@ -13,7 +13,7 @@
 
 use crate::arrivals::{self, Arrival};
 use crate::engines::FakeEngine;
-use crate::measures::{ClassCollector, FAIRNESS_LEAST, Measures};
+use crate::measures::{ClassCollector, MIN_ORGANISATION_REQUESTS, Measures};
 use crate::strategy::{EngineLoad, Routing, StrategyKind};
 use crate::weights::FakeWeightStore;
 use crate::workload::{Disturbance, Workload};
@@ -29,13 +29,13 @@
 
 /// An event of the simulation.
 #[derive(Debug, Clone)]
-enum Happening {
+enum SimulationEvent {
     Arrive(usize),
     Tick,
     Grant,
     Loaded {
         engine: usize,
-        run: u64,
+        incarnation: u64,
         model: ModelRef,
     },
     Unloaded {
@@ -44,7 +44,7 @@
     },
     Finished {
         engine: usize,
-        run: u64,
+        incarnation: u64,
         id: RequestId,
     },
     Restart {
@@ -57,7 +57,7 @@
     arrival: usize,
     treatment: Treatment,
     engines: Vec<usize>,
-    tried: usize,
+    attempts: usize,
 }
 
 struct Experiment<'a> {
@@ -66,9 +66,9 @@
     policy: Option<&'a Policy>,
     arrivals: Vec<Arrival>,
     now_ms: Millis,
-    heap: BinaryHeap<Reverse<(Millis, u64, usize)>>,
-    happenings: HashMap<usize, Happening>,
-    next: usize,
+    event_queue: BinaryHeap<Reverse<(Millis, u64, usize)>>,
+    pending_events: HashMap<usize, SimulationEvent>,
+    next_event: usize,
     schedulers: Vec<Box<dyn Scheduler>>,
     engines: Vec<FakeEngine>,
     running: Vec<HashMap<RequestId, ModelRef>>,
@@ -91,10 +91,10 @@
 
 impl<'a> Experiment<'a> {
     fn new(workload: &'a Workload, policy: &'a Policy, kind: StrategyKind, seed: u64) -> Self {
-        let park = &workload.engines;
+        let config = &workload.engines;
         let shape = EngineShape {
-            slots: park.slots,
-            batch_limit: park.batch_limit,
+            slots: config.slots,
+            batch_limit: config.batch_limit,
         };
         let policy = (kind == StrategyKind::CorePolicy).then_some(policy);
         let classes = workload
@@ -106,16 +106,16 @@
             workload,
             kind,
             policy,
-            arrivals: arrivals::work_out(workload, seed),
+            arrivals: arrivals::generate(workload, seed),
             now_ms: 0,
-            heap: BinaryHeap::new(),
-            happenings: HashMap::new(),
-            next: 0,
-            schedulers: (0..park.count)
+            event_queue: BinaryHeap::new(),
+            pending_events: HashMap::new(),
+            next_event: 0,
+            schedulers: (0..config.count)
                 .map(|_| kind.scheduler(shape, policy))
                 .collect(),
-            engines: vec![FakeEngine::default(); park.count],
-            running: vec![HashMap::new(); park.count],
+            engines: vec![FakeEngine::default(); config.count],
+            running: vec![HashMap::new(); config.count],
             routing: Routing::new(kind, workload),
             arbiter: LoadArbiter::new(workload.allowance()),
             weights: FakeWeightStore::new(workload.weight_store.clone()),
@@ -128,32 +128,32 @@
 
     fn schedule_all(&mut self) {
         for engine in 0..self.schedulers.len() {
-            self.give(engine, Event::Learnt(EngineContents::default()));
+            self.deliver(engine, Event::Learnt(EngineContents::default()));
         }
         if let Some(first) = self.arrivals.first() {
-            self.schedule(first.at_ms, Happening::Arrive(0));
+            self.schedule(first.at_ms, SimulationEvent::Arrive(0));
         }
-        self.schedule(TICK_MS, Happening::Tick);
+        self.schedule(TICK_MS, SimulationEvent::Tick);
         for disturbance in &self.workload.disturbance {
             if let Disturbance::Restart { at_s, engine } = disturbance {
-                self.schedule(at_s * 1_000, Happening::Restart { engine: *engine });
+                self.schedule(at_s * 1_000, SimulationEvent::Restart { engine: *engine });
             }
         }
     }
 
-    fn schedule(&mut self, at_ms: Millis, happening: Happening) {
-        self.heap
-            .push(Reverse((at_ms, self.next as u64, self.next)));
-        self.happenings.insert(self.next, happening);
-        self.next += 1;
+    fn schedule(&mut self, at_ms: Millis, event: SimulationEvent) {
+        self.event_queue
+            .push(Reverse((at_ms, self.next_event as u64, self.next_event)));
+        self.pending_events.insert(self.next_event, event);
+        self.next_event += 1;
     }
 
     /// Runs until every request has started or been refused, for at most twice the duration of the
     /// workload.
     fn run_to_end(&mut self) {
         let last_ms = 2 * self.workload.length_ms();
-        while let Some(Reverse((at_ms, _, number))) = self.heap.pop() {
-            let Some(happening) = self.happenings.remove(&number) else {
+        while let Some(Reverse((at_ms, _, number))) = self.event_queue.pop() {
+            let Some(event) = self.pending_events.remove(&number) else {
                 continue;
             };
             self.now_ms = at_ms;
@@ -161,55 +161,65 @@
             if over || at_ms > last_ms {
                 return;
             }
-            self.happen(happening);
+            self.process_event(event);
         }
     }
 
-    fn happen(&mut self, happening: Happening) {
-        match happening {
-            Happening::Arrive(index) => self.arrive(index),
-            Happening::Tick => self.tick(),
-            Happening::Grant => self.grant(),
-            Happening::Loaded { engine, run, model } => {
-                self.weights.end();
-                if self.engines[engine].run == run {
+    fn process_event(&mut self, event: SimulationEvent) {
+        match event {
+            SimulationEvent::Arrive(index) => self.arrive(index),
+            SimulationEvent::Tick => self.tick(),
+            SimulationEvent::Grant => self.grant(),
+            SimulationEvent::Loaded {
+                engine,
+                incarnation,
+                model,
+            } => {
+                self.weights.end_load();
+                if self.engines[engine].incarnation == incarnation {
                     self.routing.note_loaded(engine, &model);
-                    self.give(engine, Event::Loaded(model));
+                    self.deliver(engine, Event::Loaded(model));
                 } else {
-                    self.give(engine, Event::LoadFailed(model));
+                    self.deliver(engine, Event::LoadFailed(model));
                 }
             }
-            Happening::Unloaded { engine, model } => {
+            SimulationEvent::Unloaded { engine, model } => {
                 self.routing.note_unloaded(engine, &model);
-                self.give(engine, Event::Unloaded(model));
+                self.deliver(engine, Event::Unloaded(model));
             }
-            Happening::Finished { engine, run, id } => {
-                if self.engines[engine].run == run && self.running[engine].remove(&id).is_some() {
-                    self.note_batch(engine);
+            SimulationEvent::Finished {
+                engine,
+                incarnation,
+                id,
+            } => {
+                if self.engines[engine].incarnation == incarnation
+                    && self.running[engine].remove(&id).is_some()
+                {
+                    self.record_batch_use(engine);
                     self.engines[engine].running -= 1;
-                    self.give(engine, Event::Finished(id));
+                    self.deliver(engine, Event::Finished(id));
                 }
             }
-            Happening::Restart { engine } => self.restart(engine),
+            SimulationEvent::Restart { engine } => self.restart(engine),
         }
     }
 
     fn tick(&mut self) {
         if self.kind.is_core() {
             for engine in 0..self.schedulers.len() {
-                self.give(engine, Event::Tick);
+                self.deliver(engine, Event::Tick);
             }
             self.grant();
         }
-        self.schedule(self.now_ms + TICK_MS, Happening::Tick);
+        self.schedule(self.now_ms + TICK_MS, SimulationEvent::Tick);
     }
 
     fn arrive(&mut self, index: usize) {
         if let Some(next) = self.arrivals.get(index + 1) {
-            self.schedule(next.at_ms, Happening::Arrive(index + 1));
+            self.schedule(next.at_ms, SimulationEvent::Arrive(index + 1));
         }
         let arrival = &self.arrivals[index];
-        let treatment = self.treat(arrival);
+        let treatment = self.classify_arrival(arrival);
         let loads: Vec<EngineLoad> = self
             .schedulers
             .iter()
@@ -233,13 +243,13 @@
             arrival: index,
             treatment,
             engines,
-            tried: 0,
+            attempts: 0,
         };
         self.requests.insert(id, request);
         self.try_next(id);
     }
 
-    fn treat(&self, arrival: &Arrival) -> Treatment {
+    fn classify_arrival(&self, arrival: &Arrival) -> Treatment {
         let traffic = &self.workload.traffic[arrival.traffic];
         let base = Treatment {
             rank: traffic.rank,
@@ -267,14 +277,14 @@
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
-        let engine = request.engines.get(request.tried).copied();
-        request.tried += 1;
-        let Some(engine) = engine.filter(|_| request.tried <= MAX_ATTEMPTS) else {
+        let engine = request.engines.get(request.attempts).copied();
+        request.attempts += 1;
+        let Some(engine) = engine.filter(|_| request.attempts <= MAX_ATTEMPTS) else {
             self.refuse(id);
             return;
         };
         let arrival = &self.arrivals[request.arrival];
-        let ask = QueuedRequest {
+        let queued_request = QueuedRequest {
             id,
             model: arrival.model.clone(),
             organisation: arrival.organisation.to_string(),
@@ -283,9 +293,9 @@
             arrived_ms: arrival.at_ms,
             start_by_ms: arrival.at_ms + request.treatment.max_wait_ms,
         };
-        let (rank, urgent) = (ask.rank, ask.urgent);
-        self.note_batch(engine);
-        self.give(engine, Event::Submit(ask));
+        let (rank, urgent) = (queued_request.rank, queued_request.urgent);
+        self.record_batch_use(engine);
+        self.deliver(engine, Event::Submit(queued_request));
         let wait_ms = self.schedulers[engine].expected_wait_ms(self.now_ms, rank);
         self.routing.note_wait(engine, urgent, wait_ms, self.now_ms);
     }
@@ -324,51 +334,59 @@
             share.1 += u64::from(in_time);
         }
         self.running[engine].insert(id, arrival.model.clone());
-        let fake = &mut self.engines[engine];
-        fake.running += 1;
-        let takes_ms = fake.run_ms(&self.workload.engines, traffic.tokens);
-        let run = fake.run;
+        let fake_engine = &mut self.engines[engine];
+        fake_engine.running += 1;
+        let duration_ms = fake_engine.request_duration_ms(&self.workload.engines, traffic.tokens);
+        let incarnation = fake_engine.incarnation;
         self.schedule(
-            self.now_ms + takes_ms,
-            Happening::Finished { engine, run, id },
+            self.now_ms + duration_ms,
+            SimulationEvent::Finished {
+                engine,
+                incarnation,
+                id,
+            },
         );
     }
 
     fn restart(&mut self, engine: usize) {
-        self.note_batch(engine);
-        self.engines[engine].run += 1;
+        self.record_batch_use(engine);
+        self.engines[engine].incarnation += 1;
         self.engines[engine].running = 0;
         self.routing.note_restarted(engine);
         let lost = std::mem::take(&mut self.running[engine]);
-        self.give(engine, Event::Learnt(EngineContents::default()));
+        self.deliver(engine, Event::Learnt(EngineContents::default()));
         for id in lost.into_keys() {
-            self.give(engine, Event::Finished(id));
+            self.deliver(engine, Event::Finished(id));
         }
     }
 
-    fn give(&mut self, engine: usize, event: Event) {
+    fn deliver(&mut self, engine: usize, event: Event) {
         let commands = self.schedulers[engine].handle(self.now_ms, event);
         if !commands.is_empty() {
-            self.note_batch(engine);
+            self.record_batch_use(engine);
         }
         for command in commands {
-            self.obey(engine, command);
+            self.execute(engine, command);
         }
     }
 
-    fn obey(&mut self, engine: usize, command: Command) {
+    fn execute(&mut self, engine: usize, command: Command) {
         match command {
             Command::AskLoad { model, rank, .. } => self.ask_load(engine, model, rank),
             Command::EndLoad(model) => self.end_load(engine, &model),
             Command::ReturnLoad(model) => {
                 self.arbiter.give_back(&engine_id(engine), &model);
-                self.schedule(self.now_ms, Happening::Grant);
+                self.schedule(self.now_ms, SimulationEvent::Grant);
             }
             Command::Load(model) => {
-                let takes_ms = self.weights.begin(self.now_ms);
-                let run = self.engines[engine].run;
-                let loaded = Happening::Loaded { engine, run, model };
-                self.schedule(self.now_ms + takes_ms, loaded);
+                let duration_ms = self.weights.start_load(self.now_ms);
+                let incarnation = self.engines[engine].incarnation;
+                let loaded = SimulationEvent::Loaded {
+                    engine,
+                    incarnation,
+                    model,
+                };
+                self.schedule(self.now_ms + duration_ms, loaded);
             }
             Command::Unload(model) => {
                 let serving = self.running[engine]
@@ -377,7 +395,7 @@
                 self.unloads_while_serving += u64::from(serving);
                 self.schedule(
                     self.now_ms + UNLOAD_MS,
-                    Happening::Unloaded { engine, model },
+                    SimulationEvent::Unloaded { engine, model },
                 );
             }
             Command::Dispatch { id, stall_ms } => self.start(engine, id, stall_ms),
@@ -395,7 +413,7 @@
     /// the weight store.
     fn ask_load(&mut self, engine: usize, model: ModelRef, rank: u8) {
         if !self.kind.is_core() {
-            self.give(engine, Event::LoadGranted(model));
+            self.deliver(engine, Event::LoadGranted(model));
             return;
         }
         self.arbiter.ask(LoadRequest {
@@ -404,44 +422,44 @@
             engine: engine_id(engine),
             model,
         });
-        self.schedule(self.now_ms, Happening::Grant);
+        self.schedule(self.now_ms, SimulationEvent::Grant);
     }
 
     fn end_load(&mut self, engine: usize, model: &ModelRef) {
         if self.kind.is_core() {
             self.arbiter.done(&engine_id(engine), model);
-            self.schedule(self.now_ms, Happening::Grant);
+            self.schedule(self.now_ms, SimulationEvent::Grant);
         }
     }
 
     fn grant(&mut self) {
-        for wish in self.arbiter.grant(self.now_ms) {
-            let number = wish.engine.as_str().trim_start_matches("engine-");
+        for granted in self.arbiter.grant(self.now_ms) {
+            let number = granted.engine.as_str().trim_start_matches("engine-");
             if let Ok(engine) = number.parse() {
-                self.give(engine, Event::LoadGranted(wish.model));
+                self.deliver(engine, Event::LoadGranted(granted.model));
             }
         }
     }
 
-    fn note_batch(&mut self, engine: usize) {
+    fn record_batch_use(&mut self, engine: usize) {
         let queued = self.schedulers[engine].queued();
         let limit = self.workload.engines.batch_limit;
-        self.engines[engine].note(self.now_ms, queued, limit);
+        self.engines[engine].record_batch_use(self.now_ms, queued, limit);
     }
 
     fn finish(self) -> Measures {
         let (mut used, mut offered) = (0, 0);
         for engine in &self.engines {
-            let (engine_used, engine_offered) = engine.use_of_batch();
+            let (engine_used, engine_offered) = engine.batch_use();
             used += engine_used;
             offered += engine_offered;
         }
         let shares = self
             .organisations
             .values()
-            .filter(|(came, _)| *came >= FAIRNESS_LEAST);
+            .filter(|(arrived, _)| *arrived >= MIN_ORGANISATION_REQUESTS);
         let least = shares
-            .map(|(came, in_time)| *in_time as f64 / *came as f64)
+            .map(|(arrived, in_time)| *in_time as f64 / *arrived as f64)
             .fold(1.0, f64::min);
         Measures {
             classes: self
--- a/crates/tinbay-experiment/src/strategy.rs
+++ b/crates/tinbay-experiment/src/strategy.rs
@@ -114,13 +114,16 @@
     ) -> Vec<usize> {
         let base = adapter % self.base_models;
         match self.kind {
-            StrategyKind::Naive => self.by_connections(base, loads),
+            StrategyKind::Naive => self.by_least_connections(base, loads),
             StrategyKind::NaiveAffinity => {
                 let holders = self.holders.get(model).cloned().unwrap_or_default();
                 let best = holders
                     .into_iter()
                     .min_by_key(|engine| loads[*engine].connections);
-                best.map_or_else(|| self.by_connections(base, loads), |engine| vec![engine])
+                best.map_or_else(
+                    || self.by_least_connections(base, loads),
+                    |engine| vec![engine],
+                )
             }
             StrategyKind::Core | StrategyKind::CorePolicy => {
                 self.by_ranking(now_ms, base, model, urgent)
@@ -128,9 +131,9 @@
         }
     }
 
-    fn by_connections(&self, base: usize, loads: &[EngineLoad]) -> Vec<usize> {
-        let fitting = (0..loads.len()).filter(|engine| engine % self.base_models == base);
-        fitting
+    fn by_least_connections(&self, base: usize, loads: &[EngineLoad]) -> Vec<usize> {
+        let candidates = (0..loads.len()).filter(|engine| engine % self.base_models == base);
+        candidates
             .min_by_key(|engine| loads[*engine].connections)
             .into_iter()
             .collect()
@@ -145,8 +148,8 @@
     ) -> Vec<usize> {
         let (names, base_models) = (&self.names, self.base_models);
         let ranking: Arc<[EngineId]> = self.router.ranking(model, || {
-            let fitting = names.iter().enumerate();
-            fitting
+            let candidates = names.iter().enumerate();
+            candidates
                 .filter(|(number, _)| number % base_models == base)
                 .map(|(_, name)| name.clone())
                 .collect()
--- a/crates/tinbay-experiment/src/weights.rs
+++ b/crates/tinbay-experiment/src/weights.rs
@@ -2,12 +2,12 @@
 
 use tinbay_core::units::Millis;
 
-use crate::workload::WeightStorePlan;
+use crate::workload::WeightStoreConfig;
 
 /// A fake weight store.
 #[derive(Debug, Clone)]
 pub struct FakeWeightStore {
-    plan: WeightStorePlan,
+    config: WeightStoreConfig,
     next_start_ms: f64,
     active: u32,
     /// Number of loads started.
@@ -16,9 +16,9 @@
 
 impl FakeWeightStore {
     /// Creates an idle store.
-    pub fn new(plan: WeightStorePlan) -> Self {
+    pub fn new(config: WeightStoreConfig) -> Self {
         Self {
-            plan,
+            config,
             next_start_ms: 0.0,
             active: 0,
             loads: 0,
@@ -27,18 +27,18 @@
 
     /// Starts a load and returns the time until it ends, including the wait at the store for loads
     /// above its rate.
-    pub fn begin(&mut self, now_ms: Millis) -> Millis {
+    pub fn start_load(&mut self, now_ms: Millis) -> Millis {
         let start_ms = self.next_start_ms.max(now_ms as f64);
-        self.next_start_ms = start_ms + 1_000.0 / self.plan.loads_per_s;
+        self.next_start_ms = start_ms + 1_000.0 / self.config.loads_per_s;
         self.active += 1;
         self.loads += 1;
-        let crowd = f64::from(self.active) / f64::from(self.plan.at_once);
-        let takes_ms = self.plan.load_ms as f64 * crowd.max(1.0);
-        (start_ms - now_ms as f64 + takes_ms) as Millis
+        let slowdown = f64::from(self.active) / f64::from(self.config.at_once);
+        let duration_ms = self.config.load_ms as f64 * slowdown.max(1.0);
+        (start_ms - now_ms as f64 + duration_ms) as Millis
     }
 
     /// Ends a load.
-    pub fn end(&mut self) {
+    pub fn end_load(&mut self) {
         self.active = self.active.saturating_sub(1);
     }
 }
--- a/crates/tinbay-experiment/src/workload.rs
+++ b/crates/tinbay-experiment/src/workload.rs
@@ -37,11 +37,11 @@
     /// Seeds reserved for the final evaluation.
     pub judging_seeds: Vec<u64>,
     /// The engines.
-    pub engines: EnginePark,
+    pub engines: EngineConfig,
     /// The weight store.
-    pub weight_store: WeightStorePlan,
+    pub weight_store: WeightStoreConfig,
     /// The adapters.
-    pub adapters: AdapterPlan,
+    pub adapters: AdapterConfig,
     /// The streams of requests.
     pub traffic: Vec<Traffic>,
     /// Disturbances during the run.
@@ -52,7 +52,7 @@
 /// The engines of a workload, all of the same kind.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct EnginePark {
+pub struct EngineConfig {
     /// Number of engines.
     pub count: usize,
     /// Number of base models, assigned to the engines in turn.
@@ -72,7 +72,7 @@
 /// The weight store of a workload.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct WeightStorePlan {
+pub struct WeightStoreConfig {
     /// Loads that may start per second.
     pub loads_per_s: f64,
     /// Maximum number of concurrent loads at which each runs at full speed.
@@ -84,7 +84,7 @@
 /// The adapters of a workload.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct AdapterPlan {
+pub struct AdapterConfig {
     /// Number of adapters, assigned to the base models in turn.
     pub count: usize,
     /// Zipf exponent of their popularity.
@@ -176,31 +176,31 @@
     }
 
     fn check(&self) -> Result<(), WorkloadError> {
-        let range = |holds: bool, field, allowed| match holds {
+        let require = |valid: bool, field, allowed| match valid {
             true => Ok(()),
             false => Err(WorkloadError::Range { field, allowed }),
         };
-        let park = &self.engines;
-        range(park.count > 0, "engines.count", "at least 1")?;
-        range(
-            (1..=park.count).contains(&park.base_models),
+        let engines = &self.engines;
+        require(engines.count > 0, "engines.count", "at least 1")?;
+        require(
+            (1..=engines.count).contains(&engines.base_models),
             "engines.base_models",
             "1 to the number of engines",
         )?;
-        range(park.slots > 0, "engines.slots", "at least 1")?;
-        range(park.batch_limit > 0, "engines.batch_limit", "at least 1")?;
-        range(self.adapters.count > 0, "adapters.count", "at least 1")?;
-        range(
+        require(engines.slots > 0, "engines.slots", "at least 1")?;
+        require(engines.batch_limit > 0, "engines.batch_limit", "at least 1")?;
+        require(self.adapters.count > 0, "adapters.count", "at least 1")?;
+        require(
             self.adapters.organisations > 0,
             "adapters.organisations",
             "at least 1",
         )?;
-        range(
+        require(
             self.weight_store.loads_per_s > 0.0,
             "weight_store.loads_per_s",
             "above 0",
         )?;
-        range(
+        require(
             self.weight_store.at_once > 0,
             "weight_store.at_once",
             "at least 1",
@@ -209,10 +209,10 @@
             .disturbance
             .iter()
             .all(|disturbance| match disturbance {
-                Disturbance::Restart { engine, .. } => *engine < park.count,
+                Disturbance::Restart { engine, .. } => *engine < engines.count,
                 _ => true,
             });
-        range(
+        require(
             restarts_known,
             "disturbance.engine",
             "below the number of engines",
