--- a/crates/tinbay-cli/src/commands/experiment.rs
+++ b/crates/tinbay-cli/src/commands/experiment.rs
@@ -6,7 +6,7 @@
 
 use serde::Serialize;
 use tinbay_experiment::{
-    Bound, Measures, StrategyKind, Workload, mean_and_spread, run as run_strategy, work_out,
+    Bound, Measures, StrategyKind, Workload, compute_bound, mean_and_spread, run as run_strategy,
 };
 
 use crate::config_file::read_text;
@@ -79,7 +79,7 @@
         workload: workload.name.clone(),
         bounds: seeds
             .iter()
-            .map(|seed| work_out(&workload, *seed))
+            .map(|seed| compute_bound(&workload, *seed))
             .collect(),
         seeds: seeds.clone(),
         runs,
--- a/crates/tinbay-experiment/src/bound.rs
+++ b/crates/tinbay-experiment/src/bound.rs
@@ -24,7 +24,7 @@
 /// Systems Journal 1966). A load starts when its request arrives, is not delayed by the rate limit
 /// of the weight store and runs at full speed, so that a miss stalls for the duration of one load.
 /// No strategy that loads on demand stalls less.
-pub fn work_out(workload: &Workload, seed: u64) -> Bound {
+pub fn compute_bound(workload: &Workload, seed: u64) -> Bound {
     let arrivals = arrivals::generate(workload, seed);
     let urgent: Vec<(usize, usize)> = arrivals
         .iter()
--- a/crates/tinbay-experiment/src/lib.rs
+++ b/crates/tinbay-experiment/src/lib.rs
@@ -15,7 +15,7 @@
 mod weights;
 mod workload;
 
-pub use bound::{Bound, work_out};
+pub use bound::{Bound, compute_bound};
 pub use measures::{ClassMeasures, Measures, Quantiles, mean_and_spread};
 pub use run::run;
 pub use strategy::StrategyKind;
