--- a/crates/tinbay-cli/src/commands/experiment.rs
+++ b/crates/tinbay-cli/src/commands/experiment.rs
@@ -6,7 +6,7 @@
 
 use serde::Serialize;
 use tinbay_experiment::{
-    Bound, Measures, StrategyKind, Workload, compute_bound, mean_and_spread, run as run_strategy,
+    Bound, Measures, StrategyKind, Workload, compute_bound, mean_and_margin, run as run_strategy,
 };
 
 use crate::config_file::read_text;
@@ -137,8 +137,8 @@
         true => String::new(),
         false => format!(
             "; bound of the p99 stall {:.0}, of adapters found loaded {:.1}%",
-            mean_and_spread(&bounds).0,
-            100.0 * mean_and_spread(&hits).0
+            mean_and_margin(&bounds).0,
+            100.0 * mean_and_margin(&hits).0
         ),
     };
     println!("\nclass {class}{bound}");
@@ -180,6 +180,6 @@
 
 fn cell(runs: &[Measures], of: &dyn Fn(&Measures) -> f64, digits: usize) -> String {
     let values: Vec<f64> = runs.iter().map(of).collect();
-    let (mean, spread) = mean_and_spread(&values);
+    let (mean, spread) = mean_and_margin(&values);
     format!("{mean:.digits$} ±{spread:.digits$}")
 }
--- a/crates/tinbay-experiment/src/lib.rs
+++ b/crates/tinbay-experiment/src/lib.rs
@@ -16,7 +16,7 @@
 mod workload;
 
 pub use bound::{Bound, compute_bound};
-pub use measures::{ClassMeasures, Measures, Quantiles, mean_and_spread};
+pub use measures::{ClassMeasures, Measures, Quantiles, mean_and_margin};
 pub use run::run;
 pub use strategy::StrategyKind;
 pub use workload::{Workload, WorkloadError};
--- a/crates/tinbay-experiment/src/measures.rs
+++ b/crates/tinbay-experiment/src/measures.rs
@@ -126,7 +126,7 @@
 }
 
 /// Returns the mean and half the width of its 95% confidence interval (normal approximation).
-pub fn mean_and_spread(values: &[f64]) -> (f64, f64) {
+pub fn mean_and_margin(values: &[f64]) -> (f64, f64) {
     let count = values.len() as f64;
     if values.is_empty() {
         return (0.0, 0.0);
