--- a/crates/tinbay-cli/src/options.rs
+++ b/crates/tinbay-cli/src/options.rs
@@ -10,7 +10,7 @@
 use tinbay_core::config::{ConfigKey, Kind};
 use tinbay_core::ids::ModelRef;
 use tinbay_core::units::Millis;
-use tinbay_experiment::limits::LimitTerms;
+use tinbay_experiment::limits::SimulationParameters;
 use tinbay_standin::engine::EngineSettings;
 use tinbay_standin::weights::WeightSettings;
 use tinbay_standin::{Kind as StandinKind, StandinSettings};
@@ -181,7 +181,7 @@
 #[derive(Debug, Clone)]
 pub struct LimitsOptions {
     /// What is played.
-    pub terms: LimitTerms,
+    pub terms: SimulationParameters,
     /// File for the plot.
     pub plot: Option<String>,
 }
@@ -312,7 +312,7 @@
     };
     let part = |name, most| ranged(sub, name, 0.0, most, "give a number that is not below 0");
     Ok(Action::Limits(LimitsOptions {
-        terms: LimitTerms {
+        terms: SimulationParameters {
             boxes: ranged(sub, "boxes", 1, 100_000, "give 1 to 100000")?,
             accounts: ranged(sub, "accounts", 2, 1_000_000, "give 2 to 1000000")?,
             requests_per_s: ranged(sub, "requests-per-s", 1.0, 1e7, "give 1 to 10000000")?,
--- a/crates/tinbay-experiment/src/limits/demand.rs
+++ b/crates/tinbay-experiment/src/limits/demand.rs
@@ -5,7 +5,7 @@
 use rand_distr::{Distribution, Zipf};
 use tinbay_core::limits::terms::Limit;
 
-use super::{LIMIT_TO_USUAL_LOAD, LimitTerms, MIN_LIMIT_PER_S};
+use super::{LIMIT_TO_USUAL_LOAD, MIN_LIMIT_PER_S, SimulationParameters};
 
 /// Zipf exponent of the accounts' load: a few accounts are large.
 const SKEW: f64 = 1.0;
@@ -57,7 +57,7 @@
 }
 
 /// Computes the limits of all accounts.
-pub fn limits(terms: &LimitTerms) -> Vec<Limit> {
+pub fn limits(terms: &SimulationParameters) -> Vec<Limit> {
     let to_limit = |fraction: f64| {
         let usual_per_s = fraction * terms.requests_per_s * mean_units();
         let per_s = (LIMIT_TO_USUAL_LOAD * usual_per_s).max(MIN_LIMIT_PER_S);
@@ -77,7 +77,7 @@
     ///
     /// # Errors
     /// Returns an error if there are no accounts.
-    pub fn new(terms: &LimitTerms) -> Result<Self, rand_distr::ZipfError> {
+    pub fn new(terms: &SimulationParameters) -> Result<Self, rand_distr::ZipfError> {
         let hot_fraction = load_fractions(terms.accounts)[HOT_ACCOUNT.min(terms.accounts - 1)];
         let usual_per_ms = terms.requests_per_s / 1_000.0;
         Ok(Self {
--- a/crates/tinbay-experiment/src/limits/mod.rs
+++ b/crates/tinbay-experiment/src/limits/mod.rs
@@ -37,7 +37,7 @@
 
 /// Parameters of a simulation.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct LimitTerms {
+pub struct SimulationParameters {
     /// Number of boxes.
     pub boxes: usize,
     /// Number of client accounts.
--- a/crates/tinbay-experiment/src/limits/play.rs
+++ b/crates/tinbay-experiment/src/limits/play.rs
@@ -9,7 +9,8 @@
 use super::demand::{self, Demand, HOT_ACCOUNT, Request};
 use super::measures::{LimitMeasures, Second, Window, max_units_per_window, units_per_window};
 use super::{
-    LimitStrategy, LimitTerms, MESSAGE_BYTES, MESSAGE_DELAY_MS, OVERDRAFT_FRACTION, OVERSHOOT_UNITS,
+    LimitStrategy, MESSAGE_BYTES, MESSAGE_DELAY_MS, OVERDRAFT_FRACTION, OVERSHOOT_UNITS,
+    SimulationParameters,
 };
 
 /// A message between two boxes.
@@ -19,7 +20,7 @@
 }
 
 struct Simulation<'a> {
-    terms: &'a LimitTerms,
+    terms: &'a SimulationParameters,
     limits: Vec<Limit>,
     shares: Vec<HashMap<usize, LimitShare>>,
     homes: HashMap<usize, LimitHome>,
@@ -35,7 +36,7 @@
 /// # Errors
 /// Returns an error if there are no accounts.
 pub fn play(
-    terms: &LimitTerms,
+    terms: &SimulationParameters,
     strategy: LimitStrategy,
 ) -> Result<LimitMeasures, rand_distr::ZipfError> {
     let mut demand = Demand::new(terms)?;
@@ -55,7 +56,7 @@
 }
 
 impl<'a> Simulation<'a> {
-    fn new(terms: &'a LimitTerms) -> Self {
+    fn new(terms: &'a SimulationParameters) -> Self {
         let limits = demand::limits(terms);
         let measures = LimitMeasures {
             hot_limit_per_s: limits[HOT_ACCOUNT.min(limits.len() - 1)].per_s,
--- a/crates/tinbay-experiment/tests/limits_test.rs
+++ b/crates/tinbay-experiment/tests/limits_test.rs
@@ -1,9 +1,9 @@
 //! Simulated limits of client accounts in a fleet of many boxes.
 
-use tinbay_experiment::limits::{LimitStrategy, LimitTerms, play};
+use tinbay_experiment::limits::{LimitStrategy, SimulationParameters, play};
 
-fn terms() -> LimitTerms {
-    LimitTerms {
+fn terms() -> SimulationParameters {
+    SimulationParameters {
         boxes: 74,
         accounts: 16,
         requests_per_s: 1_100.0,
