--- a/crates/tinbay-cli/src/commands/limits.rs
+++ b/crates/tinbay-cli/src/commands/limits.rs
@@ -7,7 +7,7 @@
     BLACK, BLUE, ChartBuilder, IntoDrawingArea, LineSeries, RED, SVGBackend, WHITE,
 };
 use serde::Serialize;
-use tinbay_experiment::limits::{LimitMeasures, LimitStrategy, Second, play};
+use tinbay_experiment::limits::{LimitMeasures, LimitStrategy, Second, simulate};
 
 use crate::error::CliError;
 use crate::options::{CommonOptions, LimitsOptions};
@@ -32,7 +32,7 @@
 pub fn run(common: &CommonOptions, options: &LimitsOptions) -> Result<(), CliError> {
     let mut runs = Vec::new();
     for strategy in LimitStrategy::ALL {
-        let measures = play(&options.terms, strategy)?;
+        let measures = simulate(&options.terms, strategy)?;
         runs.push(Run { strategy, measures });
     }
     if common.json {
--- a/crates/tinbay-experiment/src/limits/mod.rs
+++ b/crates/tinbay-experiment/src/limits/mod.rs
@@ -10,7 +10,7 @@
 mod play;
 
 pub use measures::{LimitMeasures, Second};
-pub use play::play;
+pub use play::simulate;
 
 /// How limits are enforced.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, serde::Serialize)]
--- a/crates/tinbay-experiment/src/limits/play.rs
+++ b/crates/tinbay-experiment/src/limits/play.rs
@@ -35,7 +35,7 @@
 ///
 /// # Errors
 /// Returns an error if there are no accounts.
-pub fn play(
+pub fn simulate(
     terms: &SimulationParameters,
     strategy: LimitStrategy,
 ) -> Result<LimitMeasures, rand_distr::ZipfError> {
--- a/crates/tinbay-experiment/tests/limits_test.rs
+++ b/crates/tinbay-experiment/tests/limits_test.rs
@@ -1,6 +1,6 @@
 //! Simulated limits of client accounts in a fleet of many boxes.
 
-use tinbay_experiment::limits::{LimitStrategy, SimulationParameters, play};
+use tinbay_experiment::limits::{LimitStrategy, SimulationParameters, simulate};
 
 fn terms() -> SimulationParameters {
     SimulationParameters {
@@ -16,8 +16,8 @@
 
 #[test]
 fn play_same_seed_gives_the_same() {
-    let first = play(&terms(), LimitStrategy::Homes).expect("simulation runs");
-    let second = play(&terms(), LimitStrategy::Homes).expect("simulation runs");
+    let first = simulate(&terms(), LimitStrategy::Homes).expect("simulation runs");
+    let second = simulate(&terms(), LimitStrategy::Homes).expect("simulation runs");
     assert_eq!(first.refused, second.refused);
     assert!(first.requests > 30_000);
 }
@@ -26,7 +26,7 @@
 /// all requests are refused below the limit.
 #[test]
 fn play_homes_keep_limits_and_refuse_little_below_them() {
-    let measures = play(&terms(), LimitStrategy::Homes).expect("simulation runs");
+    let measures = simulate(&terms(), LimitStrategy::Homes).expect("simulation runs");
     assert_eq!(measures.accounts_over, 0);
     assert!(measures.refused > 1_000);
     let below = measures.refused_below as f64 / measures.requests as f64;
@@ -37,8 +37,8 @@
 /// distributed unevenly over the boxes.
 #[test]
 fn play_shares_refuse_below_the_limit() {
-    let shares = play(&terms(), LimitStrategy::Shares).expect("simulation runs");
-    let homes = play(&terms(), LimitStrategy::Homes).expect("simulation runs");
+    let shares = simulate(&terms(), LimitStrategy::Shares).expect("simulation runs");
+    let homes = simulate(&terms(), LimitStrategy::Homes).expect("simulation runs");
     assert!(shares.refused_below > 2 * homes.refused_below);
     assert_eq!(shares.messages_per_s, 0.0);
 }
