--- a/crates/tinbay-cli/src/options.rs
+++ b/crates/tinbay-cli/src/options.rs
@@ -12,7 +12,7 @@
 use tinbay_core::units::Millis;
 use tinbay_experiment::limits::SimulationParameters;
 use tinbay_standin::engine::EngineSettings;
-use tinbay_standin::weights::WeightSettings;
+use tinbay_standin::weights::WeightStoreSettings;
 use tinbay_standin::{Kind as StandinKind, StandinSettings};
 
 use crate::error::CliError;
@@ -393,7 +393,7 @@
                 load_ms,
                 weight_store: text(matches, "weight-store"),
             },
-            weights: WeightSettings {
+            weights: WeightStoreSettings {
                 loads_per_s: ranged(
                     matches,
                     "loads-per-s",
--- a/crates/tinbay-standin/src/lib.rs
+++ b/crates/tinbay-standin/src/lib.rs
@@ -60,7 +60,7 @@
     /// Settings of an engine.
     pub engine: engine::EngineSettings,
     /// Settings of the weight store.
-    pub weights: weights::WeightSettings,
+    pub weights: weights::WeightStoreSettings,
 }
 
 /// Starts a stand-in on a listener.
--- a/crates/tinbay-standin/src/weights.rs
+++ b/crates/tinbay-standin/src/weights.rs
@@ -15,7 +15,7 @@
 
 /// Capacity of the store.
 #[derive(Debug, Clone)]
-pub struct WeightSettings {
+pub struct WeightStoreSettings {
     /// Fetches that may start per second.
     pub loads_per_s: f64,
     /// Maximum number of concurrent fetches at which each runs at full speed.
@@ -24,7 +24,7 @@
     pub load_ms: u64,
 }
 
-impl Default for WeightSettings {
+impl Default for WeightStoreSettings {
     fn default() -> Self {
         Self {
             loads_per_s: 9.0,
@@ -51,7 +51,7 @@
 }
 
 struct Weights {
-    settings: WeightSettings,
+    settings: WeightStoreSettings,
     state: Mutex<StoreState>,
 }
 
@@ -90,7 +90,7 @@
 ///
 /// # Errors
 /// Returns an error if the server can't start.
-pub fn start(listener: TcpListener, settings: WeightSettings) -> io::Result<ServerHandle> {
+pub fn start(listener: TcpListener, settings: WeightStoreSettings) -> io::Result<ServerHandle> {
     let weights = Arc::new(Weights {
         settings,
         state: Mutex::new(StoreState {
