--- a/crates/tinbay-cli/src/commands/experiment.rs
+++ b/crates/tinbay-cli/src/commands/experiment.rs
@@ -6,7 +6,7 @@
 
 use serde::Serialize;
 use tinbay_experiment::{
-    Bound, Measures, StrategyKind, Workload, mean_and_spread, run as run_strategy, work_out,
+    Bound, Measures, StrategyKind, Workload, compute_bound, mean_and_margin, run as run_strategy,
 };
 
 use crate::config_file::read_text;
@@ -79,7 +79,7 @@
         workload: workload.name.clone(),
         bounds: seeds
             .iter()
-            .map(|seed| work_out(&workload, *seed))
+            .map(|seed| compute_bound(&workload, *seed))
             .collect(),
         seeds: seeds.clone(),
         runs,
@@ -137,8 +137,8 @@
         true => String::new(),
         false => format!(
             "; bound of the p99 stall {:.0}, of requests with the adapter loaded {:.1}%",
-            mean_and_spread(&stall_bounds).0,
-            100.0 * mean_and_spread(&hit_share_bounds).0
+            mean_and_margin(&stall_bounds).0,
+            100.0 * mean_and_margin(&hit_share_bounds).0
         ),
     };
     println!("\nclass {class}{bound}");
@@ -181,6 +181,6 @@
 /// Formats the mean of a value over runs, with its confidence interval.
 fn cell(runs: &[Measures], value: &dyn Fn(&Measures) -> f64, digits: usize) -> String {
     let values: Vec<f64> = runs.iter().map(value).collect();
-    let (mean, spread) = mean_and_spread(&values);
+    let (mean, spread) = mean_and_margin(&values);
     format!("{mean:.digits$} ±{spread:.digits$}")
 }
--- a/crates/tinbay-cli/src/options.rs
+++ b/crates/tinbay-cli/src/options.rs
@@ -10,9 +10,9 @@
 use tinbay_core::config::{ConfigKey, Kind};
 use tinbay_core::ids::ModelRef;
 use tinbay_core::units::Millis;
-use tinbay_experiment::limits::LimitTerms;
+use tinbay_experiment::limits::SimulationParameters;
 use tinbay_standin::engine::EngineSettings;
-use tinbay_standin::weights::WeightSettings;
+use tinbay_standin::weights::WeightStoreSettings;
 use tinbay_standin::{Kind as StandinKind, StandinSettings};
 
 use crate::error::CliError;
@@ -181,7 +181,7 @@
 #[derive(Debug, Clone)]
 pub struct LimitsOptions {
     /// Parameters of the simulation.
-    pub terms: LimitTerms,
+    pub terms: SimulationParameters,
     /// SVG file for the plot; none is drawn if not given.
     pub plot: Option<String>,
 }
@@ -312,7 +312,7 @@
     };
     let factor = |name, max| ranged(sub, name, 0.0, max, "give a number that is not below 0");
     Ok(Action::Limits(LimitsOptions {
-        terms: LimitTerms {
+        terms: SimulationParameters {
             boxes: ranged(sub, "boxes", 1, 100_000, "give 1 to 100000")?,
             accounts: ranged(sub, "accounts", 2, 1_000_000, "give 2 to 1000000")?,
             requests_per_s: ranged(sub, "requests-per-s", 1.0, 1e7, "give 1 to 10000000")?,
@@ -393,7 +393,7 @@
                 load_ms,
                 weight_store: text(matches, "weight-store"),
             },
-            weights: WeightSettings {
+            weights: WeightStoreSettings {
                 loads_per_s: ranged(
                     matches,
                     "loads-per-s",
--- a/crates/tinbay-experiment/src/workload.rs
+++ b/crates/tinbay-experiment/src/workload.rs
@@ -5,7 +5,7 @@
 use tinbay_core::policy::{Policy, PolicyError};
 use tinbay_core::units::Millis;
 
-/// Why a workload cannot be run.
+/// Why a workload can't be run.
 #[derive(Debug, thiserror::Error)]
 pub enum WorkloadError {
     /// The file is malformed.
@@ -17,79 +17,79 @@
     /// A value is out of range.
     #[error("{field} must be {allowed}")]
     Range {
-        /// The field.
+        /// Path of the field.
         field: &'static str,
-        /// What it may be.
+        /// Allowed values.
         allowed: &'static str,
     },
 }
 
-/// A workload as its file has it.
+/// Contents of a workload file.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Workload {
     /// Its name.
     pub name: String,
-    /// How long it runs, in virtual time.
+    /// Duration in virtual time.
     pub length_s: u64,
     /// Seeds for development.
     pub seeds: Vec<u64>,
-    /// Seeds kept aside for judging.
+    /// Seeds reserved for the final evaluation.
     pub judging_seeds: Vec<u64>,
     /// The engines.
-    pub engines: EnginePark,
+    pub engines: EngineConfig,
     /// The weight store.
-    pub weight_store: WeightStorePlan,
+    pub weight_store: WeightStoreConfig,
     /// The adapters.
-    pub adapters: AdapterPlan,
-    /// The traffic, a stream of requests each.
+    pub adapters: AdapterConfig,
+    /// The streams of requests.
     pub traffic: Vec<Traffic>,
-    /// What disturbs it.
+    /// Disturbances during the run.
     #[serde(default)]
     pub disturbance: Vec<Disturbance>,
 }
 
-/// The engines of a workload, all alike.
+/// The engines of a workload, all of the same kind.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct EnginePark {
-    /// How many.
+pub struct EngineConfig {
+    /// Number of engines.
     pub count: usize,
-    /// Base models, engines dealt out to them in turn.
+    /// Number of base models, assigned to the engines in turn.
     pub base_models: usize,
-    /// Adapters each holds at once.
+    /// Number of adapters that an engine can hold at once.
     pub slots: u32,
-    /// Requests each batches at once.
+    /// Number of requests that an engine runs in one batch.
     pub batch_limit: u32,
     /// Time before the first token.
     pub prefill_ms: f64,
-    /// Time between tokens of a request that runs alone.
+    /// Time per token of a request that runs alone.
     pub token_ms: f64,
-    /// Share by which each further request in the batch slows the others' tokens.
+    /// Fraction by which each further request in the batch increases the time per token.
     pub crowding: f64,
 }
 
 /// The weight store of a workload.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct WeightStorePlan {
-    /// Loads that may begin in a second.
+pub struct WeightStoreConfig {
+    /// Loads that may start per second.
     pub loads_per_s: f64,
-    /// Loads at once at full speed.
+    /// Maximum number of concurrent loads at which each runs at full speed.
     pub at_once: u32,
-    /// Time of a load at full speed.
+    /// Duration of a load at full speed.
     pub load_ms: Millis,
 }
 
 /// The adapters of a workload.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct AdapterPlan {
-    /// How many, dealt out to the base models in turn.
+pub struct AdapterConfig {
+    /// Number of adapters, assigned to the base models in turn.
     pub count: usize,
     /// Zipf exponent of their popularity.
     pub skew: f64,
-    /// Organisations that own them, in turn.
+    /// Number of organisations, to which the adapters are assigned in turn.
     pub organisations: usize,
 }
 
@@ -97,57 +97,57 @@
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Traffic {
-    /// Name of the class.
+    /// Name of the priority class.
     pub class: String,
-    /// 0 goes first.
+    /// Priority; 0 goes first.
     pub rank: u8,
-    /// Counter or desk traffic.
+    /// Whether a person waits for the answer, as opposed to batch work.
     #[serde(default)]
     pub urgent: bool,
-    /// How long a request may wait before it starts.
+    /// Maximum wait before a request starts.
     pub max_wait_ms: Millis,
-    /// Requests a second.
+    /// Requests per second.
     pub rate_per_s: f64,
-    /// Length of the prompt.
+    /// Length of the prompt in bytes.
     pub prompt_bytes: usize,
-    /// Tokens of an answer.
+    /// Number of tokens of an answer.
     pub tokens: u32,
 }
 
-/// Something that disturbs a workload.
+/// A disturbance of a workload.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(tag = "kind", rename_all = "snake_case", deny_unknown_fields)]
 pub enum Disturbance {
-    /// A class comes at a multiple of its rate.
+    /// The rate of a class is multiplied.
     Flood {
-        /// When it begins.
+        /// Start time.
         at_s: u64,
-        /// How long it lasts.
+        /// Duration.
         for_s: u64,
-        /// The class.
+        /// Name of the class.
         class: String,
-        /// The multiple.
+        /// Factor of the rate.
         factor: f64,
     },
-    /// The popularity moves: yesterday's cold adapters are asked for.
+    /// The popularity moves to adapters that were rarely requested before.
     Shift {
-        /// When.
+        /// Time of the change.
         at_s: u64,
     },
-    /// An engine restarts empty.
+    /// An engine restarts without adapters and requests.
     Restart {
-        /// When.
+        /// Time of the restart.
         at_s: u64,
-        /// Its number.
+        /// Index of the engine.
         engine: usize,
     },
 }
 
 impl Workload {
-    /// Reads a workload file's text.
+    /// Parses the text of a workload file.
     ///
     /// # Errors
-    /// [`WorkloadError`].
+    /// Returns [`WorkloadError`] if the text is malformed or a value out of range.
     pub fn parse(text: &str) -> Result<Self, WorkloadError> {
         let workload: Self = toml::from_str(text)?;
         workload.check()?;
@@ -157,12 +157,12 @@
     /// Compiles the policy that goes with a workload.
     ///
     /// # Errors
-    /// [`WorkloadError::Policy`].
+    /// Returns [`WorkloadError::Policy`].
     pub fn compile_policy(text: &str) -> Result<Policy, WorkloadError> {
         Ok(Policy::compile(text)?)
     }
 
-    /// What the weight store allows.
+    /// The load allowance of the weight store.
     pub fn allowance(&self) -> Allowance {
         Allowance {
             loads_per_s: self.weight_store.loads_per_s,
@@ -170,37 +170,37 @@
         }
     }
 
-    /// How long it runs.
+    /// Duration in virtual time.
     pub fn length_ms(&self) -> Millis {
         self.length_s * 1_000
     }
 
     fn check(&self) -> Result<(), WorkloadError> {
-        let range = |holds: bool, field, allowed| match holds {
+        let require = |valid: bool, field, allowed| match valid {
             true => Ok(()),
             false => Err(WorkloadError::Range { field, allowed }),
         };
-        let park = &self.engines;
-        range(park.count > 0, "engines.count", "at least 1")?;
-        range(
-            (1..=park.count).contains(&park.base_models),
+        let engines = &self.engines;
+        require(engines.count > 0, "engines.count", "at least 1")?;
+        require(
+            (1..=engines.count).contains(&engines.base_models),
             "engines.base_models",
             "1 to the number of engines",
         )?;
-        range(park.slots > 0, "engines.slots", "at least 1")?;
-        range(park.batch_limit > 0, "engines.batch_limit", "at least 1")?;
-        range(self.adapters.count > 0, "adapters.count", "at least 1")?;
-        range(
+        require(engines.slots > 0, "engines.slots", "at least 1")?;
+        require(engines.batch_limit > 0, "engines.batch_limit", "at least 1")?;
+        require(self.adapters.count > 0, "adapters.count", "at least 1")?;
+        require(
             self.adapters.organisations > 0,
             "adapters.organisations",
             "at least 1",
         )?;
-        range(
+        require(
             self.weight_store.loads_per_s > 0.0,
             "weight_store.loads_per_s",
             "above 0",
         )?;
-        range(
+        require(
             self.weight_store.at_once > 0,
             "weight_store.at_once",
             "at least 1",
@@ -209,10 +209,10 @@
             .disturbance
             .iter()
             .all(|disturbance| match disturbance {
-                Disturbance::Restart { engine, .. } => *engine < park.count,
+                Disturbance::Restart { engine, .. } => *engine < engines.count,
                 _ => true,
             });
-        range(
+        require(
             restarts_known,
             "disturbance.engine",
             "below the number of engines",
--- a/crates/tinbay-standin/src/kv/store.rs
+++ b/crates/tinbay-standin/src/kv/store.rs
@@ -1,4 +1,4 @@
-//! The pairs, revisions, leases and watchers of the key-value stand-in.
+//! Key-value pairs, revisions, leases and watches of the key-value stand-in.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::time::{Duration, Instant};
@@ -9,12 +9,12 @@
 };
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 
-/// Changes kept for watchers that start in the past.
-const KEPT_CHANGES: usize = 50_000;
+/// Number of changes kept for watches that start at an earlier revision.
+const MAX_HISTORY: usize = 50_000;
 
 struct Lease {
     ttl: Duration,
-    lapses: Instant,
+    expires_at: Instant,
 }
 
 struct Watcher {
@@ -22,20 +22,20 @@
     sender: UnboundedSender<WatchResponse>,
 }
 
-/// Everything the stand-in holds, in memory.
+/// The in-memory state of the stand-in.
 #[derive(Default)]
 pub struct KvStore {
     revision: i64,
     pairs: BTreeMap<Bytes, KeyValue>,
     changes: VecDeque<WatchEvent>,
-    compacted: i64,
+    compacted_revision: i64,
     leases: HashMap<i64, Lease>,
     last_lease: i64,
     watchers: Vec<Watcher>,
 }
 
 impl KvStore {
-    /// Answers a range.
+    /// Returns the pairs of a range.
     pub fn range(&self, request: &RangeRequest) -> RangeResponse {
         let limit = match request.limit.0 {
             0 => usize::MAX,
@@ -54,15 +54,18 @@
         }
     }
 
-    /// Carries out a transaction; its writes share one revision.
+    /// Runs a transaction. All its writes get the same revision.
     pub fn txn(&mut self, request: &TxnRequest) -> TxnResponse {
-        let succeeded = request.compare.iter().all(|compare| self.holds(compare));
+        let succeeded = request
+            .compare
+            .iter()
+            .all(|compare| self.is_satisfied(compare));
         if succeeded && !request.success.is_empty() {
             self.revision += 1;
             let events = request
                 .success
                 .iter()
-                .filter_map(|op| self.carry_out(op))
+                .filter_map(|op| self.apply(op))
                 .collect();
             self.publish(events);
         }
@@ -72,67 +75,68 @@
         }
     }
 
-    /// Begins a lease.
+    /// Grants a lease and returns its id.
     pub fn grant_lease(&mut self, ttl_s: i64) -> i64 {
         self.last_lease += 1;
         let ttl = Duration::from_secs(ttl_s.max(1).unsigned_abs());
-        let lapses = Instant::now() + ttl;
-        self.leases.insert(self.last_lease, Lease { ttl, lapses });
+        let expires_at = Instant::now() + ttl;
+        self.leases
+            .insert(self.last_lease, Lease { ttl, expires_at });
         self.last_lease
     }
 
-    /// Renews a lease; 0 when it has lapsed.
-    pub fn keep_lease(&mut self, id: i64) -> i64 {
+    /// Renews a lease and returns its TTL in seconds, 0 if it has expired.
+    pub fn renew_lease(&mut self, id: i64) -> i64 {
         self.expire_leases();
         let Some(lease) = self.leases.get_mut(&id) else {
             return 0;
         };
-        lease.lapses = Instant::now() + lease.ttl;
+        lease.expires_at = Instant::now() + lease.ttl;
         lease.ttl.as_secs().cast_signed()
     }
 
-    /// Ends a lease and deletes what hangs on it.
+    /// Ends a lease and deletes the pairs attached to it.
     pub fn revoke_lease(&mut self, id: i64) {
         if self.leases.remove(&id).is_none() {
             return;
         }
-        let hanging: Vec<Bytes> = self
+        let attached: Vec<Bytes> = self
             .pairs
             .values()
             .filter(|pair| pair.lease.0 == id)
             .map(|pair| pair.key.clone())
             .collect();
-        if hanging.is_empty() {
+        if attached.is_empty() {
             return;
         }
         self.revision += 1;
-        let events = hanging.iter().filter_map(|key| self.delete(key)).collect();
+        let events = attached.iter().filter_map(|key| self.delete(key)).collect();
         self.publish(events);
     }
 
-    /// Ends the leases that have lapsed.
+    /// Ends all expired leases.
     pub fn expire_leases(&mut self) {
         let now = Instant::now();
-        let lapsed: Vec<i64> = self
+        let expired: Vec<i64> = self
             .leases
             .iter()
-            .filter(|(_, lease)| lease.lapses <= now)
+            .filter(|(_, lease)| lease.expires_at <= now)
             .map(|(id, _)| *id)
             .collect();
-        for id in lapsed {
+        for id in expired {
             self.revoke_lease(id);
         }
     }
 
-    /// Begins a watch: first the kept changes since its start, then each new one.
+    /// Opens a watch, which receives the kept changes since its start revision, then each new one.
     pub fn watch(&mut self, create: &WatchCreate) -> UnboundedReceiver<WatchResponse> {
         let (sender, receiver) = unbounded_channel();
         let start = create.start_revision.0;
-        if start > 0 && start <= self.compacted {
+        if start > 0 && start <= self.compacted_revision {
             let _ = sender.send(WatchResponse {
                 header: self.header(),
                 canceled: true,
-                compact_revision: Int64(self.compacted),
+                compact_revision: Int64(self.compacted_revision),
                 events: Vec::new(),
             });
             return receiver;
@@ -152,8 +156,8 @@
         receiver
     }
 
-    /// Ends every watch.
-    pub fn cut_watchers(&mut self) {
+    /// Ends all watches.
+    pub fn close_watches(&mut self) {
         self.watchers.clear();
     }
 
@@ -171,7 +175,7 @@
         }
     }
 
-    fn holds(&self, compare: &Compare) -> bool {
+    fn is_satisfied(&self, compare: &Compare) -> bool {
         let current = self
             .pairs
             .get(&compare.key)
@@ -179,7 +183,7 @@
         current == compare.mod_revision.0
     }
 
-    fn carry_out(&mut self, op: &RequestOp) -> Option<WatchEvent> {
+    fn apply(&mut self, op: &RequestOp) -> Option<WatchEvent> {
         match op {
             RequestOp::Put(put) => Some(self.put(put)),
             RequestOp::Delete(delete) => self.delete(&delete.key),
@@ -219,31 +223,32 @@
         let header = self.header();
         self.watchers.retain(|watcher| {
             let create = &watcher.create;
-            let wanted: Vec<WatchEvent> = events
+            let matching: Vec<WatchEvent> = events
                 .iter()
                 .filter(|event| in_range(&event.kv.key, &create.key, &create.range_end))
                 .cloned()
                 .collect();
-            if wanted.is_empty() {
+            if matching.is_empty() {
                 return !watcher.sender.is_closed();
             }
             let response = WatchResponse {
                 header,
-                events: wanted,
+                events: matching,
                 ..WatchResponse::default()
             };
             watcher.sender.send(response).is_ok()
         });
         self.changes.extend(events);
-        while self.changes.len() > KEPT_CHANGES {
+        while self.changes.len() > MAX_HISTORY {
             if let Some(oldest) = self.changes.pop_front() {
-                self.compacted = oldest.kv.mod_revision.0;
+                self.compacted_revision = oldest.kv.mod_revision.0;
             }
         }
     }
 }
 
-/// An empty end means the one key; a zero byte means all keys from the first on.
+/// As in etcd, an empty `end` selects the single key `first`, and an `end` of one zero byte all
+/// keys from `first` on.
 fn in_range(key: &Bytes, first: &Bytes, end: &Bytes) -> bool {
     if end.0.is_empty() {
         return key == first;
--- a/crates/tinbay-standin/src/service.rs
+++ b/crates/tinbay-standin/src/service.rs
@@ -1,4 +1,4 @@
-//! Stand-in for a plain service; it counts how often each call ran.
+//! Stand-in for a plain service. It counts how often each call ran.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -18,51 +18,51 @@
 
 use crate::reply;
 
-/// Longest call body taken.
-const MAX_CALL_BYTES: usize = 1024 * 1024;
+/// Largest accepted request body.
+const MAX_BODY_BYTES: usize = 1024 * 1024;
 
-/// How long a hanging call hangs at most.
-const HANG: Duration = Duration::from_secs(60);
+/// How long the response of a call is withheld when its reply is lost.
+const MAX_HANG: Duration = Duration::from_secs(60);
 
 /// Body of `POST /control/faults`.
 #[derive(Debug, Clone, Copy, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct ServiceFaults {
-    /// Added to every call before it runs.
+    /// Delay of every call before it runs.
     pub delay_ms: u64,
-    /// So many of the next calls run and never answer.
+    /// Number of next calls that run without a timely response.
     pub lose_replies: u32,
-    /// So many of the next calls are refused before they run.
+    /// Number of next calls that are refused before they run.
     pub refuse: u32,
-    /// Share of the calls that run and never answer.
+    /// Fraction of calls that run without a timely response.
     pub lose_share: f64,
-    /// Share of the calls that are refused before they run.
+    /// Fraction of calls that are refused before they run.
     pub refuse_share: f64,
-    /// Share of the calls that run late, after `late_ms`.
+    /// Fraction of calls that run only after `late_ms`.
     pub late_share: f64,
-    /// How late.
+    /// Delay of those calls.
     pub late_ms: u64,
-    /// Seed of the shares' draws.
+    /// Seed for the selection of calls by these fractions.
     pub seed: u64,
 }
 
-/// What becomes of one call.
+/// How one call is handled.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Fate {
+enum Outcome {
     Answer,
     Refuse,
-    Lose,
-    Late,
+    LoseReply,
+    Delay,
 }
 
-/// Answer of a call.
+/// Response to a call.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceAnswer {
-    /// The call's name, as the caller's request id has it.
+    /// Request key of the call, or its request id if it has none.
     pub call: String,
-    /// How often it has run, this time included.
+    /// How often the call has run, including this time.
     pub runs: u32,
-    /// The body that came.
+    /// The request body.
     pub echo: String,
 }
 
@@ -74,28 +74,28 @@
 }
 
 impl Service {
-    /// Draws what becomes of the next call: the counted faults first, then the shares.
-    fn draw(&self) -> Fate {
+    /// Selects the outcome of the next call: counted faults apply first, then the fractions.
+    fn next_outcome(&self) -> Outcome {
         let mut faults = self.faults();
         if faults.refuse > 0 {
             faults.refuse -= 1;
-            return Fate::Refuse;
+            return Outcome::Refuse;
         }
         if faults.lose_replies > 0 {
             faults.lose_replies -= 1;
-            return Fate::Lose;
+            return Outcome::LoseReply;
         }
         let number = self.calls.fetch_add(1, Ordering::Relaxed);
         let hash = xxh3_64_with_seed(&number.to_be_bytes(), faults.seed);
-        let point = hash as f64 / u64::MAX as f64;
-        if point < faults.lose_share {
-            Fate::Lose
-        } else if point < faults.lose_share + faults.refuse_share {
-            Fate::Refuse
-        } else if point < faults.lose_share + faults.refuse_share + faults.late_share {
-            Fate::Late
+        let sample = hash as f64 / u64::MAX as f64;
+        if sample < faults.lose_share {
+            Outcome::LoseReply
+        } else if sample < faults.lose_share + faults.refuse_share {
+            Outcome::Refuse
+        } else if sample < faults.lose_share + faults.refuse_share + faults.late_share {
+            Outcome::Delay
         } else {
-            Fate::Answer
+            Outcome::Answer
         }
     }
 
@@ -111,7 +111,7 @@
 /// Starts the stand-in.
 ///
 /// # Errors
-/// When the server cannot start.
+/// Returns an error if the server can't start.
 pub fn start(listener: TcpListener) -> io::Result<ServerHandle> {
     let service = Arc::new(Service::default());
     start_server("service", listener, 1, move |app| {
@@ -127,30 +127,30 @@
     request: HttpRequest,
     payload: Payload,
 ) -> HttpResponse {
-    let Ok(body) = read_body(payload.into_inner(), MAX_CALL_BYTES).await else {
+    let Ok(body) = read_body(payload.into_inner(), MAX_BODY_BYTES).await else {
         return HttpResponse::BadRequest().finish();
     };
     let faults = *service.faults();
-    let fate = service.draw();
-    if fate == Fate::Refuse {
+    let outcome = service.next_outcome();
+    if outcome == Outcome::Refuse {
         return HttpResponse::build(StatusCode::SERVICE_UNAVAILABLE)
             .header(headers::NOT_RUN, "true")
             .finish();
     }
-    let delay_ms = match fate {
-        Fate::Late => faults.late_ms,
+    let delay_ms = match outcome {
+        Outcome::Delay => faults.late_ms,
         _ => faults.delay_ms,
     };
     tokio::time::sleep(Duration::from_millis(delay_ms)).await;
-    let name = call_name(&request);
+    let name = call_id(&request);
     let runs = {
         let mut runs = service.runs();
         let count = runs.entry(name.clone()).or_default();
         *count += 1;
         *count
     };
-    if fate == Fate::Lose {
-        tokio::time::sleep(HANG).await;
+    if outcome == Outcome::LoseReply {
+        tokio::time::sleep(MAX_HANG).await;
     }
     reply::json(&ServiceAnswer {
         call: name,
@@ -159,8 +159,8 @@
     })
 }
 
-/// The caller's key where there is one, else the request id.
-fn call_name(request: &HttpRequest) -> String {
+/// The caller's request key if present, otherwise the request id.
+fn call_id(request: &HttpRequest) -> String {
     let header = |name: &str| {
         let value = request.headers().get(name)?;
         value.to_str().ok().map(str::to_owned)
@@ -171,7 +171,7 @@
 }
 
 async fn set_faults(service: State<Arc<Service>>, payload: Payload) -> HttpResponse {
-    match reply::body::<ServiceFaults>(payload).await {
+    match reply::parse_body::<ServiceFaults>(payload).await {
         Ok(faults) => {
             *service.faults() = faults;
             reply::json(&faults)
--- a/crates/tinbay-standin/src/weights.rs
+++ b/crates/tinbay-standin/src/weights.rs
@@ -1,4 +1,5 @@
-//! Stand-in for the weight store: so many loads a second, and slower beyond so many at once.
+//! Stand-in for the weight store: fetches are limited in rate, and slow down beyond a number of
+//! concurrent ones.
 
 use std::io;
 use std::net::TcpListener;
@@ -12,18 +13,18 @@
 
 use crate::reply;
 
-/// What the store allows.
+/// Capacity of the store.
 #[derive(Debug, Clone)]
-pub struct WeightSettings {
-    /// Fetches that may begin in a second.
+pub struct WeightStoreSettings {
+    /// Fetches that may start per second.
     pub loads_per_s: f64,
-    /// Fetches at once at full speed.
+    /// Maximum number of concurrent fetches at which each runs at full speed.
     pub at_once: u32,
-    /// Time of a fetch at full speed.
+    /// Duration of a fetch at full speed.
     pub load_ms: u64,
 }
 
-impl Default for WeightSettings {
+impl Default for WeightStoreSettings {
     fn default() -> Self {
         Self {
             loads_per_s: 9.0,
@@ -36,50 +37,50 @@
 /// Body of `POST /v1/fetch`.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct FetchRequest {
-    /// Where the weights are.
+    /// Location of the weights.
     pub path: String,
 }
 
-/// Answer of `GET /control/fetches`.
+/// Response of `GET /control/fetches`.
 #[derive(Debug, Clone, Copy, Default, Serialize, Deserialize)]
 pub struct FetchCounts {
-    /// Fetches begun.
+    /// Fetches started.
     pub begun: u64,
-    /// Most fetches at once.
+    /// Maximum number of concurrent fetches so far.
     pub most_at_once: u32,
 }
 
 struct Weights {
-    settings: WeightSettings,
-    state: Mutex<WeightState>,
+    settings: WeightStoreSettings,
+    state: Mutex<StoreState>,
 }
 
-struct WeightState {
+struct StoreState {
     next_start: Instant,
     active: u32,
     counts: FetchCounts,
 }
 
 impl Weights {
-    /// Books the next start the rate allows.
-    fn book(&self) -> Instant {
+    /// Reserves the next start time that the rate allows.
+    fn reserve_start(&self) -> Instant {
         let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
         let start = state.next_start.max(Instant::now());
         state.next_start = start + Duration::from_secs_f64(1.0 / self.settings.loads_per_s);
         start
     }
 
-    /// Begins a fetch and says how long it takes with those that run already.
-    fn begin(&self) -> Duration {
+    /// Starts a fetch; returns its duration, given the fetches that already run.
+    fn start_fetch(&self) -> Duration {
         let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
         state.active += 1;
         state.counts.begun += 1;
         state.counts.most_at_once = state.counts.most_at_once.max(state.active);
-        let crowd = f64::from(state.active) / f64::from(self.settings.at_once);
-        Duration::from_millis(self.settings.load_ms).mul_f64(crowd.max(1.0))
+        let slowdown = f64::from(state.active) / f64::from(self.settings.at_once);
+        Duration::from_millis(self.settings.load_ms).mul_f64(slowdown.max(1.0))
     }
 
-    fn end(&self) {
+    fn end_fetch(&self) {
         let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
         state.active -= 1;
     }
@@ -88,11 +89,11 @@
 /// Starts the stand-in.
 ///
 /// # Errors
-/// When the server cannot start.
-pub fn start(listener: TcpListener, settings: WeightSettings) -> io::Result<ServerHandle> {
+/// Returns an error if the server can't start.
+pub fn start(listener: TcpListener, settings: WeightStoreSettings) -> io::Result<ServerHandle> {
     let weights = Arc::new(Weights {
         settings,
-        state: Mutex::new(WeightState {
+        state: Mutex::new(StoreState {
             next_start: Instant::now(),
             active: 0,
             counts: FetchCounts::default(),
@@ -106,14 +107,14 @@
 }
 
 async fn fetch(weights: State<Arc<Weights>>, payload: Payload) -> HttpResponse {
-    let request: FetchRequest = match reply::body(payload).await {
+    let request: FetchRequest = match reply::parse_body(payload).await {
         Ok(request) => request,
         Err(answer) => return answer,
     };
-    tokio::time::sleep_until(weights.book().into()).await;
-    let takes = weights.begin();
-    tokio::time::sleep(takes).await;
-    weights.end();
+    tokio::time::sleep_until(weights.reserve_start().into()).await;
+    let duration = weights.start_fetch();
+    tokio::time::sleep(duration).await;
+    weights.end_fetch();
     reply::json(&request)
 }
 
