--- a/crates/tinbay-gateway/src/orders/claiming.rs
+++ b/crates/tinbay-gateway/src/orders/claiming.rs
@@ -1,4 +1,5 @@
-//! Claims servers that no box holds.
+//! Claims backend servers that no box holds, so that one box, the holder, sends load and unload
+//! orders to each of them.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -28,7 +29,8 @@
 /// Time after startup without new claims, so that boxes can learn of each other first.
 const STARTUP_GRACE_MS: Millis = 1_200;
 
-/// Delay per rank, so that a better-placed box claims a free server first.
+/// Delay of a claim per box that ranks before this one, so that the best-placed box claims a free
+/// server first.
 const RANK_DELAY_MS: Millis = 900;
 
 #[derive(Serialize)]
@@ -103,8 +105,8 @@
     }
 }
 
-/// Whether this box has to write its claim on the server again. This is so if the store returned
-/// from an outage with a new era and the box still holds the server by a proof from before.
+/// Whether this box has to write its claim on the server again: the store was restored and is in a
+/// new era, and this box still holds the server by a membership proof from the earlier era.
 fn needs_renewal(node: &Node, server: &Server) -> bool {
     let own_id = &node.settings.borrow().box_id;
     let claims = node.claims.borrow();
@@ -165,8 +167,9 @@
         && !claim.value.is_released
         && claim.validity == ClaimValidity::Current
     {
-        let holder = format!("{MEMBER_PREFIX}{}", claim.value.holder);
-        expected.push((holder, Position::missing(stored.era)));
+        // A claim that was not released may be taken only while its holder has no entry.
+        let holder_entry = format!("{MEMBER_PREFIX}{}", claim.value.holder);
+        expected.push((holder_entry, Position::missing(stored.era)));
     }
     let value = encode(&own_id, false, stored.era);
     let transaction = Transaction {
--- a/crates/tinbay-gateway/src/orders/era_mark.rs
+++ b/crates/tinbay-gateway/src/orders/era_mark.rs
@@ -1,4 +1,5 @@
-//! Marker in the store which says that all proofs from earlier eras have expired.
+//! Marker in the store which says that all membership proofs from earlier eras have expired. The
+//! current era is then called settled.
 //!
 //! An era ends when the store is restored from a backup. A starting box can't know when that
 //! happened. Without the marker it would wait for the lifetime of a proof at each start before it
@@ -19,7 +20,7 @@
 /// Value of the marker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 struct Mark {
-    /// Era in which all proofs from earlier eras have expired.
+    /// The settled era.
     era: Era,
 }
 
@@ -27,22 +28,21 @@
 pub fn take(node: &Node, item: &Item) {
     if let Ok(mark) = serde_json::from_slice::<Mark>(&item.value) {
         node.claims.borrow_mut().note_settled(mark.era);
-        note_complete(node);
+        mark_replica_complete(node);
     }
 }
 
 /// Marks the replica as complete once the era is settled, as nothing from an earlier era can be
 /// missing then. Without this a starting box would refuse all keys until its next read of the
 /// configuration, which can take 2 s.
-fn note_complete(node: &Node) {
+fn mark_replica_complete(node: &Node) {
     if node.unsettled_era().is_none() && node.kept_items.borrow().is_empty() {
         node.replica.note_complete(&node.dialect.keys().operator);
     }
 }
 
-/// Writes the marker if it is missing and all proofs from earlier eras have expired. That is the
-/// case once this box has waited for the lifetime of a proof, and in the first era of a new
-/// installation.
+/// Writes the marker if it is missing and the era is settled. That is the case once this box has
+/// waited for the lifetime of a proof, and in the first era of a new installation.
 pub async fn write_if_due(node: &Node) {
     node.sync_era();
     let Some(era) = node.store.era() else {
@@ -69,7 +69,7 @@
     let _ = counted(node, "commit", node.store.commit(&transaction).await);
 }
 
-/// Limits the attempts to one box per check interval on average.
+/// Selects this box at random, so that one box per check interval tries to write on average.
 fn is_chosen_to_write(node: &Node) -> bool {
     rand::rng().random_range(0..node.box_count.get().max(1)) == 0
 }
--- a/crates/tinbay-gateway/src/orders/held_server.rs
+++ b/crates/tinbay-gateway/src/orders/held_server.rs
@@ -20,12 +20,12 @@
 use crate::servers::usage::UsageReport;
 use crate::servers::view::ViewEntry;
 
-/// Failure penalty of a server that doesn't answer orders, about that after a failed connection. It
-/// is the penalty that makes boxes prefer other servers; it decays over time.
+/// Failure penalty added to a server that doesn't answer orders, about as much as for a failed
+/// connection. Boxes prefer servers with a lower penalty; it decays over time.
 const UNRESPONSIVE_PENALTY: f64 = 2.0;
 
-/// Least interval between checks for a restart of the server. Refusals for other reasons come in
-/// bursts, and each check costs a report.
+/// Minimum interval between checks for a restart of the server. Refusals for other reasons come in
+/// bursts, and each check fetches a report from the server.
 const MIN_CHECK_INTERVAL_MS: Millis = 1_000;
 
 /// Current load of a server as seen by its holder.
@@ -48,11 +48,11 @@
     pub contents: RefCell<Contents>,
     /// Load requests that are not fulfilled yet.
     pub wants: RefCell<WantedLoads>,
-    /// Sharing of the server's capacity among client accounts while it is scarce.
+    /// Requests that wait for admission while the server's capacity is scarce.
     pub admission: RefCell<AdmissionQueue>,
     /// Set when the server refused a request for an adapter that it should hold.
     pub restart_check_due: Cell<bool>,
-    /// Set when the server's limit changed and its users have not been told yet.
+    /// Set when the server's limit changed and the boxes that use it have not been notified yet.
     pub limit_changed: Cell<bool>,
     checked_ms: Cell<Millis>,
     subscribers: RefCell<Subscribers>,
@@ -84,14 +84,15 @@
         true
     }
 
-    /// Records that the server doesn't answer orders, so that others are preferred for a while.
+    /// Records that the server doesn't answer orders, so that boxes prefer other servers for a
+    /// while.
     pub fn note_unresponsive(&self, now_ms: Millis) {
         let mut subscribers = self.subscribers.borrow_mut();
         subscribers.note_failures(UNRESPONSIVE_PENALTY, now_ms);
     }
 
     /// Records that the server accepted no connection. This raises its failure penalty to the upper
-    /// bound, so that others are preferred for a while.
+    /// bound, so that boxes prefer other servers for a while.
     pub fn note_unreachable(&self, now_ms: Millis) {
         let mut subscribers = self.subscribers.borrow_mut();
         subscribers.note_failures(MAX_FAILURE_PENALTY, now_ms);
@@ -102,8 +103,8 @@
         self.subscribers.borrow_mut().hear(box_id, now_ms);
     }
 
-    /// Records the adapter that a box's request needs. An adapter that is loaded already is kept
-    /// for the request.
+    /// Records the adapter that another box's request needs. An adapter that is loaded already is
+    /// recorded as used, so that it is kept for the request.
     pub fn note_load_request(&self, box_id: &str, want: WantedLoad, now_ms: Millis) {
         let key = adapter_key(&want.adapter);
         let mut subscribers = self.subscribers.borrow_mut();
@@ -127,11 +128,11 @@
         let mut subscribers = self.subscribers.borrow_mut();
         let mut spreads = self.spreads.borrow_mut();
         let service = &server.record().service;
-        for of in report.uses.iter().filter(|of| of.begun > 0) {
-            contents.note_uses_of(of.adapter, u32::from(of.begun), now_ms);
-            let prefill_ms = node.prefill_ms(service, of.begun_tokens);
+        for adapter_use in report.uses.iter().filter(|of| of.begun > 0) {
+            contents.note_uses_of(adapter_use.adapter, u32::from(adapter_use.begun), now_ms);
+            let prefill_ms = node.prefill_ms(service, adapter_use.begun_tokens);
             subscribers.note_begun(prefill_ms, now_ms);
-            spreads.note_begun(of.adapter, prefill_ms, now_ms);
+            spreads.note_begun(adapter_use.adapter, prefill_ms, now_ms);
         }
         let begun = report.uses.iter().map(|of| usize::from(of.begun)).sum();
         let mut admission = self.admission.borrow_mut();
@@ -269,7 +270,7 @@
             .collect()
     }
 
-    /// Drops boxes that have been silent and adapters that are no longer requested.
+    /// Drops boxes that no longer use the server and adapters that are no longer requested.
     pub fn tidy(&self, now_ms: Millis) {
         self.subscribers.borrow_mut().tidy(now_ms);
         self.spreads.borrow_mut().tidy(now_ms);
--- a/crates/tinbay-gateway/src/orders/holder.rs
+++ b/crates/tinbay-gateway/src/orders/holder.rs
@@ -1,4 +1,5 @@
-//! Sends load and unload orders to one server while this box holds the claim on it.
+//! Sends load and unload orders to one backend server while this box holds the claim on it, and
+//! follows the server's contents by its reports.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -35,10 +36,9 @@
 /// Time-out of an order; most answers come within a few milliseconds.
 const ORDER_TIMEOUT_MS: Millis = 60;
 
-/// Copies of an order that are sent in parallel once the first send had no answer. All carry the
-/// same expected order count, so the server applies at most one of them. With nine of ten orders
-/// lost, four copies raised the share of requests served from 0.70 to between 0.73 and 0.75 over
-/// three simulated days.
+/// Copies of an order that are sent in parallel once the first send had no answer, so that one gets
+/// through sooner where most orders are lost. All carry the same expected order count, so the
+/// server applies at most one of them.
 const PARALLEL_SENDS: usize = 4;
 
 /// Upper bound on rounds of resending an unanswered order. The server may have applied it already
@@ -46,7 +46,7 @@
 /// effect. Until the result is known, no other order may use that count.
 const MAX_RESEND_ROUNDS: usize = 16;
 
-/// Unanswered rounds after which other boxes are told to prefer other servers.
+/// Unanswered rounds after which the server gets a failure penalty, so that boxes prefer others.
 const ROUNDS_UNTIL_UNRESPONSIVE: usize = 4;
 
 /// Longest wait before the next action is computed; a new load request ends it early.
@@ -59,7 +59,7 @@
 /// running.
 const MISDIRECTED_REQUEST: u16 = 421;
 
-/// Wait while this box lacks proof of its membership, or the server must not be contacted.
+/// Wait while this box lacks a valid membership proof, or the server must not be contacted.
 const IDLE_PAUSE: Duration = Duration::from_millis(50);
 
 #[derive(Serialize)]
@@ -153,7 +153,7 @@
     async fn run(self) {
         while self.is_known() {
             let Some(token) = self.node.order_token(&self.server) else {
-                if !self.is_own() {
+                if !self.is_holder() {
                     break;
                 }
                 tokio::time::sleep(IDLE_PAUSE).await;
@@ -174,7 +174,7 @@
             }
             let wants = self.held.wants.borrow_mut().current(now_ms);
             match self.next_action(&wants, now_ms) {
-                Some(Action::FetchReport) => self.learn_contents().await,
+                Some(Action::FetchReport) => self.refresh_contents().await,
                 Some(Action::PollReport) => self.check_progress().await,
                 Some(action) => self.order(&action, token, &wants).await,
                 None => self.pause(&wants).await,
@@ -187,19 +187,19 @@
         self.node.servers.borrow().by_key(self.server.key).is_some()
     }
 
-    fn is_own(&self) -> bool {
+    fn is_holder(&self) -> bool {
         let own_id = self.node.settings.borrow().box_id.clone();
         self.node.holder_of(&self.server).as_deref() == Some(own_id.as_str())
     }
 
-    /// Whether the server may be contacted: no other server answers at its address and it has not
-    /// asked for a pause.
+    /// Whether the server may be contacted: no other server answers at its address, and it is not
+    /// in a back-off.
     fn may_contact(&self, now_ms: Millis) -> bool {
         !self.server.is_displaced(now_ms) && self.server.back_off_until_ms(now_ms).is_none()
     }
 
     fn next_action(&self, wants: &[WantedLoad], now_ms: Millis) -> Option<Action> {
-        let look = OrderContext {
+        let context = OrderContext {
             named: &|adapter: &str| self.node.named_version(adapter),
             is_in_use: &|key| self.held.is_in_use(&self.server, key, now_ms),
             now_ms,
@@ -209,7 +209,7 @@
             now_ms,
         };
         let contents = self.held.contents.borrow();
-        contents.next_action(wants, &look, &mut allowance)
+        contents.next_action(wants, &context, &mut allowance)
     }
 
     async fn pause(&self, wants: &[WantedLoad]) {
@@ -226,7 +226,7 @@
         let _ = tokio::time::timeout(pause, self.server.order_due.notified()).await;
     }
 
-    async fn learn_contents(&self) {
+    async fn refresh_contents(&self) {
         let Some(report) = self.fetch_report().await else {
             self.held
                 .contents
@@ -281,7 +281,7 @@
         match self.caller.call(&call).await {
             Ok(reply) => self.read_reply(&reply, asked_ms),
             Err(error) => {
-                self.note_unreachable(error);
+                self.report_unreachable(error);
                 None
             }
         }
@@ -310,7 +310,7 @@
             has_run: false,
         };
         if notices::take(&self.node, &self.server, &head) {
-            // Other boxes stop requesting loads at a server that is leaving or paused.
+            // Other boxes stop requesting loads at a server that is leaving or in a back-off.
             self.publish(Audience::Users);
         }
     }
@@ -421,7 +421,7 @@
         match self.caller.call(&call).await {
             Ok(reply) => {
                 if self.is_from_another_server(&reply) {
-                    self.note_displaced();
+                    self.report_displaced();
                 }
                 self.apply_notices(RequestKind::Order, asked_ms, &reply);
                 match reply.status {
@@ -432,7 +432,7 @@
                 }
             }
             Err(error) => {
-                self.note_unreachable(error);
+                self.report_unreachable(error);
                 match error {
                     CallError::NotConnected => OrderAnswer::Refused,
                     CallError::NoAnswer => OrderAnswer::NoAnswer,
@@ -454,17 +454,17 @@
         }
     }
 
-    /// Marks the server as displaced: another one answers at its address and its reports were
-    /// mistaken for this server's.
-    fn note_displaced(&self) {
+    /// Marks the server as displaced and reports that to all its users: another server answers at
+    /// its address, and that one's reports were mistaken for this server's.
+    fn report_displaced(&self) {
         let now_ms = self.node.now_ms();
         self.server.note_displaced(now_ms);
         self.held.note_unreachable(now_ms);
         self.publish(Audience::Users);
     }
 
-    /// Tells all users of the server that it accepts no connections.
-    fn note_unreachable(&self, error: CallError) {
+    /// Reports to all users of the server that it accepts no connections.
+    fn report_unreachable(&self, error: CallError) {
         if error == CallError::NotConnected {
             self.held.note_unreachable(self.node.now_ms());
             self.publish(Audience::Users);
@@ -543,11 +543,11 @@
         events::emit(part::ORDERS, Level::Info, "order", &event);
     }
 
-    /// Updates this box's view of the server and tells other boxes.
+    /// Updates this box's view of the server and sends its status to other boxes.
     ///
-    /// Most of the time an order only checks whether a load has finished, and few boxes wait for
-    /// the result. Telling all users of a server about each change took 80 to 200 KB/s at the
-    /// holder of one server with 195 boxes during failures.
+    /// Most calls follow a check whether a load has finished, and few boxes wait for the result.
+    /// Sending each change to all users of a server would take considerable bandwidth in a large
+    /// fleet during failures.
     fn publish(&self, audience: Audience) {
         let Some(status) = self.own_status() else {
             return;
--- a/crates/tinbay-gateway/src/orders/membership.rs
+++ b/crates/tinbay-gateway/src/orders/membership.rs
@@ -1,4 +1,5 @@
-//! Maintains this box's leased entry in the store, which proves that it may send orders.
+//! Maintains this box's leased entry in the store. While the entry exists, it proves that the box
+//! is a member of the fleet and may send orders to the servers that it claimed.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -31,9 +32,9 @@
 /// First wait after a failed call.
 const RETRY_PAUSE_MS: Millis = 300;
 
-/// Upper bound of the exponential backoff. A box that gets the store's contents relayed by other
-/// boxes wakes as soon as one of them reaches the store again. With 195 boxes and the store
-/// unreachable for 14 s, a fixed wait of 300 ms made some 9,000 failing calls.
+/// Upper bound of the exponential backoff. While the store is unreachable, a large fleet would make
+/// thousands of failing calls with a fixed short wait. A box that gets the store's contents relayed
+/// by other boxes wakes as soon as one of them reaches the store again, however long its wait.
 const MAX_RETRY_PAUSE_MS: Millis = 2_400;
 
 /// Jitter that spreads the calls of boxes woken together when the store is reachable again.
@@ -68,8 +69,8 @@
             retry_ms = (retry_ms * 2).min(MAX_RETRY_PAUSE_MS);
             pause_ms
         };
-        let held = node.proof.get().holds(&node.claim_terms(), node.now_ms());
-        if let (Err(error), false) = (&result, held) {
+        let has_proof = node.proof.get().holds(&node.claim_terms(), node.now_ms());
+        if let (Err(error), false) = (&result, has_proof) {
             let event = ProofEvent {
                 error: Some(error.to_string()),
             };
@@ -79,8 +80,8 @@
     }
 }
 
-/// Waits for the next renewal. Watch confirmations renew the proof in the meantime at no cost in
-/// calls, and a proof as fresh as the watch lasts longer when the store fails.
+/// Waits for the next renewal. In the meantime each watch confirmation renews the proof without a
+/// call, so that the proof lasts as long as possible once the store fails.
 async fn wait_for_renewal(node: &Node, entry: &Entry, pause_ms: Millis, has_failed: bool) {
     let began_ms = node.now_ms();
     let mut pause = std::pin::pin!(sleep_with_jitter(pause_ms));
@@ -105,7 +106,7 @@
         .lease
         .is_some_and(|lease| !node.store.is_present(lease.era))
     {
-        // The store returned in a new era without this lease.
+        // The store was restored and doesn't know this lease.
         *entry = Entry::default();
     }
     let lease = match entry.lease {
@@ -174,8 +175,8 @@
 }
 
 fn set_proof(node: &Node, seen_ms: Millis) {
-    // Claims held before the store returned count by the proof of that time, so the era is updated
-    // before the proof.
+    // The era is updated before the proof, as claims from before a restore of the store stay valid
+    // only until the end of the proof held at that time.
     node.sync_era();
     let mut proof = node.proof.get();
     if !proof.holds(&node.claim_terms(), node.now_ms()) {
@@ -226,7 +227,7 @@
     format!("{MEMBER_PREFIX}{}", node.settings.borrow().box_id)
 }
 
-/// Marks all of this box's claims as released. No order may be sent once this has begun.
+/// Marks all of this box's claims as released. No order may be sent after this call starts.
 pub async fn release_claims(node: &Node) {
     let own_id = node.settings.borrow().box_id.clone();
     let held: Vec<(String, Position)> = {
