--- a/crates/tinbay-gateway/src/sharing/asking.rs
+++ b/crates/tinbay-gateway/src/sharing/asking.rs
@@ -1,5 +1,5 @@
-//! Requests capacity at a scarce server from its holder, with a fallback for holders that don't
-//! answer.
+//! Requests admission at a scarce backend server from its holder, with a fallback for holders that
+//! don't answer.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -12,15 +12,15 @@
 use super::outcome::AdmissionOutcome;
 use crate::servers::Server;
 
-/// Interval between repeated requests, as messages may be lost. A repeated request also shows the
+/// Interval between sends of a request, as messages may be lost. A repeated send also shows the
 /// holder that the caller is still waiting.
 const RESEND_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Consecutive requests without a reply after which a holder counts as silent.
+/// Consecutive sends without a reply after which a holder counts as silent.
 const MAX_UNANSWERED_SENDS: u32 = 2;
 
-/// Further requests after the caller's time limit. A holder that has not decided by then never
-/// will.
+/// Further sends after the time within which the request must start. A holder that has not decided
+/// by then never will.
 const MAX_LATE_SENDS: u32 = 3;
 
 /// Time for which a silent holder is not asked again.
@@ -34,7 +34,7 @@
 /// server or the server is no longer scarce.
 const NO_ANSWER_RETRY_AFTER_MS: Millis = 1_000;
 
-/// Request for capacity at a server.
+/// Admission request for a caller's request at a server.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct AdmissionParams {
     /// Fingerprint of the client account's name.
@@ -51,7 +51,7 @@
     pub digest: u64,
 }
 
-/// Result of a request for capacity.
+/// Result of an admission request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AdmissionResult {
     /// Whether and by whom the request was admitted.
@@ -78,30 +78,31 @@
     }
 }
 
-/// Requests capacity at a server. Returns `None` where none has to be requested.
+/// Requests admission at a server. Returns `None` if the server is not scarce or has no holder, so
+/// that no admission is needed.
 pub async fn ask(
-    links: &dyn AdmissionContext,
+    context: &dyn AdmissionContext,
     server: &Rc<Server>,
     request: AdmissionParams,
 ) -> Option<AdmissionResult> {
-    if !links.is_scarce(server) {
+    if !context.is_scarce(server) {
         return None;
     }
-    let holder = links.admission_holder(server)?;
-    if is_silent(links, &holder) {
+    let holder = context.admission_holder(server)?;
+    if is_silent(context, &holder) {
         return Some(admit_without_holder(server));
     }
-    let (number, receiver) = links.sharing().begin();
+    let (number, receiver) = context.sharing().begin();
     let part = build_request(server, number, request);
-    let reply = request_until_decided(links, &holder, server, part, receiver).await;
-    links.sharing().end(number);
+    let reply = request_until_decided(context, &holder, server, part, receiver).await;
+    context.sharing().end(number);
     let result = match reply {
         Some(AdmissionReply::Admitted) => AdmissionResult::admitted(AdmissionOutcome::Holder),
         Some(AdmissionReply::Rejected { retry_after_ms }) => {
             AdmissionResult::rejected(AdmissionOutcome::Rejected, Millis::from(retry_after_ms))
         }
         Some(AdmissionReply::NotHolder | AdmissionReply::Queued) | None => {
-            note_silent(links, &holder);
+            mark_silent(context, &holder);
             admit_without_holder(server)
         }
     };
@@ -123,7 +124,7 @@
 
 /// Repeats the request until the holder decides; `None` if it doesn't answer.
 async fn request_until_decided(
-    links: &dyn AdmissionContext,
+    context: &dyn AdmissionContext,
     holder: &AdmissionHolder,
     server: &Rc<Server>,
     part: AdmissionRequestPart,
@@ -134,11 +135,11 @@
         if unacknowledged >= MAX_UNANSWERED_SENDS {
             break;
         }
-        links.ask(holder, server, part);
+        context.send_request(holder, server, part);
         if let Ok(reply) = tokio::time::timeout(RESEND_INTERVAL, &mut receiver).await {
             return reply.ok();
         }
-        let is_acknowledged = links.sharing().take_acknowledged(part.number);
+        let is_acknowledged = context.sharing().take_acknowledged(part.number);
         unacknowledged = if is_acknowledged {
             0
         } else {
@@ -154,24 +155,24 @@
     sends_in_time as u32 + MAX_LATE_SENDS
 }
 
-fn is_silent(links: &dyn AdmissionContext, holder: &AdmissionHolder) -> bool {
+fn is_silent(context: &dyn AdmissionContext, holder: &AdmissionHolder) -> bool {
     match holder {
         AdmissionHolder::Own => false,
-        AdmissionHolder::Other(holder) => links.sharing().is_silent(holder, links.now_ms()),
+        AdmissionHolder::Other(holder) => context.sharing().is_silent(holder, context.now_ms()),
     }
 }
 
-fn note_silent(links: &dyn AdmissionContext, holder: &AdmissionHolder) {
+fn mark_silent(context: &dyn AdmissionContext, holder: &AdmissionHolder) {
     if let AdmissionHolder::Other(holder) = holder {
-        let until_ms = links.now_ms() + SILENT_HOLDER_PAUSE_MS;
-        links.sharing().note_silent(holder, until_ms);
+        let until_ms = context.now_ms() + SILENT_HOLDER_PAUSE_MS;
+        context.sharing().mark_silent(holder, until_ms);
     }
 }
 
 /// Admits one request at a time per box while a scarce server has no holder that answers.
 fn admit_without_holder(server: &Server) -> AdmissionResult {
     if server.usage.borrow().running() < MAX_RUNNING_WITHOUT_HOLDER {
-        return AdmissionResult::admitted(AdmissionOutcome::OwnPart);
+        return AdmissionResult::admitted(AdmissionOutcome::WithoutHolder);
     }
     AdmissionResult::rejected(AdmissionOutcome::NoAnswer, NO_ANSWER_RETRY_AFTER_MS)
 }
--- a/crates/tinbay-gateway/src/sharing/holder.rs
+++ b/crates/tinbay-gateway/src/sharing/holder.rs
@@ -1,4 +1,5 @@
-//! Allocates the capacity of the scarce servers that this box holds.
+//! Allocates the capacity of the scarce backend servers that this box holds: admits or rejects the
+//! admission requests of all boxes.
 
 use std::rc::Rc;
 
@@ -29,7 +30,7 @@
     backlog_ms: f64,
 }
 
-/// Handles a request for capacity from another box.
+/// Handles an admission request from another box.
 pub fn handle_request(node: &Node, box_id: &str, part: &AdmissionRequestPart) {
     let server = node.servers.borrow().by_fingerprint(part.server);
     let held = server
@@ -39,15 +40,15 @@
         let reply = AdmissionReply::NotHolder;
         return send_reply(node, box_id, part.number, reply);
     };
-    let ask = part.to_ask(box_fingerprint(box_id));
-    held.admission.borrow_mut().ask(ask, node.now_ms());
+    let request = part.to_request(box_fingerprint(box_id));
+    held.admission.borrow_mut().ask(request, node.now_ms());
     decide_waiting(node, &server, &held);
-    if held.admission.borrow().is_waiting(ask.id) {
+    if held.admission.borrow().is_waiting(request.id) {
         send_reply(node, box_id, part.number, AdmissionReply::Queued);
     }
 }
 
-/// Handles a request for capacity from this box.
+/// Handles an admission request from this box.
 pub fn handle_own_request(node: &Node, server: &Rc<Server>, part: AdmissionRequestPart) {
     let number = part.number;
     let Some(held) = node.held_server(server.key) else {
@@ -59,8 +60,8 @@
     let reply = AdmissionReply::Queued;
     node.sharing
         .take_reply(AdmissionReplyPart { number, reply });
-    let ask = part.to_ask(own_key(node));
-    held.admission.borrow_mut().ask(ask, node.now_ms());
+    let request = part.to_request(own_key(node));
+    held.admission.borrow_mut().ask(request, node.now_ms());
     decide_waiting(node, server, &held);
 }
 
@@ -70,8 +71,8 @@
     in_force.is_some_and(|in_force| !in_force.configuration.accounts.is_empty())
 }
 
-/// Admits or rejects the waiting requests that can be decided now. Without client accounts there is
-/// nothing to share.
+/// Admits or rejects the waiting admission requests that can be decided now. Without client
+/// accounts there is nothing to share.
 pub fn decide_waiting(node: &Node, server: &Rc<Server>, held: &HeldServer) {
     let Some(in_force) = node.in_force() else {
         return;
@@ -81,21 +82,21 @@
         return;
     }
     let now_ms = node.now_ms();
-    let fullness = fullness(&in_force, server, held, now_ms);
+    let server_load = server_load(&in_force, server, held, now_ms);
     let was_scarce = held.admission.borrow().is_scarce();
     let decisions = {
         let mut admission = held.admission.borrow_mut();
-        admission.decide(fullness, &in_force.weights, now_ms)
+        admission.decide(server_load, &in_force.weights, now_ms)
     };
     for decision in decisions {
         send_decision(node, decision);
     }
     if held.admission.borrow().is_scarce() != was_scarce {
-        log_change(server, fullness, !was_scarce);
+        log_scarcity_change(server, server_load, !was_scarce);
     }
 }
 
-/// Decides on waiting requests at all scarce servers that this box holds.
+/// Decides on the waiting admission requests at all scarce servers that this box holds.
 pub fn decide_all(node: &Node) {
     let held: Vec<_> = {
         let held = node.held_servers.borrow();
@@ -111,7 +112,7 @@
     }
 }
 
-/// Number of scarce servers that this box holds, and number of requests waiting for them.
+/// Number of scarce servers that this box holds, and number of admission requests that wait there.
 pub fn counts(node: &Node) -> (usize, usize) {
     let held_servers = node.held_servers.borrow();
     let admissions = || held_servers.values().map(|held| held.admission.borrow());
@@ -124,7 +125,12 @@
     (scarce, waiting)
 }
 
-fn fullness(in_force: &InForce, server: &Server, held: &HeldServer, now_ms: Millis) -> ServerLoad {
+fn server_load(
+    in_force: &InForce,
+    server: &Server,
+    held: &HeldServer,
+    now_ms: Millis,
+) -> ServerLoad {
     let record = server.record();
     let objective_ms = in_force.shortest_objective_ms(&record.service);
     ServerLoad {
@@ -161,13 +167,13 @@
     box_fingerprint(&node.settings.borrow().box_id)
 }
 
-fn log_change(server: &Server, fullness: ServerLoad, is_scarce: bool) {
+fn log_scarcity_change(server: &Server, server_load: ServerLoad, is_scarce: bool) {
     let event = ScarcityEvent {
         server: &server.record().id,
         is_scarce,
-        running: fullness.running,
-        slots: fullness.slots,
-        backlog_ms: fullness.backlog_ms,
+        running: server_load.running,
+        slots: server_load.slots,
+        backlog_ms: server_load.backlog_ms,
     };
     events::emit(part::FRONT, Level::Info, "server_scarce", &event);
 }
--- a/crates/tinbay-gateway/src/sharing/links.rs
+++ b/crates/tinbay-gateway/src/sharing/links.rs
@@ -1,4 +1,5 @@
-//! Connects requests for capacity with the box they are made on.
+//! What an admission request needs from the box on which it is made, and its implementation by the
+//! box's [`Node`].
 
 use std::rc::Rc;
 
@@ -20,12 +21,12 @@
     Other(String),
 }
 
-/// What a request for capacity needs from its box.
+/// What an admission request needs from the box on which it is made.
 pub trait AdmissionContext {
     /// Milliseconds on the monotonic clock of this process.
     fn now_ms(&self) -> Millis;
 
-    /// State of this box's pending requests for capacity.
+    /// State of this box's pending admission requests.
     fn sharing(&self) -> &Sharing;
 
     /// Whether requests need the holder's admission at a server: the holder reported it as scarce
@@ -36,8 +37,13 @@
     /// Box that allocates a server's capacity; `None` if no box holds the server.
     fn admission_holder(&self, server: &Server) -> Option<AdmissionHolder>;
 
-    /// Sends a request for capacity. The reply is delivered through [`Sharing::take_reply`].
-    fn ask(&self, holder: &AdmissionHolder, server: &Rc<Server>, part: AdmissionRequestPart);
+    /// Sends an admission request. The reply is delivered through [`Sharing::take_reply`].
+    fn send_request(
+        &self,
+        holder: &AdmissionHolder,
+        server: &Rc<Server>,
+        part: AdmissionRequestPart,
+    );
 }
 
 impl AdmissionContext for Node {
@@ -65,7 +71,7 @@
         self.holder_of(server).map(AdmissionHolder::Other)
     }
 
-    fn ask(
+    fn send_request(
         &self,
         admission_holder: &AdmissionHolder,
         server: &Rc<Server>,
--- a/crates/tinbay-gateway/src/sharing/messages.rs
+++ b/crates/tinbay-gateway/src/sharing/messages.rs
@@ -1,11 +1,11 @@
-//! Messages between boxes about capacity at a scarce server.
+//! Messages between boxes about admission at a scarce backend server.
 
 use serde::{Deserialize, Serialize};
 use tinbay_core::serving::servers::Fingerprint;
 use tinbay_core::sharing::admission::{AdmissionAnswer, AdmissionId, AdmissionRequest};
 use tinbay_core::units::Millis;
 
-/// Request for capacity at a server that the receiver holds.
+/// Admission request for a server that the receiver holds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AdmissionRequestPart {
     /// Server at which the request would run.
@@ -29,7 +29,7 @@
 
 impl AdmissionRequestPart {
     /// Converts the message into a request of the box `box_key`.
-    pub fn to_ask(self, box_key: Fingerprint) -> AdmissionRequest {
+    pub fn to_request(self, box_key: Fingerprint) -> AdmissionRequest {
         let number = self.number;
         AdmissionRequest {
             id: AdmissionId { box_key, number },
@@ -43,7 +43,7 @@
     }
 }
 
-/// Reply of a server's holder to a request for capacity.
+/// Reply of a server's holder to an admission request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AdmissionReplyPart {
     /// Number of the request that is answered.
@@ -52,7 +52,7 @@
     pub reply: AdmissionReply,
 }
 
-/// State of a request for capacity at the holder.
+/// State of an admission request at the holder.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AdmissionReply {
     /// The request is queued; another reply follows.
--- a/crates/tinbay-gateway/src/sharing/mod.rs
+++ b/crates/tinbay-gateway/src/sharing/mod.rs
@@ -1,7 +1,9 @@
-//! Fair sharing of a scarce server's capacity among client accounts. Requests ask the
-//! holder of the server for admission; the holder admits them by account, rank and deadline.
+//! Fair sharing of a scarce backend server's capacity among client accounts. A box requests
+//! admission for a caller's request from the holder of the server, which admits requests by
+//! account, rank and deadline.
 //!
-//! Requests ask only while the server is scarce, and only if they belong to a client account.
+//! A server is scarce while it is at capacity. Admission is requested only then, and only for
+//! requests that belong to a client account.
 
 pub mod asking;
 pub mod holder;
@@ -17,7 +19,7 @@
 
 use self::messages::{AdmissionReply, AdmissionReplyPart};
 
-/// A request of this box that waits for a holder's decision.
+/// An admission request of this box that waits for a holder's decision.
 #[derive(Debug)]
 struct Waiting {
     sender: oneshot::Sender<AdmissionReply>,
@@ -25,13 +27,14 @@
     is_acknowledged: bool,
 }
 
-/// State of this box's pending requests for capacity.
+/// State of this box's pending admission requests.
 #[derive(Debug, Default)]
 pub struct Sharing {
+    /// Pending requests by number.
     waiting: RefCell<HashMap<u32, Waiting>>,
     last_number: Cell<u32>,
     /// Holders that did not answer, with the time until which they are not asked.
-    silent: RefCell<HashMap<String, Millis>>,
+    silent_holders: RefCell<HashMap<String, Millis>>,
 }
 
 impl Sharing {
@@ -55,7 +58,7 @@
     pub fn tidy(&self, now_ms: Millis) {
         let mut waiting = self.waiting.borrow_mut();
         waiting.retain(|_, waiting| !waiting.sender.is_closed());
-        let mut silent = self.silent.borrow_mut();
+        let mut silent = self.silent_holders.borrow_mut();
         silent.retain(|_, until_ms| now_ms < *until_ms);
     }
 
@@ -83,13 +86,13 @@
         waiting.is_some_and(|waiting| std::mem::take(&mut waiting.is_acknowledged))
     }
 
-    fn note_silent(&self, holder: &str, until_ms: Millis) {
-        let mut silent = self.silent.borrow_mut();
+    fn mark_silent(&self, holder: &str, until_ms: Millis) {
+        let mut silent = self.silent_holders.borrow_mut();
         silent.insert(holder.to_string(), until_ms);
     }
 
     fn is_silent(&self, holder: &str, now_ms: Millis) -> bool {
-        let silent = self.silent.borrow();
+        let silent = self.silent_holders.borrow();
         silent
             .get(holder)
             .is_some_and(|until_ms| now_ms < *until_ms)
--- a/crates/tinbay-gateway/src/sharing/outcome.rs
+++ b/crates/tinbay-gateway/src/sharing/outcome.rs
@@ -1,18 +1,18 @@
-//! Outcomes of one request's attempts to get capacity at scarce servers, for its log line and its
-//! retries.
+//! Outcomes of the admission requests that were made for one caller's request at scarce backend
+//! servers, for its log line and its retries.
 
 use std::cell::{Cell, RefCell};
 
 use tinbay_core::serving::servers::ServerKey;
 use tinbay_core::units::Millis;
 
-/// Outcome of a request for capacity at a scarce server.
+/// Outcome of an admission request at a scarce server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AdmissionOutcome {
     /// The server's holder admitted the request.
     Holder,
     /// The holder did not answer; admitted as this box had no request running there.
-    OwnPart,
+    WithoutHolder,
     /// The holder rejected the request.
     Rejected,
     /// The holder did not answer; rejected as this box had requests running there.
@@ -24,23 +24,23 @@
     pub fn name(self) -> &'static str {
         match self {
             AdmissionOutcome::Holder => "holder",
-            AdmissionOutcome::OwnPart => "own_part",
+            AdmissionOutcome::WithoutHolder => "own_part",
             AdmissionOutcome::Rejected => "turned_away",
             AdmissionOutcome::NoAnswer => "no_answer",
         }
     }
 }
 
-/// Outcomes of one request's attempts to get capacity.
+/// Outcomes of the admission requests that were made for one caller's request.
 #[derive(Debug, Default)]
 pub struct AdmissionOutcomes {
     outcome: Cell<Option<AdmissionOutcome>>,
     wait_ms: Cell<Option<Millis>>,
-    without: RefCell<Vec<ServerKey>>,
+    full_servers: RefCell<Vec<ServerKey>>,
 }
 
 impl AdmissionOutcomes {
-    /// Records the outcome of an attempt and how long it took.
+    /// Records the outcome of an admission request and how long it took.
     pub fn note(&self, outcome: AdmissionOutcome, took_ms: Millis) {
         self.outcome.set(Some(outcome));
         let before_ms = self.wait_ms.get().unwrap_or_default();
@@ -49,25 +49,25 @@
 
     /// Records a server that had no capacity for the request.
     pub fn note_full(&self, server: ServerKey) {
-        self.without.borrow_mut().push(server);
+        self.full_servers.borrow_mut().push(server);
     }
 
     /// Whether a server had no capacity for the request.
     pub fn is_full(&self, server: ServerKey) -> bool {
-        self.without.borrow().contains(&server)
+        self.full_servers.borrow().contains(&server)
     }
 
     /// Number of servers that had no capacity for the request.
     pub fn full_count(&self) -> usize {
-        self.without.borrow().len()
+        self.full_servers.borrow().len()
     }
 
-    /// Outcome of the last attempt; `None` if there was none.
+    /// Outcome of the last admission request; `None` if there was none.
     pub fn outcome(&self) -> Option<AdmissionOutcome> {
         self.outcome.get()
     }
 
-    /// Total time spent waiting for decisions; `None` if there was no attempt.
+    /// Total time spent waiting for decisions; `None` if there was no admission request.
     pub fn wait_ms(&self) -> Option<Millis> {
         self.wait_ms.get()
     }
--- a/crates/tinbay-gateway/tests/sharing_asking_test.rs
+++ b/crates/tinbay-gateway/tests/sharing_asking_test.rs
@@ -64,7 +64,12 @@
         Some(AdmissionHolder::Other("holder".to_string()))
     }
 
-    fn ask(&self, _holder: &AdmissionHolder, _server: &Rc<Server>, part: AdmissionRequestPart) {
+    fn send_request(
+        &self,
+        _holder: &AdmissionHolder,
+        _server: &Rc<Server>,
+        part: AdmissionRequestPart,
+    ) {
         self.sends.set(self.sends.get() + 1);
         self.numbers.borrow_mut().push(part.number);
         let number = part.number;
@@ -149,7 +154,10 @@
     let links = FakeLinks::new(&[]);
     let server = server();
     let first = run(ask(&links, &server, WISH));
-    assert_eq!(outcome(first), Some((AdmissionOutcome::OwnPart, None)));
+    assert_eq!(
+        outcome(first),
+        Some((AdmissionOutcome::WithoutHolder, None))
+    );
     let sends = links.sends.get();
     let running = server.begin_request(Some(7), 100);
     let second = run(ask(&links, &server, WISH)).expect("a result while the server is scarce");
@@ -171,7 +179,10 @@
 fn ask_not_holder_limits_own_requests() {
     let links = FakeLinks::new(&[Some(AdmissionReply::NotHolder)]);
     let result = run(ask(&links, &server(), WISH));
-    assert_eq!(outcome(result), Some((AdmissionOutcome::OwnPart, None)));
+    assert_eq!(
+        outcome(result),
+        Some((AdmissionOutcome::WithoutHolder, None))
+    );
     assert_eq!(links.sends.get(), 1);
 }
 
@@ -181,7 +192,10 @@
 fn ask_undecided_holder_limits_own_requests() {
     let links = FakeLinks::new(&[Some(AdmissionReply::Queued); 50]);
     let result = run(ask(&links, &server(), WISH));
-    assert_eq!(outcome(result), Some((AdmissionOutcome::OwnPart, None)));
+    assert_eq!(
+        outcome(result),
+        Some((AdmissionOutcome::WithoutHolder, None))
+    );
     let in_time_ms = u32::try_from(WISH.in_time_ms).expect("fits into u32");
     assert!(links.sends.get() <= in_time_ms / 100 + 3);
 }
