--- a/crates/tinbay-gateway/src/limits/home.rs
+++ b/crates/tinbay-gateway/src/limits/home.rs
@@ -15,8 +15,8 @@
 /// of boxes.
 const HOME_CACHE_MS: Millis = 500;
 
-/// Time for which the view of the fleet is cached: far less than it takes to notice that a box is
-/// gone.
+/// Time for which the view of the fleet is cached: far less than it takes to detect that a box has
+/// failed.
 const FLEET_CACHE_MS: Millis = 100;
 
 /// Assumed size of the fleet until this box sees its own entry in the store. It may know few of the
@@ -38,8 +38,8 @@
     /// Selected box.
     pub home: Home,
     /// Boxes that reported that they can't be the home. The boxes' views of the fleet can differ
-    /// for some seconds; without the exclusion, boxes redirected requests to each other for 2 s and
-    /// more. A box that only takes another one for the home is not excluded: it may be granting
+    /// for some seconds, and without the exclusion boxes would redirect requests to each other for
+    /// that long. A box that only named another one as the home is not excluded: it may be granting
     /// units to others in the meantime, and two homes grant twice the limit.
     pub excluded: Vec<Fingerprint>,
 }
@@ -56,7 +56,7 @@
 pub struct FleetView {
     /// Boxes listed in the store, this one included.
     pub boxes: usize,
-    /// Fraction of them that this box reaches, from 0 to 1.
+    /// Fraction of them, this one included, that this box has heard from recently, from 0 to 1.
     pub reached: f64,
     /// Whether the view is reliable enough to grant units to others.
     pub is_reliable: bool,
@@ -89,7 +89,7 @@
     let Some(Home::Other(home)) = of(node, limited).map(|selected| selected.home) else {
         return false;
     };
-    let failed = node.limits.failed.borrow();
+    let failed = node.limits.failed_homes.borrow();
     let until_ms = failed.get(&home);
     until_ms.is_some_and(|until_ms| node.now_ms() < *until_ms)
 }
@@ -150,7 +150,8 @@
     Some(SelectedHome { home, excluded })
 }
 
-/// Grants units of a limit; `None` if this box can't be sure to be the home.
+/// Grants units of a limit; `None` if this box's view of the fleet is too unreliable to act as the
+/// home.
 pub fn grant_units(
     node: &Node,
     limited: &Limited,
--- a/crates/tinbay-gateway/src/limits/limited.rs
+++ b/crates/tinbay-gateway/src/limits/limited.rs
@@ -1,4 +1,4 @@
-//! Limits that are enforced over all boxes, with their keys and terms.
+//! Rate limits that are enforced over all boxes together, with their keys and terms.
 
 use std::rc::Rc;
 
--- a/crates/tinbay-gateway/src/limits/mod.rs
+++ b/crates/tinbay-gateway/src/limits/mod.rs
@@ -1,6 +1,7 @@
-//! Limits enforced over all boxes, of client accounts and of servers. A box requests units from the
-//! limit's home, grants them where it is the home itself, and falls back to a local share of the
-//! limit if no home answers.
+//! Rate limits of client accounts and backend servers, enforced over all boxes together.
+//!
+//! One box is the home of a limit and grants its units to the others. A box requests units from the
+//! home, and falls back to a local share of the limit if no home answers.
 //!
 //! Local shares alone would need no messages, but they refuse requests within the limit wherever
 //! its requests are spread unevenly over the boxes. A home sees all requests and costs one round
@@ -36,11 +37,12 @@
 /// between zones.
 const RESEND_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Requests sent to a home before it counts as not answering. After a restart of all boxes homes
-/// take long to answer, and a large fleet refuses requests for which it got no units.
+/// Requests sent to a home before it counts as not answering. Fewer would not do after a restart of
+/// all boxes: homes then take long to answer, and boxes of a large fleet refuse requests for which
+/// they got no units.
 const MAX_SENDS: usize = 4;
 
-/// Homes asked in turn when each redirects to another.
+/// Upper bound on homes to which one request is sent in turn when each redirects to another.
 const MAX_HOMES: usize = 5;
 
 /// Time for which a home that did not answer is not asked again.
@@ -80,11 +82,13 @@
     shares: RefCell<HashMap<LimitKey, LimitShare>>,
     homes: RefCell<HashMap<LimitKey, LimitHome>>,
     cached_homes: RefCell<HashMap<LimitKey, CachedHome>>,
-    failed: RefCell<HashMap<String, Millis>>,
+    /// Homes that did not answer, with the time until which they are not asked.
+    failed_homes: RefCell<HashMap<String, Millis>>,
     prefetched_ms: RefCell<HashMap<LimitKey, Millis>>,
     /// Retry times of callers rejected while all servers of a service are at their limits, by
     /// service.
     retry_times: RefCell<HashMap<String, RetryTimes>>,
+    /// Requests to homes that are not answered yet, by number.
     waiting: RefCell<HashMap<u32, oneshot::Sender<Answer>>>,
     last_number: Cell<u32>,
     /// Cached view of the fleet and its expiry.
@@ -92,13 +96,14 @@
 }
 
 impl Limits {
-    /// Drops pending requests whose callers have gone, expired failures, and limits that servers no
-    /// longer announce. A request that is never answered would stay forever otherwise.
+    /// Drops pending requests whose callers have disconnected, expired failures of homes, and
+    /// limits that servers no longer announce. Otherwise a request that is never answered would
+    /// stay forever.
     pub fn tidy(&self, node: &Node) {
         let now_ms = node.now_ms();
         let mut waiting = self.waiting.borrow_mut();
         waiting.retain(|_, sender| !sender.is_closed());
-        let mut failed = self.failed.borrow_mut();
+        let mut failed = self.failed_homes.borrow_mut();
         failed.retain(|_, until_ms| now_ms < *until_ms);
         let is_current = |key: &LimitKey| {
             matches!(key, LimitKey::Account(_)) || Limited::find(node, *key).is_some()
@@ -133,7 +138,7 @@
     NotHome(Option<String>),
 }
 
-/// Admits a request within a limit.
+/// Admits a request within a limit, at the cost of `units`.
 ///
 /// # Errors
 /// Returns the time until the limit has capacity for the request.
@@ -186,18 +191,18 @@
 ) -> Option<Result<AdmittedBy, Millis>> {
     for _ in 0..MAX_HOMES {
         let selected = home::of(node, limited)?;
-        let grant = match ask(node, limited, units, caller_try, &selected).await {
-            AskResult::Grant(grant) => grant,
-            AskResult::NotHome(Some(other)) => {
+        let grant = match request_units(node, limited, units, caller_try, &selected).await {
+            UnitRequestResult::Grant(grant) => grant,
+            UnitRequestResult::NotHome(Some(other)) => {
                 home::follow_redirect(node, limited, &selected, other);
                 continue;
             }
-            AskResult::NotHome(None) => {
+            UnitRequestResult::NotHome(None) => {
                 home::reselect_excluding(node, limited, &selected);
                 continue;
             }
-            AskResult::NoAnswer => {
-                note_failed(node, &selected.home, "silent");
+            UnitRequestResult::NoAnswer => {
+                record_no_answer(node, &selected.home, "silent");
                 return None;
             }
         };
@@ -240,21 +245,22 @@
 }
 
 /// Result of a request for units to a home.
-enum AskResult {
+enum UnitRequestResult {
     Grant(UnitGrant),
     NoAnswer,
-    /// The box takes another one for the home, or can't be the home itself.
+    /// The box is not the home. It names the box that it regards as the home, or none if it knows
+    /// no other.
     NotHome(Option<String>),
 }
 
 /// Requests units from the home of a limit.
-async fn ask(
+async fn request_units(
     node: &Node,
     limited: &Limited,
     units: f64,
     caller_try: Option<CallerTry>,
     selected: &SelectedHome,
-) -> AskResult {
+) -> UnitRequestResult {
     let ahead = with_share(node, limited, |share, now_ms| share.ahead(now_ms));
     let request = UnitRequest {
         needed: units,
@@ -263,10 +269,10 @@
     let home = match &selected.home {
         Home::Own => {
             let Some(grant) = home::grant_units(node, limited, request, caller_try) else {
-                return AskResult::NotHome(None);
+                return UnitRequestResult::NotHome(None);
             };
-            note_grant(node, limited.key, grant);
-            return AskResult::Grant(grant);
+            apply_grant(node, limited.key, grant);
+            return UnitRequestResult::Grant(grant);
         }
         Home::Other(home) => home,
     };
@@ -288,24 +294,24 @@
     result
 }
 
-/// Repeats a request until it is answered. An answer to any of the sends counts, also a late one.
+/// Sends a request repeatedly until it is answered. An answer to any of the sends counts.
 async fn request_until_answered(
     node: &Node,
     home: &str,
     part: &LimitRequestPart,
     mut receiver: oneshot::Receiver<Answer>,
-) -> AskResult {
+) -> UnitRequestResult {
     for _ in 0..MAX_SENDS {
         let part = FramePart::LimitRequest(part.clone());
         node.outbox.post(home, part);
         match tokio::time::timeout(RESEND_INTERVAL, &mut receiver).await {
-            Ok(Ok(Answer::Grant(grant))) => return AskResult::Grant(grant),
-            Ok(Ok(Answer::NotHome(other))) => return AskResult::NotHome(other),
-            Ok(Err(_)) => return AskResult::NoAnswer,
+            Ok(Ok(Answer::Grant(grant))) => return UnitRequestResult::Grant(grant),
+            Ok(Ok(Answer::NotHome(other))) => return UnitRequestResult::NotHome(other),
+            Ok(Err(_)) => return UnitRequestResult::NoAnswer,
             Err(_) => {}
         }
     }
-    AskResult::NoAnswer
+    UnitRequestResult::NoAnswer
 }
 
 fn build_request(
@@ -340,7 +346,7 @@
     match &selected.home {
         Home::Own => {
             if let Some(grant) = home::grant_units(node, limited, request, None) {
-                note_grant(node, limited.key, grant);
+                apply_grant(node, limited.key, grant);
             }
         }
         Home::Other(home) if !home::has_failed(node, limited) => {
@@ -368,9 +374,9 @@
     true
 }
 
-/// Records a grant. A box that requested units has a share; units of a limit that has ended are
-/// dropped.
-fn note_grant(node: &Node, key: LimitKey, grant: UnitGrant) {
+/// Adds granted units to this box's share. A box that requested units has a share unless the limit
+/// has ended; the units are then dropped.
+fn apply_grant(node: &Node, key: LimitKey, grant: UnitGrant) {
     let now_ms = node.now_ms();
     if let Some(share) = node.limits.shares.borrow_mut().get_mut(&key) {
         share.note_given(grant.units, now_ms);
@@ -378,19 +384,19 @@
 }
 
 /// Records that another box did not answer, so that requests don't wait for it for a while.
-fn note_failed(node: &Node, home: &Home, reason: &'static str) {
+fn record_no_answer(node: &Node, home: &Home, reason: &'static str) {
     let Home::Other(home) = home else {
         return;
     };
     let until_ms = node.now_ms() + FAILED_HOME_PAUSE_MS;
-    let mut failed = node.limits.failed.borrow_mut();
+    let mut failed = node.limits.failed_homes.borrow_mut();
     failed.insert(home.clone(), until_ms);
     drop(failed);
     let event = NoAnswerEvent { home, reason };
     events::emit(part::FRONT, Level::Info, "limit_home_no_answer", &event);
 }
 
-/// Answers a request for units from a box that takes this one for the limit's home.
+/// Answers a request for units from a box that regards this one as the limit's home.
 pub fn handle_request(node: &Node, box_id: &str, part: &LimitRequestPart) {
     notices::take(node, part.key, part.notice.as_ref());
     let limited = Limited::find(node, part.key);
@@ -436,7 +442,7 @@
         retry_after_ms: part.retry_after_ms.map(Millis::from),
     };
     let answer = if part.is_home {
-        note_grant(node, part.key, grant);
+        apply_grant(node, part.key, grant);
         Answer::Grant(grant)
     } else {
         let members = node.members.borrow();
@@ -444,7 +450,7 @@
         Answer::NotHome(other.cloned())
     };
     if let Some(waiting) = node.limits.waiting.borrow_mut().remove(&part.number) {
-        // If the caller has gone in the meantime, the next request can use the units.
+        // If the caller has disconnected in the meantime, the next request can use the units.
         let _ = waiting.send(answer);
     }
 }
--- a/crates/tinbay-gateway/src/limits/notices.rs
+++ b/crates/tinbay-gateway/src/limits/notices.rs
@@ -1,9 +1,9 @@
-//! Exchange of server limits between boxes. A box learns a server's limit from the server's own
-//! answers, from each answer of the limit's home, from the status sent by the server's holder, and
-//! from other boxes if the server has no holder.
+//! Exchange between boxes of the rate limits that backend servers announce. A box learns a
+//! server's limit from the server's own answers, from each answer of the limit's home, from the
+//! status sent by the server's holder, and from other boxes if the server has no holder.
 //!
-//! A box without units sends nothing to the server and gets no answers from it. It learns from the
-//! other boxes that a limit has changed or ended.
+//! The exchange is needed as a box without units sends nothing to the server and gets no answers
+//! from it. Only other boxes can notify it that the limit has changed or ended.
 
 use std::rc::Rc;
 
@@ -22,6 +22,7 @@
 
 /// Boxes in this box's zone that are notified directly of a limit.
 const ZONE_PEERS: usize = 3;
+
 /// Boxes in other zones that are notified directly of a limit.
 const OTHER_ZONE_PEERS: usize = 2;
 
@@ -117,9 +118,9 @@
     }
 }
 
-/// Drops the state of a limit that has ended. All users of the server are told of a new or changed
-/// limit, so that none exceeds it until it gets the server's own answer. The holder tells them, or
-/// the boxes pass it on from one to the next if there is no holder.
+/// Drops the state of a limit that has ended. Otherwise, all boxes that use the server are notified
+/// of the new or changed limit, so that none exceeds it until it gets the server's own answer. The
+/// holder notifies them, or the boxes pass it on from one to the next if there is no holder.
 fn apply_change(node: &Node, server: &Rc<Server>) {
     if server.limit_per_s().is_none() {
         node.limits.forget(LimitKey::Server(server.fingerprint()));
@@ -133,7 +134,7 @@
     }
 }
 
-/// Sends the limit to some boxes of this zone and of others. A box for which it is news passes it
+/// Sends the limit to some boxes of this zone and of others. A box that didn't know it passes it
 /// on.
 fn pass_on(node: &Node, server: &Server) {
     let Some(notice) = of_server(node, server) else {
--- a/crates/tinbay-gateway/src/limits/permits.rs
+++ b/crates/tinbay-gateway/src/limits/permits.rs
@@ -1,4 +1,4 @@
-//! Permits for sending requests within the limits that servers announce.
+//! Permits for sending requests within the rate limits that backend servers announce.
 
 use std::rc::Rc;
 
@@ -22,8 +22,8 @@
 }
 
 impl Permit {
-    /// Whether the permit is still valid. A limit may have begun in the meantime, and an expired
-    /// unit would come on top of those granted by now.
+    /// Whether the permit is still valid. The server may have announced a limit in the meantime,
+    /// and a request sent on an expired unit would come on top of those granted by now.
     pub fn holds(&self, server: &Server, now_ms: Millis) -> bool {
         match self.unit_until_ms {
             Some(until_ms) => now_ms < until_ms,
@@ -33,10 +33,10 @@
 
     /// Returns the unit of a permit for which nothing was sent.
     pub fn give_back(self, node: &Node, server: &Server) {
-        let is_held = self
+        let is_unit_valid = self
             .unit_until_ms
             .is_some_and(|until_ms| node.now_ms() < until_ms);
-        if let Some(limited) = Limited::of_server(node, server).filter(|_| is_held) {
+        if let Some(limited) = Limited::of_server(node, server).filter(|_| is_unit_valid) {
             super::give_back(node, &limited, 1.0);
         }
     }
@@ -45,16 +45,16 @@
 /// Acquires a permit to send one request to a server. Returns `None` if its limit has no capacity
 /// now; the server is then skipped until it may have some.
 ///
-/// The load on an overloaded server is the sum over all boxes, which no single box can see. When
-/// each box went on until the server itself announced the limit to it, seven boxes sent 57 requests
-/// in 4 s, none of them more than 12, to a server that takes 3.4 per second.
+/// The load on an overloaded server is the sum over all boxes, which no single box can see. If each
+/// box sent requests until the server announced its limit to that box, all boxes together would
+/// exceed the limit several times over.
 pub async fn take(node: &Node, server: &Rc<Server>) -> Option<Permit> {
     let Some(limited) = Limited::of_server(node, server) else {
         let unit_until_ms = None;
         return Some(Permit { unit_until_ms });
     };
     let admitted = super::admit(node, &limited, 1.0, None).await;
-    let is_over = server.limit_per_s().is_none();
+    let has_limit_ended = server.limit_per_s().is_none();
     let outcome = admitted.map_or("refused", |by| by.name());
     node.metrics.count_server_limit(outcome);
     let now_ms = node.now_ms();
@@ -63,7 +63,7 @@
             let unit_until_ms = Some(now_ms + GRANT_LIFE_MS);
             Some(Permit { unit_until_ms })
         }
-        Err(_) if is_over => {
+        Err(_) if has_limit_ended => {
             let unit_until_ms = None;
             Some(Permit { unit_until_ms })
         }
