--- a/crates/tinbay-gateway/src/crashes/check.rs
+++ b/crates/tinbay-gateway/src/crashes/check.rs
@@ -1,4 +1,4 @@
-//! Checks whether a server that cut answers short has crashed.
+//! Checks whether a backend server that cut answers short has crashed.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -49,7 +49,7 @@
 /// check unless one is pending.
 pub fn note_cut(node: &Rc<Node>, server: &Rc<Server>, request: CutRequest) {
     node.crashes.begin_check(request.digest);
-    let mut cut = server.cut.borrow_mut();
+    let mut cut = server.cut_requests.borrow_mut();
     cut.push(request);
     if cut.len() == 1 {
         let checking = check(Rc::clone(node), Rc::clone(server));
@@ -58,8 +58,8 @@
 }
 
 /// Probes the server. A process that has ended refuses connections, while one that closed only some
-/// of them still accepts new ones. A server that announced before that it would leave has not
-/// crashed.
+/// of them still accepts new ones. A server that had announced that it would leave, or whose entry
+/// was gone, has not crashed.
 async fn check(node: Rc<Node>, server: Rc<Server>) {
     let is_planned = !is_expected_to_run(&node, &server);
     tokio::time::sleep(CHECK_DELAY).await;
@@ -68,7 +68,7 @@
     } else {
         probe(server.record().address, PROBE_TIMEOUT).await
     };
-    let cut = server.cut.take();
+    let cut = server.cut_requests.take();
     let record = server.record();
     let event = CheckEvent {
         server: &record.id,
@@ -80,7 +80,7 @@
     let labels = [outcome.name()];
     node.metrics.server_checks.with_label_values(&labels).inc();
     if outcome == ProbeOutcome::Refuses && !is_planned {
-        note_crash(&node, &server, &cut);
+        record_crash(&node, &server, &cut);
     }
     for request in &cut {
         node.crashes.end_check(request.digest);
@@ -90,14 +90,14 @@
 /// Whether the server is still listed in the store and is not leaving.
 fn is_expected_to_run(node: &Node, server: &Rc<Server>) -> bool {
     let record = server.record();
-    let entered = node.servers.borrow().get(&record.id);
-    let is_entered = entered.is_some_and(|entered| Rc::ptr_eq(&entered, server));
-    is_entered && !server.is_leaving()
+    let listed = node.servers.borrow().get(&record.id);
+    let is_listed = listed.is_some_and(|listed| Rc::ptr_eq(&listed, server));
+    is_listed && !server.is_leaving()
 }
 
-/// Counts a crash under each of the cut requests. An incarnation of a server crashes once, so all
-/// boxes report it under the same key.
-fn note_crash(node: &Rc<Node>, server: &Server, cut: &[CutRequest]) {
+/// Counts a crash for each of the cut requests. An incarnation of a server crashes once, so all
+/// boxes report it under the server's key.
+fn record_crash(node: &Rc<Node>, server: &Server, cut: &[CutRequest]) {
     for request in cut {
         let event = SuspectEvent {
             request: &request.id,
@@ -105,7 +105,7 @@
             server: &server.record().id,
         };
         events::emit(part::FRONT, Level::Info, "crash_suspect", &event);
-        super::count(node, request.digest, server.key);
+        super::count_crash(node, request.digest, server.key);
     }
     let digests = cut.iter().map(|request| request.digest).collect();
     spread::report(node, digests, server.key);
--- a/crates/tinbay-gateway/src/crashes/entries.rs
+++ b/crates/tinbay-gateway/src/crashes/entries.rs
@@ -21,8 +21,8 @@
 /// First wait after a failed call.
 const RETRY_PAUSE_MS: Millis = 500;
 
-/// Upper bound of the exponential backoff. It may be long, as the running boxes know the request
-/// already.
+/// Upper bound of the exponential backoff. It may be long, as the running boxes get the
+/// announcement and don't need the entry.
 const MAX_RETRY_PAUSE_MS: Millis = 8_000;
 
 #[derive(Serialize)]
@@ -79,8 +79,8 @@
     }
 }
 
-/// Applies an entry read from the store. It holds no age: for boxes that start later, only its
-/// lease limits how long it counts.
+/// Applies an entry read from the store. The entry holds no age, so the quarantine begins anew at a
+/// box that reads it; the entry's lease limits how long it can be read.
 pub fn take(node: &Node, item: &Item) {
     let Some(digest) = item.key.strip_prefix(PREFIX) else {
         return;
--- a/crates/tinbay-gateway/src/crashes/mod.rs
+++ b/crates/tinbay-gateway/src/crashes/mod.rs
@@ -1,4 +1,4 @@
-//! Quarantine of requests under which servers crash.
+//! Quarantine of callers' requests that crash backend servers.
 //!
 //! A box reports each crash that it sees to the few boxes that track the request. A tracker that
 //! has counted enough crashes quarantines the request, announces that to all boxes, and writes it
@@ -24,14 +24,16 @@
 use crate::events::{self, part};
 use crate::node::Node;
 
-/// State of this box about requests under which servers crash.
+/// This box's knowledge of requests that crash servers.
 #[derive(Debug, Default)]
 pub struct Crashes {
+    /// Crashes counted by request.
     ledger: RefCell<CrashLedger>,
+    /// Requests that this box has seen complete.
     proven: RefCell<ProvenRequests>,
     quarantine: RefCell<Quarantine>,
     /// Requests cut short by servers that are being checked, with the number of cuts.
-    in_check: RefCell<HashMap<RequestDigest, usize>>,
+    pending_checks: RefCell<HashMap<RequestDigest, usize>>,
     /// Notified when a check has finished.
     check_done: Notify,
     /// Requests quarantined by this box that have no entry in the store yet.
@@ -75,44 +77,44 @@
     }
 
     fn begin_check(&self, digest: RequestDigest) {
-        *self.in_check.borrow_mut().entry(digest).or_default() += 1;
+        *self.pending_checks.borrow_mut().entry(digest).or_default() += 1;
     }
 
     fn end_check(&self, digest: RequestDigest) {
-        let mut in_check = self.in_check.borrow_mut();
-        if let Some(count) = in_check.get_mut(&digest) {
+        let mut pending_checks = self.pending_checks.borrow_mut();
+        if let Some(count) = pending_checks.get_mut(&digest) {
             *count -= 1;
             if *count == 0 {
-                in_check.remove(&digest);
+                pending_checks.remove(&digest);
             }
         }
         self.check_done.notify_waiters();
     }
 
-    /// Number of quarantined requests and of suspected ones.
+    /// Number of quarantined requests, and of requests with counted crashes.
     pub fn counts(&self, now_ms: Millis) -> (usize, usize) {
-        let refused = self.quarantine.borrow().ages(now_ms).len();
-        (refused, self.ledger.borrow().len())
+        let quarantined = self.quarantine.borrow().ages(now_ms).len();
+        (quarantined, self.ledger.borrow().len())
     }
 }
 
-/// Whether a request is quarantined. A request that this box has seen complete is never refused.
+/// Whether a request is refused: it is quarantined, and this box has not seen it complete.
 pub fn is_refused(node: &Node, digest: RequestDigest) -> bool {
-    let is_held = node
+    let is_quarantined = node
         .crashes
         .quarantine
         .borrow()
         .holds(digest, node.now_ms());
-    is_held && !node.crashes.proven.borrow().contains(digest)
+    is_quarantined && !node.crashes.proven.borrow().contains(digest)
 }
 
 /// Waits for the checks of servers that just cut the request short, which takes some milliseconds.
-/// Without the wait a request that was retried within that time crashed ten servers before the
-/// first crash was counted.
+/// Without the wait, retries of a request within that time could crash several servers before the
+/// first crash is counted.
 pub async fn wait_for_checks(node: &Node, digest: RequestDigest) {
     loop {
         let done = node.crashes.check_done.notified();
-        if !node.crashes.in_check.borrow().contains_key(&digest) {
+        if !node.crashes.pending_checks.borrow().contains_key(&digest) {
             return;
         }
         done.await;
@@ -126,13 +128,13 @@
 }
 
 /// Counts a crash under a request, seen by this box or reported by another one.
-pub fn count(node: &Node, digest: RequestDigest, crash: CrashKey) {
+pub fn count_crash(node: &Node, digest: RequestDigest, crash: CrashKey) {
     if node.crashes.proven.borrow().contains(digest) {
         return;
     }
     let now_ms = node.now_ms();
     let crashes = node.crashes.ledger.borrow_mut().note(digest, crash, now_ms);
-    if crashes >= CRASHES_TO_REFUSE && refuse(node, digest, 0, Source::Counted) {
+    if crashes >= CRASHES_TO_REFUSE && quarantine_request(node, digest, 0, Source::Counted) {
         node.crashes.unsaved.borrow_mut().push_back(digest);
         node.crashes.save_due.notify_one();
         spread::announce(node, digest, spread::Audience::AllZones);
@@ -142,31 +144,31 @@
 /// Queues the entries of all quarantined requests to be written again after the store lost them.
 /// Returns their number.
 pub fn save_again(node: &Node) -> usize {
-    let refused = node.crashes.quarantine.borrow().ages(node.now_ms());
+    let quarantined = node.crashes.quarantine.borrow().ages(node.now_ms());
     let mut unsaved = node.crashes.unsaved.borrow_mut();
-    for (digest, _) in &refused {
+    for (digest, _) in &quarantined {
         if !unsaved.contains(digest) {
             unsaved.push_back(*digest);
         }
     }
     node.crashes.save_due.notify_one();
-    refused.len()
+    quarantined.len()
 }
 
 /// Applies another box's announcement of a quarantined request.
 pub fn apply_announcement(node: &Node, digest: RequestDigest, age_ms: Millis) {
-    if refuse(node, digest, age_ms, Source::Announced) {
+    if quarantine_request(node, digest, age_ms, Source::Announced) {
         spread::announce(node, digest, spread::Audience::AsRelay);
     }
 }
 
 /// Applies a quarantined request read from the store.
 pub fn apply_stored(node: &Node, digest: RequestDigest) {
-    refuse(node, digest, 0, Source::Stored);
+    quarantine_request(node, digest, 0, Source::Stored);
 }
 
 /// Quarantines a request; returns whether that is new.
-fn refuse(node: &Node, digest: RequestDigest, age_ms: Millis, source: Source) -> bool {
+fn quarantine_request(node: &Node, digest: RequestDigest, age_ms: Millis, source: Source) -> bool {
     let now_ms = node.now_ms();
     let is_new = node
         .crashes
--- a/crates/tinbay-gateway/src/crashes/spread.rs
+++ b/crates/tinbay-gateway/src/crashes/spread.rs
@@ -23,15 +23,15 @@
 /// no effect.
 const REPORT_SENDS: usize = 2;
 
-/// Pause between the reports. A box that has failed is noticed within this time, and the report
-/// then goes to its replacement.
+/// Pause between the reports. The failure of a tracker is detected within this time, and the second
+/// report then goes to its replacement.
 const REPORT_PAUSE: Duration = Duration::from_millis(600);
 
-/// Boxes in the zone to which a quarantine is announced directly, and which pass it on.
+/// Boxes in this zone to which a quarantine is announced directly, and which pass it on.
 const ZONE_PEERS: usize = 4;
 
-/// Upper bound on requests listed in one message. Each message lists a random selection, so that all
-/// requests are listed over time.
+/// Upper bound on requests listed in one message. Each message lists a random selection, so that
+/// all requests are listed over time.
 const MAX_LISTED: usize = 24;
 
 /// Zones to which a quarantine is announced directly.
@@ -120,7 +120,7 @@
 
 /// Handles another box's report of a crash.
 pub fn handle_report(node: &Node, part: &CrashReportPart) {
-    super::count(node, part.digest, part.crash);
+    super::count_crash(node, part.digest, part.crash);
 }
 
 /// Handles another box's list of quarantined requests.
--- a/crates/tinbay-gateway/src/orders/claiming.rs
+++ b/crates/tinbay-gateway/src/orders/claiming.rs
@@ -168,8 +168,8 @@
         && claim.validity == ClaimValidity::Current
     {
         // A claim that was not released may be taken only while its holder has no entry.
-        let holder_entry = format!("{MEMBER_PREFIX}{}", claim.value.holder);
-        expected.push((holder_entry, Position::missing(stored.era)));
+        let holder_key = format!("{MEMBER_PREFIX}{}", claim.value.holder);
+        expected.push((holder_key, Position::missing(stored.era)));
     }
     let value = encode(&own_id, false, stored.era);
     let transaction = Transaction {
--- a/crates/tinbay-gateway/src/orders/held_server.rs
+++ b/crates/tinbay-gateway/src/orders/held_server.rs
@@ -86,14 +86,14 @@
 
     /// Records that the server doesn't answer orders, so that boxes prefer other servers for a
     /// while.
-    pub fn note_unresponsive(&self, now_ms: Millis) {
+    pub fn record_unresponsive(&self, now_ms: Millis) {
         let mut subscribers = self.subscribers.borrow_mut();
         subscribers.note_failures(UNRESPONSIVE_PENALTY, now_ms);
     }
 
     /// Records that the server accepted no connection. This raises its failure penalty to the upper
     /// bound, so that boxes prefer other servers for a while.
-    pub fn note_unreachable(&self, now_ms: Millis) {
+    pub fn record_unreachable(&self, now_ms: Millis) {
         let mut subscribers = self.subscribers.borrow_mut();
         subscribers.note_failures(MAX_FAILURE_PENALTY, now_ms);
     }
@@ -103,7 +103,7 @@
         self.subscribers.borrow_mut().hear(box_id, now_ms);
     }
 
-    /// Records the adapter that another box's request needs. An adapter that is loaded already is
+    /// Records the adapter that a box's request needs. An adapter that is loaded already is
     /// recorded as used, so that it is kept for the request.
     pub fn note_load_request(&self, box_id: &str, want: WantedLoad, now_ms: Millis) {
         let key = adapter_key(&want.adapter);
--- a/crates/tinbay-gateway/src/orders/holder.rs
+++ b/crates/tinbay-gateway/src/orders/holder.rs
@@ -384,7 +384,7 @@
         {
             unanswered += 1;
             if unanswered == ROUNDS_UNTIL_UNRESPONSIVE {
-                self.held.note_unresponsive(self.node.now_ms());
+                self.held.record_unresponsive(self.node.now_ms());
                 self.publish(Audience::Users);
             }
             answer = self.send_copies(order).await;
@@ -459,14 +459,14 @@
     fn report_displaced(&self) {
         let now_ms = self.node.now_ms();
         self.server.note_displaced(now_ms);
-        self.held.note_unreachable(now_ms);
+        self.held.record_unreachable(now_ms);
         self.publish(Audience::Users);
     }
 
     /// Reports to all users of the server that it accepts no connections.
     fn report_unreachable(&self, error: CallError) {
         if error == CallError::NotConnected {
-            self.held.note_unreachable(self.node.now_ms());
+            self.held.record_unreachable(self.node.now_ms());
             self.publish(Audience::Users);
         }
     }
--- a/crates/tinbay-gateway/src/servers/departed.rs
+++ b/crates/tinbay-gateway/src/servers/departed.rs
@@ -1,7 +1,8 @@
-//! Notices of servers whose entries are gone from the store, as entries may come back.
+//! Keeps the notices of backend servers whose entries disappeared from the store, as entries may
+//! reappear.
 //!
-//! An entry expires while the store is unreachable and is written again afterwards, and a listing
-//! may contain one that was gone. The notices of a server stay in force beyond that.
+//! An entry can expire while the store is unreachable and be written again afterwards, and an old
+//! listing can contain one that was removed. The server's notices stay in force in both cases.
 
 use std::cell::RefCell;
 use std::collections::{HashMap, VecDeque};
--- a/crates/tinbay-gateway/src/servers/mod.rs
+++ b/crates/tinbay-gateway/src/servers/mod.rs
@@ -1,4 +1,4 @@
-//! Table of the servers that this box knows, with its state for each.
+//! Table of the backend servers that this box knows, with this box's state for each of them.
 
 mod departed;
 pub mod notices;
@@ -38,7 +38,8 @@
 pub enum ServerChange {
     /// The server is new.
     Arrived,
-    /// The server restarted or moved to another address, so that all earlier knowledge is void.
+    /// The server restarted or moved to another address, so that its earlier state no longer
+    /// applies.
     Restarted,
     /// The server has begun to leave.
     StateChanged,
@@ -73,9 +74,9 @@
     }
 
     /// Returns the table with a metric for connections to servers.
-    pub fn with_connection_metric(self, measure: IntCounterVec) -> Self {
+    pub fn with_connection_metric(self, metric: IntCounterVec) -> Self {
         Self {
-            connections_metric: Some(measure),
+            connections_metric: Some(metric),
             ..self
         }
     }
@@ -94,9 +95,8 @@
     /// nothing.
     ///
     /// A new incarnation is another server under the same id, with its own key, view and
-    /// connections. When boxes kept the view of the old incarnation, up to 667 requests a day were
-    /// refused by servers that had restarted, which cost 0.01 to 0.11 of the score in three
-    /// simulated days.
+    /// connections. With the view of the old incarnation, boxes would send requests for adapters
+    /// that the restarted server no longer holds and refuses.
     pub fn put(&mut self, record: ServerRecord) -> ServerChange {
         let Some(server) = self.by_id.get(&record.id) else {
             self.insert(record);
@@ -181,17 +181,17 @@
             .collect()
     }
 
-    /// Servers of a service that are running and not about to leave, including paused ones.
+    /// Servers of a service that are not leaving, including those in a back-off or at their limits.
     pub fn staying(&self, service: &str) -> Vec<Rc<Server>> {
         let now_ms = self.clock.now_ms();
         self.of_service(service)
-            .filter(|server| server.is_ready(now_ms))
+            .filter(|server| server.is_in_service(now_ms))
             .cloned()
             .collect()
     }
 
-    /// Earliest time at which one of a service's servers that are paused or at their limits accepts
-    /// requests again; `None` if there is no such server.
+    /// Earliest time at which one of a service's servers that are in a back-off or at their limits
+    /// accepts requests again; `None` if there is no such server.
     pub fn first_available_ms(&self, service: &str) -> Option<Millis> {
         let now_ms = self.clock.now_ms();
         let end_ms = |server: &Rc<Server>| {
@@ -199,7 +199,7 @@
             back_off_until_ms.max(server.at_limit_until_ms(now_ms))
         };
         self.of_service(service)
-            .filter(|server| server.is_ready(now_ms))
+            .filter(|server| server.is_in_service(now_ms))
             .filter_map(end_ms)
             .min()
     }
@@ -208,7 +208,7 @@
     pub fn limits_per_s(&self, service: &str) -> f64 {
         let now_ms = self.clock.now_ms();
         self.of_service(service)
-            .filter(|server| server.is_ready(now_ms))
+            .filter(|server| server.is_in_service(now_ms))
             .filter_map(|server| server.limit_per_s())
             .sum()
     }
--- a/crates/tinbay-gateway/src/servers/notices.rs
+++ b/crates/tinbay-gateway/src/servers/notices.rs
@@ -1,5 +1,5 @@
-//! Notices that servers send about themselves in the headers of any answer: that they are leaving,
-//! want a pause, or have a limit.
+//! Notices that backend servers send about themselves in the headers of any answer: that they are
+//! leaving, ask for a back-off, or have a limit.
 
 use std::rc::Rc;
 
@@ -44,7 +44,7 @@
     }
 }
 
-/// Status and headers of an answer that a server itself gave.
+/// Status and headers of an answer that comes from the server itself.
 #[derive(Debug, Clone, Copy)]
 pub struct AnswerHead<'a> {
     /// Kind of request.
@@ -55,9 +55,9 @@
     pub status: u16,
     /// HTTP headers.
     pub headers: &'a HeaderMap,
-    /// Whether this is the answer to a request that was run. Such answers always name the server's
-    /// limit, so a missing header means that there is none. Refusals and answers to orders need not
-    /// name it.
+    /// Whether this is the answer to a request that was run. Such an answer names the server's
+    /// limit if it has one, so a missing header means that there is none. Refusals and answers to
+    /// orders may omit it.
     pub has_run: bool,
 }
 
@@ -97,7 +97,7 @@
 /// Applies the notices in the head of a server's own answer. Returns whether they changed anything
 /// that other boxes have to know.
 pub fn take(node: &Node, server: &Rc<Server>, head: &AnswerHead<'_>) -> bool {
-    let notice = read(node, server, head);
+    let notice = decode(node, server, head);
     server.apply_notice(notice, node.now_ms());
     let limit_before = server.take_limit_change();
     if let Some(before_per_s) = limit_before {
@@ -112,7 +112,7 @@
 }
 
 /// Decodes the notices in the head; an unreadable one is logged and ignored.
-fn read(node: &Node, server: &Server, head: &AnswerHead<'_>) -> AnswerNotice {
+fn decode(node: &Node, server: &Server, head: &AnswerHead<'_>) -> AnswerNotice {
     let is_leaving = node.dialect.decode_leaving(head.headers);
     let back_off_ms = node.dialect.decode_back_off(head.status, head.headers);
     let limit = node.dialect.decode_limit(head.headers);
--- a/crates/tinbay-gateway/src/servers/server.rs
+++ b/crates/tinbay-gateway/src/servers/server.rs
@@ -1,4 +1,5 @@
-//! One incarnation of a server and its state as this box knows it.
+//! One incarnation of a backend server, that is one run of its process, and its state as this box
+//! knows it.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -53,12 +54,12 @@
     pub order_due: Notify,
     /// Notified when a status from its holder has arrived.
     pub status_received: Notify,
-    /// View by the status messages of its holder.
+    /// Its state by the last status message of its holder.
     pub view: RefCell<View>,
     /// Requests that this box has running there.
     pub usage: RefCell<Usage>,
-    /// Requests that it cut short and for which a check is pending.
-    pub cut: RefCell<Vec<CutRequest>>,
+    /// Requests whose answers it cut short, while the check whether it crashed is pending.
+    pub cut_requests: RefCell<Vec<CutRequest>>,
     /// Pool of connections to it.
     pub pool: Rc<Pool>,
     /// Bytes of this box's requests that it has not begun to answer.
@@ -70,13 +71,13 @@
     service: Rc<ServiceStats>,
     /// Its speed relative to its service, from answers to this box.
     slowness: Cell<Slowness>,
-    /// End of its slow phase after a start.
+    /// End of the phase after its start in which it is slow, as it announced.
     slow_until_ms: Cell<Millis>,
     failure_penalty: Cell<(f64, Millis)>,
     displaced_until_ms: Cell<Millis>,
     /// Its limit as last logged and passed on to other boxes.
     reported_limit: Cell<Option<f64>>,
-    /// Time until which its limit has no capacity.
+    /// Time until which it is skipped, as its limit has no capacity.
     at_limit_until_ms: Cell<Millis>,
     delay: Cell<(f64, Millis)>,
 }
@@ -122,7 +123,7 @@
             status_received: Notify::new(),
             view: RefCell::default(),
             usage: RefCell::default(),
-            cut: RefCell::default(),
+            cut_requests: RefCell::default(),
             pool: Rc::new(Pool::new(
                 key,
                 record.address,
@@ -142,21 +143,20 @@
             at_limit_until_ms: Cell::default(),
             delay: Cell::default(),
         };
-        server.note_slow_start(record.slow_for_ms);
+        server.set_slow_phase(record.slow_for_ms);
         server.set_record(record);
         server
     }
 
     /// Applies an entry of this incarnation. Leaving is final: an entry that is late or old does
-    /// not revert it. When the state of the last entry was used, a leaving server got 10 to 14 of
-    /// 24 requests.
+    /// not revert it, as a leaving server would get requests again.
     pub(super) fn set_record(&self, record: ServerRecord) {
         if record.state == ServerState::Draining {
             self.notices.borrow_mut().note_leaving();
         }
-        // A repeated entry tells nothing new about the remaining time.
+        // A repeated entry does not restart the slow phase.
         if record.slow_for_ms != self.record().slow_for_ms {
-            self.note_slow_start(record.slow_for_ms);
+            self.set_slow_phase(record.slow_for_ms);
         }
         let state = if self.is_leaving() {
             ServerState::Draining
@@ -166,7 +166,7 @@
         *self.record.borrow_mut() = Rc::new(ServerRecord { state, ..record });
     }
 
-    fn note_slow_start(&self, slow_for_ms: Millis) {
+    fn set_slow_phase(&self, slow_for_ms: Millis) {
         let slow_for_ms = slow_for_ms.min(MOST_SLOW_START_MS);
         self.slow_until_ms.set(self.clock.now_ms() + slow_for_ms);
     }
@@ -192,11 +192,11 @@
     }
 
     fn slowness_factor(&self, now_ms: Millis) -> f64 {
-        let seen = self.slowness.get().factor(now_ms);
+        let measured = self.slowness.get().factor(now_ms);
         if now_ms < self.slow_until_ms.get() {
-            return seen.max(SLOW_START);
+            return measured.max(SLOW_START);
         }
-        seen
+        measured
     }
 
     /// Statistics of its service.
@@ -219,7 +219,7 @@
         self.notices.borrow().limit().per_s()
     }
 
-    /// Its entry in the store, with the state that this box derived.
+    /// Its entry in the store, with the state that this box derived from its entries and notices.
     pub fn record(&self) -> Rc<ServerRecord> {
         Rc::clone(&self.record.borrow())
     }
@@ -239,13 +239,14 @@
         self.notices.borrow().is_leaving()
     }
 
-    /// End of a pause that it asked for; `None` if it accepts requests.
+    /// End of its back-off; `None` if it is not in one.
     pub fn back_off_until_ms(&self, now_ms: Millis) -> Option<Millis> {
         self.notices.borrow().back_off_until_ms(now_ms)
     }
 
-    /// Whether it is running and not about to leave.
-    pub fn is_ready(&self, now_ms: Millis) -> bool {
+    /// Whether it is not leaving and no other server was seen at its address. It may still be in a
+    /// back-off or at its limit.
+    pub fn is_in_service(&self, now_ms: Millis) -> bool {
         !self.is_leaving() && !self.is_displaced(now_ms)
     }
 
@@ -256,11 +257,12 @@
 
     /// Whether this box may send it a request that has a permit within the server's limit.
     pub fn may_be_sent(&self, now_ms: Millis) -> bool {
-        let accepts_requests = self.is_ready(now_ms) && self.back_off_until_ms(now_ms).is_none();
+        let accepts_requests =
+            self.is_in_service(now_ms) && self.back_off_until_ms(now_ms).is_none();
         accepts_requests && self.waiting.takes_more()
     }
 
-    /// Skips the server until then, as its limit has no capacity.
+    /// Skips the server until `until_ms`, as its limit has no capacity.
     pub fn skip_until(&self, until_ms: Millis) {
         self.at_limit_until_ms.set(until_ms);
     }
@@ -271,7 +273,7 @@
         (now_ms < until_ms && self.limit_per_s().is_some()).then_some(until_ms)
     }
 
-    /// Time for which it has been known to have a limit.
+    /// Time since this box first knew of its limit.
     pub fn limit_known_for_ms(&self, now_ms: Millis) -> Millis {
         self.notices.borrow().limit().known_for_ms(now_ms)
     }
@@ -279,8 +281,8 @@
     /// Returns the previously reported limit if the limit has changed so much that others should
     /// know, and marks the new one as reported.
     pub fn take_limit_change(&self) -> Option<Option<f64>> {
-        let (reported, now) = (self.reported_limit.get(), self.limit_per_s());
-        is_significant_change(reported, now).then(|| self.reported_limit.replace(now))
+        let (reported, current) = (self.reported_limit.get(), self.limit_per_s());
+        is_significant_change(reported, current).then(|| self.reported_limit.replace(current))
     }
 
     /// Its limit with the time of its announcement, to pass on to other boxes.
@@ -288,9 +290,9 @@
         self.notices.borrow().limit().notice()
     }
 
-    /// Records that another server answers at its address, so that it has ended whatever its entry
-    /// says. Entries of ended servers reappear at times next to those of servers that took over
-    /// their addresses.
+    /// Records that another server answers at its address, which shows that this one has ended even
+    /// if it has an entry. Entries of ended servers can reappear next to those of servers that took
+    /// over their addresses.
     pub fn note_displaced(&self, now_ms: Millis) {
         self.displaced_until_ms.set(now_ms + DISPLACED_PAUSE_MS);
     }
@@ -329,7 +331,7 @@
         let known = self.own_delay(now_ms);
         let delay = known + DELAY_WEIGHT * (part - known);
         self.delay.set((delay, now_ms));
-        self.usage.borrow_mut().note_delay(part);
+        self.usage.borrow_mut().record_delay(part);
     }
 
     /// Usual time to the response head as a fraction of the objective, which decays over time: the
@@ -359,6 +361,6 @@
     pub fn add_failure_penalty(&self, amount: f64, now_ms: Millis) {
         let sum = (self.own_failure_penalty(now_ms) + amount).min(MAX_FAILURE_PENALTY);
         self.failure_penalty.set((sum, now_ms));
-        self.usage.borrow_mut().note_failure(amount);
+        self.usage.borrow_mut().record_failure(amount);
     }
 }
--- a/crates/tinbay-gateway/src/servers/usage.rs
+++ b/crates/tinbay-gateway/src/servers/usage.rs
@@ -1,4 +1,5 @@
-//! Requests that this box has running at one server.
+//! Requests that this box has running at one backend server, and the reports of them to the
+//! server's holder.
 
 use std::collections::HashMap;
 
@@ -7,7 +8,8 @@
 use tinbay_core::serving::subscribers::AdapterUse;
 use tinbay_core::units::Millis;
 
-/// Interval at which running requests are reported again, as messages may be lost.
+/// Interval at which running requests are reported again even without a change, as messages may be
+/// lost.
 const REPORT_INTERVAL_MS: Millis = 1_000;
 
 #[derive(Debug, Default, Clone, Copy)]
@@ -73,12 +75,12 @@
     }
 
     /// Records the last time to the first byte as a fraction of its objective.
-    pub fn note_delay(&mut self, part_of_objective: f64) {
+    pub fn record_delay(&mut self, part_of_objective: f64) {
         self.last_delay = Some(part_of_objective);
     }
 
     /// Adds the penalty of a failure.
-    pub fn note_failure(&mut self, failure_penalty: f64) {
+    pub fn record_failure(&mut self, failure_penalty: f64) {
         self.failure_penalty += failure_penalty;
         self.is_changed = true;
     }
--- a/crates/tinbay-gateway/src/servers/view.rs
+++ b/crates/tinbay-gateway/src/servers/view.rs
@@ -1,4 +1,4 @@
-//! What a server's holder reported this box of it.
+//! This box's view of a backend server, as the server's holder reports it.
 
 use std::collections::HashMap;
 
@@ -9,11 +9,12 @@
 use tinbay_core::serving::subscribers::{ContentsChange, FAILURE_PENALTY_HALF_LIFE_MS, FRESH_MS};
 use tinbay_core::units::Millis;
 
-/// Time for which the load and capacity values of a status are used. Its adapters are used for
-/// longer.
+/// Time for which the load and capacity values of a status are used. Its list of adapters is used
+/// until the next status.
 const STATUS_VALID_MS: Millis = 2_000;
 
-/// Time-out of a holder's answer; a datagram and its reply take a few milliseconds.
+/// Time-out of a holder's answer to a status request; a datagram and its reply take a few
+/// milliseconds.
 const ANSWER_TIMEOUT_MS: Millis = 60;
 
 /// Time for which a holder that did not answer is skipped.
@@ -51,12 +52,13 @@
     pub is_scarce: bool,
 }
 
-/// What a server's holder reported this box of it.
+/// This box's view of a server, as the server's holder reports it.
 #[derive(Debug, Default)]
 pub struct View {
     status: Option<ServerStatus>,
     backlog: Backlog,
     received_ms: Millis,
+    /// Time of the first request to the holder that is not answered yet.
     asked_ms: Option<Millis>,
 }
 
@@ -91,7 +93,7 @@
         }
     }
 
-    /// Records a request to the holder. It counts as late from the first request without an answer.
+    /// Records a request to the holder. The time-out runs from the first unanswered one.
     pub fn note_asked(&mut self, now_ms: Millis) {
         let is_over = |asked_ms| now_ms >= asked_ms + SILENT_HOLDER_PAUSE_MS;
         if self.asked_ms.is_none_or(is_over) {
@@ -99,7 +101,7 @@
         }
     }
 
-    /// Whether the holder has failed to answer in time.
+    /// Whether the holder failed to answer in time and is to be skipped for now.
     pub fn is_silent(&self, now_ms: Millis) -> bool {
         self.asked_ms.is_some_and(|asked_ms| {
             let waited_ms = now_ms.saturating_sub(asked_ms);
--- a/crates/tinbay-gateway/src/servers/waiting.rs
+++ b/crates/tinbay-gateway/src/servers/waiting.rs
@@ -1,4 +1,5 @@
-//! Bytes of requests that were sent to a server which has not begun to answer them.
+//! Bytes of this box's requests that a backend server has not begun to answer, and the limit on
+//! them.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -12,7 +13,7 @@
     max_bytes: Cell<Option<u64>>,
 }
 
-/// Share of one request, held until the server begins to answer it or it is given up.
+/// Bytes of one request, counted until the server begins to answer it or the request is abandoned.
 #[derive(Debug)]
 pub struct WaitingRequest {
     sum: Rc<Cell<u64>>,
--- a/crates/tinbay-gateway/tests/replica_test.rs
+++ b/crates/tinbay-gateway/tests/replica_test.rs
@@ -157,8 +157,8 @@
     assert_eq!(replica.complete_ms(PREFIX), Some(5_000));
 }
 
-/// Once the era of the store turns out to be settled, what was read in it counts as complete, unless
-/// the box that it came from reported otherwise.
+/// Once the era of the store turns out to be settled, what was read in it counts as complete,
+/// unless the box that it came from reported otherwise.
 #[test]
 fn note_complete_counts_from_what_was_last_seen() {
     let unsure = Evidence {
--- a/crates/tinbay-gateway/tests/server_view_test.rs
+++ b/crates/tinbay-gateway/tests/server_view_test.rs
@@ -116,6 +116,6 @@
     assert!(usage.is_due(10));
     usage.take_report(10);
     assert!(!usage.is_due(60_000));
-    usage.note_failure(2.0);
+    usage.record_failure(2.0);
     assert_eq!(usage.take_report(70_000).failure_penalty, 2.0);
 }
