--- a/crates/tinbay-gateway/tests/access_test.rs
+++ b/crates/tinbay-gateway/tests/access_test.rs
@@ -1,4 +1,4 @@
-//! How store access detects that the store was restored, by the era that its answers name.
+//! How access to the store detects that the store was restored, by the era that its answers name.
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -21,26 +21,26 @@
 /// How the store answers a call.
 #[derive(Debug, Clone, Copy)]
 enum Next {
-    Names(Option<Era>),
-    IsLost,
+    Answers(Option<Era>),
+    NoAnswer,
 }
 
 impl Eras {
-    fn name(&self, eras: &[Option<u64>]) {
-        let eras = eras.iter().map(|era| Next::Names(era.map(Era)));
+    fn queue_answers(&self, eras: &[Option<u64>]) {
+        let eras = eras.iter().map(|era| Next::Answers(era.map(Era)));
         self.0.borrow_mut().extend(eras);
     }
 
-    fn lose(&self, count: usize) {
-        let lost = std::iter::repeat_n(Next::IsLost, count);
+    fn queue_lost_answers(&self, count: usize) {
+        let lost = std::iter::repeat_n(Next::NoAnswer, count);
         self.0.borrow_mut().extend(lost);
     }
 
     fn answer<T>(&self, value: impl FnOnce(Era) -> T) -> Answered<T> {
         let next = self.0.borrow_mut().pop_front();
-        let era = match next.unwrap_or(Next::Names(None)) {
-            Next::Names(era) => era,
-            Next::IsLost => {
+        let era = match next.unwrap_or(Next::Answers(None)) {
+            Next::Answers(era) => era,
+            Next::NoAnswer => {
                 let result = Err(StoreError::NoAnswer);
                 return Answered { era: None, result };
             }
@@ -95,23 +95,23 @@
     (access, eras)
 }
 
-fn now<T>(work: impl Future<Output = StoreResult<T>>) -> StoreResult<T> {
+fn complete_now<T>(work: impl Future<Output = StoreResult<T>>) -> StoreResult<T> {
     work.now_or_never().expect("the store answers at once")
 }
 
-/// Has the store answer a read in an era.
-fn see(access: &StoreAccess, eras: &Eras, era: u64) {
-    eras.name(&[Some(era)]);
-    now(access.read("k")).expect("an answer");
+/// Reads from the store, which answers in `era`.
+fn read_in_era(access: &StoreAccess, eras: &Eras, era: u64) {
+    eras.queue_answers(&[Some(era)]);
+    complete_now(access.read("k")).expect("an answer");
 }
 
 #[test]
-fn take_first_answer_of_a_later_era_is_a_return() {
+fn take_first_answer_of_a_later_era_is_a_restore() {
     let (access, eras) = access();
-    see(&access, &eras, 3);
+    read_in_era(&access, &eras, 3);
     assert!(access.next_restore().is_none());
-    see(&access, &eras, 4);
-    let seen = access.next_restore().expect("a return");
+    read_in_era(&access, &eras, 4);
+    let seen = access.next_restore().expect("a restore");
     assert_eq!((seen.from, seen.to), (Era(3), Era(4)));
     assert!(access.next_restore().is_none());
     assert!(access.is_being_rewritten());
@@ -120,9 +120,9 @@
 #[test]
 fn take_answer_of_an_earlier_era_is_dropped() {
     let (access, eras) = access();
-    see(&access, &eras, 4);
-    eras.name(&[Some(3)]);
-    let late = now(access.list("p/", false));
+    read_in_era(&access, &eras, 4);
+    eras.queue_answers(&[Some(3)]);
+    let late = complete_now(access.list("p/", false));
     assert_eq!(late, Err(StoreError::LateAnswer { era: Era(3) }));
     assert_eq!(access.era(), Some(Era(4)));
 }
@@ -130,9 +130,9 @@
 #[test]
 fn take_answer_without_an_era_after_one_with_it_is_malformed() {
     let (access, eras) = access();
-    see(&access, &eras, 4);
-    eras.name(&[None]);
-    let answer = now(access.list("p/", false));
+    read_in_era(&access, &eras, 4);
+    eras.queue_answers(&[None]);
+    let answer = complete_now(access.list("p/", false));
     assert!(
         matches!(answer, Err(StoreError::Malformed { .. })),
         "{answer:?}"
@@ -143,34 +143,34 @@
 #[test]
 fn take_answers_without_eras_then_with_one() {
     let (access, eras) = access();
-    eras.name(&[None, None]);
-    now(access.read("k")).expect("an answer");
-    let lease = now(access.grant(1_000)).expect("a lease");
+    eras.queue_answers(&[None, None]);
+    complete_now(access.read("k")).expect("an answer");
+    let lease = complete_now(access.grant(1_000)).expect("a lease");
     assert_eq!(access.era(), None);
     assert!(access.is_present(lease.era));
-    see(&access, &eras, 1);
+    read_in_era(&access, &eras, 1);
     assert!(access.next_restore().is_some());
     assert!(!access.is_present(lease.era));
 }
 
 #[test]
-fn watch_from_another_era_is_not_asked() {
+fn watch_from_another_era_is_not_sent() {
     let (access, eras) = access();
-    see(&access, &eras, 2);
+    read_in_era(&access, &eras, 2);
     let after = Position::new(Era(1), 5);
-    let watched = now(access.watch("p/", after, 0, 0));
+    let watched = complete_now(access.watch("p/", after, 0, 0));
     assert_eq!(watched, Err(StoreError::HistoryGone));
 }
 
 /// The store was restored while the watch waited and reuses revisions, so the changes returned are
 /// not those after the requested revision.
 #[test]
-fn watch_answered_in_another_era_is_gone() {
+fn watch_answered_in_another_era_is_history_gone() {
     let (access, eras) = access();
-    see(&access, &eras, 1);
-    eras.name(&[Some(2)]);
+    read_in_era(&access, &eras, 1);
+    eras.queue_answers(&[Some(2)]);
     let after = Position::new(Era(1), 5);
-    let watched = now(access.watch("p/", after, 0, 0));
+    let watched = complete_now(access.watch("p/", after, 0, 0));
     assert_eq!(watched, Err(StoreError::HistoryGone));
     assert!(access.next_restore().is_some());
 }
@@ -185,24 +185,24 @@
 #[test]
 fn commit_on_positions_of_another_era_is_not_sent() {
     let (access, eras) = access();
-    see(&access, &eras, 2);
+    read_in_era(&access, &eras, 2);
     assert_eq!(
-        now(access.commit(&transaction(1))),
+        complete_now(access.commit(&transaction(1))),
         Err(StoreError::EraOver)
     );
-    eras.name(&[Some(2)]);
-    assert!(now(access.commit(&transaction(2))).is_ok());
+    eras.queue_answers(&[Some(2)]);
+    assert!(complete_now(access.commit(&transaction(2))).is_ok());
 }
 
 /// The store was restored while the transaction was in flight, so its conditions may have been met
 /// by other content.
 #[test]
-fn commit_done_in_another_era_is_not_taken_for_done() {
+fn commit_done_in_another_era_is_an_error() {
     let (access, eras) = access();
-    see(&access, &eras, 1);
-    eras.name(&[Some(2)]);
+    read_in_era(&access, &eras, 1);
+    eras.queue_answers(&[Some(2)]);
     assert_eq!(
-        now(access.commit(&transaction(1))),
+        complete_now(access.commit(&transaction(1))),
         Err(StoreError::EraOver)
     );
 }
@@ -211,20 +211,20 @@
 #[test]
 fn keep_lease_of_another_era_is_over() {
     let (access, eras) = access();
-    eras.name(&[Some(1), Some(1)]);
-    let lease = now(access.grant(1_000)).expect("a lease");
-    assert!(now(access.keep(lease)).is_ok());
-    eras.name(&[Some(2)]);
-    assert_eq!(now(access.keep(lease)), Err(StoreError::LeaseOver));
-    assert_eq!(now(access.keep(lease)), Err(StoreError::LeaseOver));
+    eras.queue_answers(&[Some(1), Some(1)]);
+    let lease = complete_now(access.grant(1_000)).expect("a lease");
+    assert!(complete_now(access.keep(lease)).is_ok());
+    eras.queue_answers(&[Some(2)]);
+    assert_eq!(complete_now(access.keep(lease)), Err(StoreError::LeaseOver));
+    assert_eq!(complete_now(access.keep(lease)), Err(StoreError::LeaseOver));
 }
 
 /// Another box reports a later era, and the store confirms it when asked.
 #[test]
 fn confirm_told_later_era_that_the_store_names() {
     let (access, eras) = access();
-    see(&access, &eras, 1);
-    eras.name(&[Some(2)]);
+    read_in_era(&access, &eras, 1);
+    eras.queue_answers(&[Some(2)]);
     let is_present = access.confirm_told(Era(2)).now_or_never();
     assert_eq!(is_present, Some(true));
     assert!(access.next_restore().is_some());
@@ -234,8 +234,8 @@
 #[test]
 fn confirm_told_later_era_that_the_store_does_not_name() {
     let (access, eras) = access();
-    see(&access, &eras, 1);
-    eras.name(&[Some(1)]);
+    read_in_era(&access, &eras, 1);
+    eras.queue_answers(&[Some(1)]);
     let is_present = access.confirm_told(Era(9)).now_or_never();
     assert_eq!(is_present, Some(false));
     assert_eq!(access.era(), Some(Era(1)));
@@ -244,7 +244,7 @@
 #[test]
 fn confirm_told_earlier_era_is_over() {
     let (access, eras) = access();
-    see(&access, &eras, 2);
+    read_in_era(&access, &eras, 2);
     assert_eq!(access.confirm_told(Era(1)).now_or_never(), Some(false));
 }
 
@@ -252,9 +252,9 @@
 #[test]
 fn confirm_told_counts_without_an_answer_until_there_is_one() {
     let (access, eras) = access();
-    see(&access, &eras, 1);
-    eras.lose(1);
+    read_in_era(&access, &eras, 1);
+    eras.queue_lost_answers(1);
     assert_eq!(access.confirm_told(Era(9)).now_or_never(), Some(true));
-    see(&access, &eras, 1);
+    read_in_era(&access, &eras, 1);
     assert_eq!(access.era(), Some(Era(1)));
 }
--- a/crates/tinbay-gateway/tests/asking_test.rs
+++ b/crates/tinbay-gateway/tests/asking_test.rs
@@ -1,5 +1,5 @@
-//! When a box requests loads from holders, and when it reads the store itself while relays don't
-//! answer.
+//! When a box requests adapter loads from the holders of servers, and when it reads the store
+//! itself instead of through relays.
 
 use tinbay_gateway::front::choice::HolderRequests;
 use tinbay_gateway::port::store::StoreError;
@@ -9,40 +9,40 @@
 const SERVER: u64 = 7;
 
 #[test]
-fn takes_load_request_first_and_after_a_pause() {
-    let mut asked = HolderRequests::default();
-    assert!(asked.takes_load_request(SERVER, 1_000));
-    assert!(!asked.takes_load_request(SERVER, 1_000));
-    assert!(!asked.takes_load_request(SERVER, 1_199));
-    assert!(asked.takes_load_request(SERVER, 1_200));
-    assert!(!asked.takes_load_request(SERVER, 1_399));
+fn takes_load_request_first_and_after_an_interval() {
+    let mut requests = HolderRequests::default();
+    assert!(requests.takes_load_request(SERVER, 1_000));
+    assert!(!requests.takes_load_request(SERVER, 1_000));
+    assert!(!requests.takes_load_request(SERVER, 1_199));
+    assert!(requests.takes_load_request(SERVER, 1_200));
+    assert!(!requests.takes_load_request(SERVER, 1_399));
 }
 
 #[test]
-fn is_coming_until_the_load_is_overdue() {
-    let mut asked = HolderRequests::default();
-    assert!(!asked.is_coming(SERVER, 1_000));
-    asked.takes_load_request(SERVER, 1_000);
-    assert!(asked.is_coming(SERVER, 1_299) && !asked.is_coming(SERVER, 1_300));
-    asked.note_wait(SERVER, 250.0);
-    assert!(asked.is_coming(SERVER, 1_799) && !asked.is_coming(SERVER, 1_800));
+fn is_coming_until_load_is_overdue() {
+    let mut requests = HolderRequests::default();
+    assert!(!requests.is_coming(SERVER, 1_000));
+    requests.takes_load_request(SERVER, 1_000);
+    assert!(requests.is_coming(SERVER, 1_299) && !requests.is_coming(SERVER, 1_300));
+    requests.note_wait(SERVER, 250.0);
+    assert!(requests.is_coming(SERVER, 1_799) && !requests.is_coming(SERVER, 1_800));
 }
 
-/// Only the first answer tells how long the requested load takes; later ones are for loads
-/// requested at that time.
+/// Only the first answer after a load request says how long that load takes; later ones are for
+/// loads requested at their time.
 #[test]
 fn note_wait_first_answer_counts() {
-    let mut asked = HolderRequests::default();
-    asked.note_wait(SERVER, 250.0);
-    assert_eq!(asked.expected_ms(SERVER), None);
-    asked.takes_load_request(SERVER, 1_000);
-    asked.note_wait(SERVER, 250.0);
-    asked.note_wait(SERVER, 900.0);
-    assert_eq!(asked.expected_ms(SERVER), Some(1_250));
+    let mut requests = HolderRequests::default();
+    requests.note_wait(SERVER, 250.0);
+    assert_eq!(requests.expected_ms(SERVER), None);
+    requests.takes_load_request(SERVER, 1_000);
+    requests.note_wait(SERVER, 250.0);
+    requests.note_wait(SERVER, 900.0);
+    assert_eq!(requests.expected_ms(SERVER), Some(1_250));
 }
 
-/// While the store is unreachable for all boxes, each box that should ask relays makes one call in
-/// two seconds over all prefixes.
+/// While the store is unreachable for all boxes, each box that normally reads through relays makes
+/// one call in two seconds over all prefixes.
 #[test]
 fn store_turn_one_call_until_one_succeeds() {
     let turn = StoreTurn::default();
@@ -88,10 +88,10 @@
     assert!(!turn.is_failing());
 }
 
-/// A relay rejected by the store must keep trying it even while other boxes answer. Otherwise it
-/// would stay out of touch with the store for its zone.
+/// A relay rejected by the store must keep trying it even while other boxes answer. Otherwise its
+/// whole zone would lose direct access to the store.
 #[test]
-fn takes_relay_looks_again_after_a_failure() {
+fn takes_relay_retries_after_a_failure() {
     let turn = StoreTurn::default();
     assert!(turn.takes_relay(0) && turn.takes_relay(10));
     let _ = turn.note::<()>(Err(StoreError::NoAnswer), 100);
@@ -104,12 +104,12 @@
 
 /// A slow store must still be read: a late answer raises the time-out for the next read.
 #[test]
-fn patience_grows_with_a_slow_store_and_falls_again() {
+fn delay_limit_grows_with_a_slow_store_and_falls_again() {
     let turn = StoreTurn::default();
-    let least_ms = turn.delay_limit_ms();
+    let min_ms = turn.delay_limit_ms();
     let no_answer = || turn.note::<()>(Err(StoreError::NoAnswer), 0);
     assert!(no_answer().is_err());
-    assert_eq!(turn.delay_limit_ms(), 2 * least_ms);
+    assert_eq!(turn.delay_limit_ms(), 2 * min_ms);
     turn.note_late(600);
     assert!(turn.delay_limit_ms() > 1_200);
     turn.note_late(0);
@@ -118,5 +118,5 @@
         "an early answer tells nothing"
     );
     turn.note_late(3);
-    assert_eq!(turn.delay_limit_ms(), least_ms);
+    assert_eq!(turn.delay_limit_ms(), min_ms);
 }
--- a/crates/tinbay-gateway/tests/call_test.rs
+++ b/crates/tinbay-gateway/tests/call_test.rs
@@ -1,4 +1,4 @@
-//! Calls over pooled connections that may have become unresponsive.
+//! HTTP calls over pooled connections that may have become unresponsive.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::LocalSet;
 
-/// Number of connections, the first opened, that answer one request and no further one.
+/// Number of connections, counted from the first, that answer one request and no further one.
 const SILENT_CONNECTIONS: usize = 3;
 
 const ANSWER: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
@@ -28,20 +28,20 @@
     let mut opened = 0;
     while let Ok((stream, _)) = listener.accept().await {
         opened += 1;
-        let most_answers = if opened <= SILENT_CONNECTIONS {
+        let max_answers = if opened <= SILENT_CONNECTIONS {
             1
         } else {
             usize::MAX
         };
-        tokio::task::spawn_local(answer(stream, most_answers));
+        tokio::task::spawn_local(answer(stream, max_answers));
     }
 }
 
-async fn answer(mut stream: TcpStream, most_answers: usize) {
+async fn answer(mut stream: TcpStream, max_answers: usize) {
     let mut buffer = [0; 1_024];
     let mut answers = 0;
     while matches!(stream.read(&mut buffer).await, Ok(length) if length > 0) {
-        if answers < most_answers {
+        if answers < max_answers {
             // Delays the answer, so that concurrent calls use separate connections.
             tokio::time::sleep(Duration::from_millis(50)).await;
             stream.write_all(ANSWER).await.expect("the caller reads");
--- a/crates/tinbay-gateway/tests/handover_test.rs
+++ b/crates/tinbay-gateway/tests/handover_test.rs
@@ -1,4 +1,4 @@
-//! Handovers of a run between fake servers.
+//! Handovers of a streaming answer from one fake server to another.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -13,15 +13,18 @@
 #[derive(Default)]
 struct FakeServers {
     has_target: bool,
-    move_answer: RefCell<Option<MoveAnswer>>,
-    target_takes_it: bool,
-    source_takes_it: bool,
-    answers_are_lost: bool,
-    asked_to_move: Cell<bool>,
-    asked: RefCell<Vec<(Place, u64)>>,
+    handover_answer: RefCell<Option<MoveAnswer>>,
+    target_accepts: bool,
+    source_accepts: bool,
+    loses_answers: bool,
+    is_handover_requested: Cell<bool>,
+    /// Calls to resume the run, each with the id of the last event received.
+    resume_calls: RefCell<Vec<(Place, u64)>>,
+    /// Handles of the copies that were freed.
     freed: RefCell<Vec<String>>,
-    holds_answer_back: bool,
-    goes_on: Notify,
+    /// Whether answers to resume calls wait for `answer_released`.
+    delays_answer: bool,
+    answer_released: Notify,
 }
 
 impl HandoverActions for FakeServers {
@@ -33,8 +36,8 @@
 
     fn request_handover(&self) -> LocalFuture<'_, MoveAnswer> {
         Box::pin(async {
-            self.asked_to_move.set(true);
-            self.move_answer.take().unwrap_or(MoveAnswer::Unknown)
+            self.is_handover_requested.set(true);
+            self.handover_answer.take().unwrap_or(MoveAnswer::Unknown)
         })
     }
 
@@ -45,15 +48,15 @@
         last_id: u64,
     ) -> LocalFuture<'a, Resumed<Place>> {
         Box::pin(async move {
-            self.asked.borrow_mut().push((at, last_id));
-            if self.holds_answer_back {
-                self.goes_on.notified().await;
+            self.resume_calls.borrow_mut().push((at, last_id));
+            if self.delays_answer {
+                self.answer_released.notified().await;
             }
-            let takes_it = match at {
-                Place::Target => self.target_takes_it,
-                Place::Source => self.source_takes_it,
+            let accepts = match at {
+                Place::Target => self.target_accepts,
+                Place::Source => self.source_accepts,
             };
-            match (takes_it, self.answers_are_lost) {
+            match (accepts, self.loses_answers) {
                 (_, true) => Resumed::Unknown,
                 (true, _) => Resumed::Answering(at),
                 (false, _) => Resumed::Declined,
@@ -71,7 +74,7 @@
     RefCell::new(Some(MoveAnswer::Copied { handle }))
 }
 
-/// A gate that has received one event and half of another.
+/// Returns a gate that has received one event and half of another.
 fn gate_amid_event() -> Rc<EventGate> {
     let gate = Rc::new(EventGate::default());
     let passed = gate.pass(Bytes::from_static(b"id: 1\ndata: a\n\nid: 2\nda"));
@@ -80,57 +83,57 @@
 }
 
 async fn run(servers: &FakeServers, gate: &EventGate) -> Outcome<Place> {
-    let breaking_off = async {
-        while !servers.asked_to_move.get() {
+    let ending_source_stream = async {
+        while !servers.is_handover_requested.get() {
             tokio::task::yield_now().await;
         }
         gate.note_broken_off();
     };
     let driving = drive(servers, gate);
-    let (outcome, ()) = tokio::join!(driving, breaking_off);
+    let (outcome, ()) = tokio::join!(driving, ending_source_stream);
     outcome
 }
 
 #[tokio::test(flavor = "current_thread")]
-async fn drive_goes_on_at_the_target() {
+async fn drive_resumes_at_the_target() {
     let gate = gate_amid_event();
     let servers = FakeServers {
         has_target: true,
-        move_answer: copied(),
-        target_takes_it: true,
+        handover_answer: copied(),
+        target_accepts: true,
         ..FakeServers::default()
     };
     let outcome = run(&servers, &gate).await;
     let at = Place::Target;
     assert_eq!(outcome, Outcome::GoesOn { at, answer: at });
-    assert_eq!(*servers.asked.borrow(), [(Place::Target, 1)]);
+    assert_eq!(*servers.resume_calls.borrow(), [(Place::Target, 1)]);
     assert!(servers.freed.borrow().is_empty());
     let next = gate.pass(Bytes::from_static(b"id: 2\ndata: b\n\n"));
     assert_eq!(&next[..], b"id: 2\ndata: b\n\n");
 }
 
 #[tokio::test(flavor = "current_thread")]
-async fn drive_target_declines_and_the_source_takes_it_back() {
+async fn drive_target_declines_and_the_source_resumes() {
     let gate = gate_amid_event();
     let servers = FakeServers {
         has_target: true,
-        move_answer: copied(),
-        source_takes_it: true,
+        handover_answer: copied(),
+        source_accepts: true,
         ..FakeServers::default()
     };
     let outcome = run(&servers, &gate).await;
     let at = Place::Source;
     assert_eq!(outcome, Outcome::GoesOn { at, answer: at });
-    let asked = [(Place::Target, 1), (Place::Source, 1)];
-    assert_eq!(*servers.asked.borrow(), asked);
+    let expected = [(Place::Target, 1), (Place::Source, 1)];
+    assert_eq!(*servers.resume_calls.borrow(), expected);
 }
 
 #[tokio::test(flavor = "current_thread")]
-async fn drive_nobody_takes_it_and_the_copy_is_freed() {
+async fn drive_both_decline_and_the_copy_is_freed() {
     let gate = gate_amid_event();
     let servers = FakeServers {
         has_target: true,
-        move_answer: copied(),
+        handover_answer: copied(),
         ..FakeServers::default()
     };
     assert_eq!(run(&servers, &gate).await, Outcome::Lost);
@@ -138,69 +141,70 @@
 }
 
 #[tokio::test(flavor = "current_thread")]
-async fn drive_lost_answer_asks_nobody_else() {
+async fn drive_lost_answer_tries_no_other_server() {
     let gate = gate_amid_event();
     let servers = FakeServers {
         has_target: true,
-        move_answer: copied(),
-        target_takes_it: true,
-        source_takes_it: true,
-        answers_are_lost: true,
+        handover_answer: copied(),
+        target_accepts: true,
+        source_accepts: true,
+        loses_answers: true,
         ..FakeServers::default()
     };
     assert_eq!(run(&servers, &gate).await, Outcome::Lost);
-    assert_eq!(*servers.asked.borrow(), [(Place::Target, 1)]);
+    assert_eq!(*servers.resume_calls.borrow(), [(Place::Target, 1)]);
 }
 
 #[tokio::test(flavor = "current_thread")]
-async fn drive_without_a_target_asks_nothing() {
+async fn drive_without_a_target_requests_no_handover() {
     let gate = gate_amid_event();
     let servers = FakeServers::default();
     assert_eq!(drive(&servers, &gate).await, Outcome::Stays);
-    assert!(!servers.asked_to_move.get());
+    assert!(!servers.is_handover_requested.get());
     assert!(!gate.note_broken_off());
 }
 
 #[tokio::test(flavor = "current_thread")]
-async fn drive_source_that_does_not_stop_goes_on() {
+async fn drive_source_that_does_not_stop_continues() {
     let gate = gate_amid_event();
     let servers = FakeServers {
         has_target: true,
-        move_answer: RefCell::new(Some(MoveAnswer::NotStopped)),
+        handover_answer: RefCell::new(Some(MoveAnswer::NotStopped)),
         ..FakeServers::default()
     };
     assert_eq!(drive(&servers, &gate).await, Outcome::Stays);
-    assert!(servers.asked.borrow().is_empty());
+    assert!(servers.resume_calls.borrow().is_empty());
     assert!(!gate.note_broken_off());
 }
 
-/// The caller leaves after the run was copied and before it is resumed: the copy is freed.
+/// The caller disconnects after the run was copied and before it is resumed. The copy must not stay
+/// at the servers.
 #[tokio::test(flavor = "current_thread")]
-async fn drive_caller_leaves_midway_and_the_copy_is_freed() {
+async fn drive_caller_disconnects_and_the_copy_is_freed() {
     let gate = gate_amid_event();
     let servers = FakeServers {
         has_target: true,
-        move_answer: copied(),
-        holds_answer_back: true,
+        handover_answer: copied(),
+        delays_answer: true,
         ..FakeServers::default()
     };
     {
         let driving = run(&servers, &gate);
-        let asked = async {
-            while servers.asked.borrow().is_empty() {
+        let resume_called = async {
+            while servers.resume_calls.borrow().is_empty() {
                 tokio::task::yield_now().await;
             }
         };
         tokio::select! {
-            _ = driving => panic!("nobody goes on yet"),
-            () = asked => {}
+            _ = driving => panic!("the handover ended before the answer was released"),
+            () = resume_called => {}
         }
     }
     assert_eq!(*servers.freed.borrow(), ["h1"]);
 }
 
 #[test]
-fn event_gate_open_lets_everything_through() {
+fn event_gate_open_passes_all_bytes() {
     let gate = EventGate::default();
     assert!(gate.pass(Bytes::from_static(b"id: 1\nda")).is_empty());
     assert_eq!(&gate.open()[..], b"id: 1\nda");
--- a/crates/tinbay-gateway/tests/members_test.rs
+++ b/crates/tinbay-gateway/tests/members_test.rs
@@ -1,4 +1,4 @@
-//! Which boxes count as up, by the messages and reports received.
+//! Which boxes count as up, by the messages and zone reports received.
 
 use tinbay_core::units::Millis;
 use tinbay_gateway::members::{MemberRecord, Members, box_fingerprint, zone_fingerprint};
@@ -15,8 +15,8 @@
     }
 }
 
-/// A box of zone z1 that knows `near-1` and `near-2` of its own zone and two of zone z2, all
-/// listed at 0.
+/// Members as known to a box of zone z1: `near-1` and `near-2` of its own zone and two of zone z2,
+/// all listed at 0.
 fn members() -> Members {
     let mut members = Members::new("z1");
     for id in ["near-1", "near-2"] {
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn note_zone_word_box_of_other_zone_is_not_up() {
+fn note_zone_report_box_of_other_zone_is_not_up() {
     let mut members = members();
     let silent = [box_fingerprint("far-2")];
     assert!(members.note_zone_report("far-1", &silent, 5_000));
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn note_zone_word_ends_with_the_next_that_does_not_name_it() {
+fn note_zone_report_ends_with_the_next_that_does_not_name_it() {
     let mut members = members();
     members.note_zone_report("far-1", &[box_fingerprint("far-2")], 5_000);
     members.note_zone_report("far-1", &[], 5_500);
@@ -61,7 +61,7 @@
 /// A report that is not repeated expires, so a box whose zone is cut off from this one counts as up
 /// again.
 #[test]
-fn note_zone_word_lapses() {
+fn note_zone_report_expires() {
     let mut members = members();
     members.note_zone_report("far-1", &[box_fingerprint("far-2")], 5_000);
     assert!(!is_up(&members, "far-2", 7_400));
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn silent_near_names_who_was_not_heard() {
+fn silent_near_lists_boxes_not_heard() {
     let mut members = members();
     keep_in_touch(&mut members, 0, 6_000);
     members.hear("near-1", 5_500);
@@ -100,7 +100,7 @@
 /// A box that was itself frozen or cut off has heard no other box for long, and reports none of
 /// them as silent.
 #[test]
-fn silent_near_nothing_after_a_gap_of_its_own() {
+fn silent_near_is_empty_after_own_gap() {
     let mut members = members();
     keep_in_touch(&mut members, 0, 3_000);
     members.hear("near-1", 7_900);
@@ -116,15 +116,15 @@
 
 /// A box that misses most of its zone is probably cut off itself, and reports none as silent.
 #[test]
-fn silent_near_nothing_where_most_are_missed() {
+fn silent_near_is_empty_where_most_are_missed() {
     let mut members = members();
     keep_in_touch(&mut members, 0, 6_000);
     assert!(members.silent_near("own", 6_000).is_empty());
 }
 
-/// A box is listed in its own table but heard by no other box of a one-box zone, so it reported
-/// itself as silent. With three zones of one box each, every box counted the other two as down from
-/// the fourth second on, and a limit over all boxes was divided among only half or a third of them.
+/// A box is listed in its own table but never hears itself, so it could report itself as silent.
+/// In a fleet of one-box zones each box would then count all others as down, and a limit over all
+/// boxes would be divided among too few of them.
 #[test]
 fn silent_near_never_names_the_box_itself() {
     let mut members = Members::new("z1");
@@ -135,7 +135,7 @@
 
 /// In a zone of one box, no other box can report that it is down.
 #[test]
-fn judge_speakers_last_speaker_of_a_silent_zone() {
+fn judge_zone_reporters_last_reporter_of_a_silent_zone() {
     let mut members = members();
     members.note_zone_report("far-1", &[], 1_000);
     keep_in_touch(&mut members, 0, 4_000);
@@ -148,7 +148,7 @@
 
 /// A zone that another box hears is not silent, even if it sends nothing to this box.
 #[test]
-fn judge_speakers_not_while_others_hear_the_zone() {
+fn judge_zone_reporters_not_while_others_hear_the_zone() {
     let mut members = members();
     members.note_zone_report("far-1", &[], 1_000);
     members.hear_zone_at(zone_fingerprint("z2"), 3_500);
@@ -159,7 +159,7 @@
 
 /// A zone that never reported to this box gets the same time as one that did.
 #[test]
-fn expect_speaker_zone_that_never_spoke() {
+fn expect_zone_reporter_zone_that_never_reported() {
     let mut members = members();
     keep_in_touch(&mut members, 0, 4_000);
     members.expect_zone_reporter("far-1", 1_000);
@@ -174,7 +174,7 @@
 /// A silent box is still reported for a while after its entry is removed, as views of the store
 /// differ by seconds between boxes.
 #[test]
-fn silent_near_goes_on_after_the_entry_is_gone() {
+fn silent_near_lists_box_for_a_while_after_its_entry_is_gone() {
     let mut members = members();
     keep_in_touch(&mut members, 0, 20_000);
     members.hear("near-1", 20_000);
--- a/crates/tinbay-gateway/tests/replica_test.rs
+++ b/crates/tinbay-gateway/tests/replica_test.rs
@@ -52,13 +52,13 @@
 }
 
 #[test]
-fn since_before_the_listing_is_gone() {
+fn since_before_the_listing_is_history_gone() {
     assert_eq!(listed(true).since(PREFIX, at(9)), Some(Since::HistoryGone));
     assert_eq!(listed(true).since("b/", at(9)), None);
 }
 
 #[test]
-fn since_gives_what_is_newer() {
+fn since_returns_newer_changes() {
     let replica = listed(true);
     replica.note_change(PREFIX, &Change::Put(item("a/1", 11)), true);
     let gone = Change::Gone {
@@ -84,7 +84,7 @@
 
 /// A box that is ahead of this one must not be moved back to an earlier position.
 #[test]
-fn since_never_goes_back() {
+fn since_never_moves_back() {
     assert_eq!(
         changes(listed(true).since(PREFIX, at(20))),
         Some((vec![], 20))
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn note_change_not_passed_on_stands_in_the_listing_alone() {
+fn note_change_not_passed_on_is_only_in_the_listing() {
     let replica = listed(true);
     replica.note_change(PREFIX, &Change::Put(item("a/1", 11)), false);
     replica.confirm(PREFIX, at(11), evidence(1_500, true));
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn age_only_of_what_came_from_the_store_lately() {
+fn age_only_of_recent_answers_of_the_store() {
     assert_eq!(listed(true).age_ms(PREFIX, 1_200), Some(200));
     assert_eq!(listed(true).age_ms(PREFIX, 3_000), None);
     assert_eq!(listed(false).age_ms(PREFIX, 1_200), None);
@@ -116,8 +116,8 @@
     assert_eq!(replica.age_ms(PREFIX, 1_400), Some(100));
 }
 
-/// After a restore of the store, a box that asks with a position of an earlier era must list again,
-/// and one that has seen a later era than this box gets no answer.
+/// After a restore of the store, a box that requests changes since a position of an earlier era
+/// must list again, and one that has seen a later era than this box gets no answer.
 #[test]
 fn since_of_another_era_compares_no_numbers() {
     let replica = listed(true);
@@ -138,7 +138,7 @@
 
 /// While the restored store lacks known items, its answers do not prove that the copy is complete.
 #[test]
-fn complete_stays_behind_while_the_store_lacks_something() {
+fn complete_ms_stays_while_the_store_lacks_items() {
     let replica = listed(true);
     let lacking = Evidence {
         is_complete: false,
@@ -160,8 +160,8 @@
 /// Once the era of the store turns out to be settled, what was read in it counts as complete,
 /// unless the box that it came from reported otherwise.
 #[test]
-fn note_complete_counts_from_what_was_last_seen() {
-    let unsure = Evidence {
+fn note_complete_counts_from_the_last_confirmation() {
+    let incomplete = Evidence {
         is_complete: false,
         ..evidence(4_000, true)
     };
@@ -170,16 +170,16 @@
         at: at(7),
     };
     let replica = Replica::default();
-    replica.note_listing(PREFIX, &listing, unsure);
+    replica.note_listing(PREFIX, &listing, incomplete);
     assert_eq!(replica.complete_ms(PREFIX), None);
     replica.note_complete(PREFIX);
     assert_eq!(replica.complete_ms(PREFIX), Some(4_000));
-    let told = Evidence {
+    let reported_incomplete = Evidence {
         is_told_complete: false,
-        ..unsure
+        ..incomplete
     };
     let replica = Replica::default();
-    replica.note_listing(PREFIX, &listing, told);
+    replica.note_listing(PREFIX, &listing, reported_incomplete);
     replica.note_complete(PREFIX);
     assert_eq!(replica.complete_ms(PREFIX), None);
 }
--- a/crates/tinbay-gateway/tests/servers_test.rs
+++ b/crates/tinbay-gateway/tests/servers_test.rs
@@ -1,4 +1,4 @@
-//! The table of servers and their incarnations.
+//! The table of backend servers and their incarnations.
 
 use quickcheck::QuickCheck;
 use tinbay_core::serving::notices::AnswerNotice;
@@ -84,8 +84,8 @@
 }
 
 /// Leaving is final for an incarnation. An entry that says `ready` can arrive after one that says
-/// `draining`: from a listing by a box that was behind, or when an entry reappears. The server once
-/// took the state of the last entry.
+/// `draining`: from a listing by a box that was behind, or when an entry reappears. If the last
+/// entry counted, a leaving server would get requests again.
 #[test]
 fn put_leaving_is_final() {
     let leaving = ServerRecord {
@@ -106,8 +106,8 @@
     assert_eq!(table.ready("engine").len(), 1, "it restarted");
 }
 
-/// Applies a notice of leaving and of a pause, as a request in progress does.
-fn announce_leaving_and_pause(server: &Server) {
+/// Applies a notice of leaving and of a back-off, as the answer to a request in progress does.
+fn announce_leaving_and_back_off(server: &Server) {
     let notice = AnswerNotice {
         is_leaving: true,
         back_off_ms: Some(60_000),
@@ -117,12 +117,12 @@
 }
 
 #[test]
-fn notices_survive_a_lapsed_entry() {
+fn notices_stay_in_force_after_entry_expired() {
     let mut table = ServerTable::new(Clock::start());
     table.put(record(None, 1));
     let server = table.get("i-1").expect("server i-1 is listed");
     table.remove("i-1");
-    announce_leaving_and_pause(&server);
+    announce_leaving_and_back_off(&server);
     table.put(record(None, 1));
     let again = table.get("i-1").expect("server i-1 is listed again");
     assert!(again.is_leaving());
@@ -140,11 +140,11 @@
     let mut table = ServerTable::new(Clock::start());
     table.put(record(Some(5), 1));
     let server = table.get("i-1").expect("server i-1 is listed");
-    announce_leaving_and_pause(&server);
+    announce_leaving_and_back_off(&server);
     assert!(table.ready("engine").is_empty());
     assert_eq!(table.put(record(Some(6), 1)), ServerChange::Restarted);
     assert_eq!(table.ready("engine").len(), 1);
-    announce_leaving_and_pause(&server);
+    announce_leaving_and_back_off(&server);
     assert_eq!(
         table.ready("engine").len(),
         1,
@@ -155,7 +155,7 @@
 /// An entry of an incarnation can reappear after those of the next one are gone. That incarnation
 /// has ended and must get no requests.
 #[test]
-fn put_earlier_incarnation_takes_no_work() {
+fn put_earlier_incarnation_accepts_no_requests() {
     let mut table = ServerTable::new(Clock::start());
     table.put(record(Some(6), 1));
     table.remove("i-1");
@@ -166,7 +166,7 @@
 }
 
 #[test]
-fn ready_excludes_paused_until_the_end() {
+fn ready_excludes_server_until_its_back_off_ends() {
     let mut table = ServerTable::new(Clock::start());
     table.put(record(Some(5), 1));
     let server = table.get("i-1").expect("server i-1 is listed");
@@ -179,6 +179,6 @@
     assert!(table.ready("engine").is_empty());
     let end_ms = table.first_available_ms("engine");
     assert_eq!(end_ms, server.back_off_until_ms(1));
-    assert!(server.takes_work(end_ms.expect("the server is paused")));
+    assert!(server.takes_work(end_ms.expect("the server is in a back-off")));
     assert_eq!(table.first_available_ms("plain"), None);
 }
--- a/crates/tinbay-gateway/tests/sharing_asking_test.rs
+++ b/crates/tinbay-gateway/tests/sharing_asking_test.rs
@@ -1,4 +1,4 @@
-//! Requests for capacity to a holder that answers, loses messages or is silent.
+//! Admission requests to a holder that answers, loses messages or is silent.
 
 use std::cell::{Cell, RefCell};
 use std::future::Future;
@@ -14,7 +14,7 @@
 use tinbay_gateway::sharing::messages::{AdmissionReply, AdmissionReplyPart, AdmissionRequestPart};
 use tinbay_gateway::sharing::outcome::AdmissionOutcome;
 
-const WISH: AdmissionParams = AdmissionParams {
+const PARAMS: AdmissionParams = AdmissionParams {
     account: 1,
     rank: 0,
     units: 100,
@@ -25,7 +25,7 @@
 
 /// A box whose holder gives the listed replies in turn and then stays silent; `None` is a lost
 /// message.
-struct FakeLinks {
+struct FakeContext {
     sharing: Sharing,
     is_scarce: bool,
     replies: RefCell<Vec<Option<AdmissionReply>>>,
@@ -34,7 +34,7 @@
     now_ms: Cell<Millis>,
 }
 
-impl FakeLinks {
+impl FakeContext {
     fn new(replies: &[Option<AdmissionReply>]) -> Self {
         Self {
             sharing: Sharing::default(),
@@ -47,7 +47,7 @@
     }
 }
 
-impl AdmissionContext for FakeLinks {
+impl AdmissionContext for FakeContext {
     fn now_ms(&self) -> Millis {
         self.now_ms.get()
     }
@@ -112,12 +112,12 @@
 
 #[test]
 fn ask_not_scarce_sends_nothing() {
-    let links = FakeLinks {
+    let context = FakeContext {
         is_scarce: false,
-        ..FakeLinks::new(&[])
+        ..FakeContext::new(&[])
     };
-    assert_eq!(run(ask(&links, &server(), WISH)), None);
-    assert_eq!(links.sends.get(), 0);
+    assert_eq!(run(ask(&context, &server(), PARAMS)), None);
+    assert_eq!(context.sends.get(), 0);
 }
 
 #[test]
@@ -125,100 +125,101 @@
     let rejected = AdmissionReply::Rejected {
         retry_after_ms: 700,
     };
-    let links = FakeLinks::new(&[Some(AdmissionReply::Admitted), Some(rejected)]);
-    let first = run(ask(&links, &server(), WISH));
+    let context = FakeContext::new(&[Some(AdmissionReply::Admitted), Some(rejected)]);
+    let first = run(ask(&context, &server(), PARAMS));
     assert_eq!(outcome(first), Some((AdmissionOutcome::Holder, None)));
-    let second = run(ask(&links, &server(), WISH));
+    let second = run(ask(&context, &server(), PARAMS));
     let expected = Some((AdmissionOutcome::Rejected, Some(700)));
     assert_eq!(outcome(second), expected);
 }
 
-/// A request whose answer is lost is sent again under the same number, also after it was queued.
+/// A request whose answer is lost must be sent again under the same number, also after it was
+/// queued.
 #[test]
 fn ask_lost_message_is_resent() {
-    let links = FakeLinks::new(&[
+    let context = FakeContext::new(&[
         None,
         Some(AdmissionReply::Queued),
         None,
         Some(AdmissionReply::Admitted),
     ]);
-    let result = run(ask(&links, &server(), WISH));
+    let result = run(ask(&context, &server(), PARAMS));
     assert_eq!(outcome(result), Some((AdmissionOutcome::Holder, None)));
-    assert_eq!(*links.numbers.borrow(), vec![1; 4]);
+    assert_eq!(*context.numbers.borrow(), vec![1; 4]);
 }
 
 /// With a silent holder, a box admits one request at a time at the server. It doesn't ask the
 /// holder for a while and then asks again.
 #[test]
 fn ask_silent_holder_limits_own_requests() {
-    let links = FakeLinks::new(&[]);
+    let context = FakeContext::new(&[]);
     let server = server();
-    let first = run(ask(&links, &server, WISH));
+    let first = run(ask(&context, &server, PARAMS));
     assert_eq!(
         outcome(first),
         Some((AdmissionOutcome::WithoutHolder, None))
     );
-    let sends = links.sends.get();
+    let sends = context.sends.get();
     let running = server.begin_request(Some(7), 100);
-    let second = run(ask(&links, &server, WISH)).expect("a result while the server is scarce");
+    let second = run(ask(&context, &server, PARAMS)).expect("a result while the server is scarce");
     assert_eq!(second.outcome, AdmissionOutcome::NoAnswer);
     assert!(second.retry_after_ms > Some(0));
-    assert_eq!(links.sends.get(), sends);
+    assert_eq!(context.sends.get(), sends);
     drop(running);
-    links.now_ms.set(3_000);
-    links
+    context.now_ms.set(3_000);
+    context
         .replies
         .borrow_mut()
         .push(Some(AdmissionReply::Admitted));
-    let third = run(ask(&links, &server, WISH));
+    let third = run(ask(&context, &server, PARAMS));
     assert_eq!(outcome(third), Some((AdmissionOutcome::Holder, None)));
 }
 
 /// The box that is asked is no longer the holder.
 #[test]
 fn ask_not_holder_limits_own_requests() {
-    let links = FakeLinks::new(&[Some(AdmissionReply::NotHolder)]);
-    let result = run(ask(&links, &server(), WISH));
+    let context = FakeContext::new(&[Some(AdmissionReply::NotHolder)]);
+    let result = run(ask(&context, &server(), PARAMS));
     assert_eq!(
         outcome(result),
         Some((AdmissionOutcome::WithoutHolder, None))
     );
-    assert_eq!(links.sends.get(), 1);
+    assert_eq!(context.sends.get(), 1);
 }
 
 /// A holder that queues a request and never decides. The request must not wait for it beyond its
 /// time limit.
 #[test]
 fn ask_undecided_holder_limits_own_requests() {
-    let links = FakeLinks::new(&[Some(AdmissionReply::Queued); 50]);
-    let result = run(ask(&links, &server(), WISH));
+    let context = FakeContext::new(&[Some(AdmissionReply::Queued); 50]);
+    let result = run(ask(&context, &server(), PARAMS));
     assert_eq!(
         outcome(result),
         Some((AdmissionOutcome::WithoutHolder, None))
     );
-    let in_time_ms = u32::try_from(WISH.in_time_ms).expect("fits into u32");
-    assert!(links.sends.get() <= in_time_ms / 100 + 3);
+    let in_time_ms = u32::try_from(PARAMS.in_time_ms).expect("fits into u32");
+    assert!(context.sends.get() <= in_time_ms / 100 + 3);
 }
 
 /// Replies without a waiting request must change nothing.
 #[test]
 fn take_reply_late_or_unknown_is_ignored() {
-    let links = FakeLinks::new(&[
+    let context = FakeContext::new(&[
         Some(AdmissionReply::Admitted),
         Some(AdmissionReply::Admitted),
     ]);
-    run(ask(&links, &server(), WISH));
+    run(ask(&context, &server(), PARAMS));
     for number in [1, 77] {
         for reply in [
             AdmissionReply::Admitted,
             AdmissionReply::Queued,
             AdmissionReply::NotHolder,
         ] {
-            links
+            context
                 .sharing
                 .take_reply(AdmissionReplyPart { number, reply });
         }
     }
-    let result = run(ask(&links, &server(), WISH));
+    let result = run(ask(&context, &server(), PARAMS));
     assert_eq!(outcome(result), Some((AdmissionOutcome::Holder, None)));
 }
