--- a/crates/tinbay-gateway/src/node.rs
+++ b/crates/tinbay-gateway/src/node.rs
@@ -35,7 +35,7 @@
 use crate::members::{MemberRecord, Members, box_fingerprint};
 use crate::memory::BoxMemory;
 use crate::metrics::Metrics;
-use crate::orders::held_server::{Busyness, HeldServer};
+use crate::orders::held_server::{HeldServer, LoadSnapshot};
 use crate::peers::frame::{FramePart, LoadRequestPart};
 use crate::peers::outbox::Outbox;
 use crate::port::dialect::Dialect;
@@ -537,26 +537,26 @@
     /// objective, and its usual time to first byte.
     pub fn load(&self, server: &Server, objective_ms: Millis) -> f64 {
         let now_ms = self.now_ms();
-        let busyness = self.busyness(server, now_ms);
+        let load_snapshot = self.load_snapshot(server, now_ms);
         let fullness = self.running(server) as f64 / server.record().slots.max(1) as f64;
-        let backlog = busyness.backlog_ms / objective_ms.max(1) as f64;
+        let backlog = load_snapshot.backlog_ms / objective_ms.max(1) as f64;
         let slowed = server.slowed_load(fullness + backlog, objective_ms, now_ms);
-        slowed + DELAY_WEIGHT * busyness.delay.max(server.delay(now_ms))
+        slowed + DELAY_WEIGHT * load_snapshot.delay.max(server.delay(now_ms))
     }
 
     /// Requests of all boxes that run at a server, as far as this box knows.
     pub fn running(&self, server: &Server) -> usize {
-        let elsewhere = self.busyness(server, self.now_ms()).running_elsewhere;
+        let elsewhere = self.load_snapshot(server, self.now_ms()).running_elsewhere;
         server.usage.borrow().running() + elsewhere
     }
 
-    fn busyness(&self, server: &Server, now_ms: Millis) -> Busyness {
+    fn load_snapshot(&self, server: &Server, now_ms: Millis) -> LoadSnapshot {
         if let Some(held) = self.held_server(server.key) {
             let own_id = &self.settings.borrow().box_id;
-            return held.busyness(own_id, now_ms);
+            return held.load_snapshot(own_id, now_ms);
         }
         let view = server.view.borrow();
-        Busyness {
+        LoadSnapshot {
             delay: view.delay(now_ms),
             running_elsewhere: view.running_elsewhere(now_ms),
             backlog_ms: view.backlog_ms(now_ms),
@@ -575,7 +575,7 @@
     /// Failure penalty of a server: the higher of this box's own and the claim holder's.
     pub fn failure_penalty(&self, server: &Server) -> f64 {
         let now_ms = self.now_ms();
-        let told = self.busyness(server, now_ms).failure_penalty;
+        let told = self.load_snapshot(server, now_ms).failure_penalty;
         server.failure_penalty(now_ms).max(told)
     }
 
@@ -588,7 +588,7 @@
 
     /// Time that a server needs to prefill its queued prompts before it begins a new request.
     pub fn backlog_ms(&self, server: &Server) -> f64 {
-        self.busyness(server, self.now_ms()).backlog_ms
+        self.load_snapshot(server, self.now_ms()).backlog_ms
     }
 
     /// Records a request's time to first byte, given the server's prompt backlog at that time.
--- a/crates/tinbay-gateway/src/orders/held_server.rs
+++ b/crates/tinbay-gateway/src/orders/held_server.rs
@@ -30,7 +30,7 @@
 
 /// Current load of a server as seen by its holder.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Busyness {
+pub struct LoadSnapshot {
     /// Usual time to the first byte as a fraction of the objective.
     pub delay: f64,
     /// Requests that other boxes have running there.
@@ -218,9 +218,9 @@
     }
 
     /// Load of the server without the requests of `box_id`.
-    pub fn busyness(&self, box_id: &str, now_ms: Millis) -> Busyness {
+    pub fn load_snapshot(&self, box_id: &str, now_ms: Millis) -> LoadSnapshot {
         let subscribers = self.subscribers.borrow();
-        Busyness {
+        LoadSnapshot {
             delay: subscribers.delay(now_ms),
             running_elsewhere: subscribers.running_of_others(box_id, now_ms),
             backlog_ms: subscribers.backlog_ms(now_ms),
--- a/crates/tinbay-gateway/src/orders/holder.rs
+++ b/crates/tinbay-gateway/src/orders/holder.rs
@@ -570,7 +570,7 @@
     fn own_status(&self) -> Option<ServerStatus> {
         let now_ms = self.node.now_ms();
         let own_id = self.node.settings.borrow().box_id.clone();
-        let busyness = self.held.busyness(&own_id, now_ms);
+        let load_snapshot = self.held.load_snapshot(&own_id, now_ms);
         let takes_loads = self.held.takes_loads(&self.node, &self.server);
         if !self.held.contents.borrow().was_known() {
             return None;
@@ -582,10 +582,10 @@
         };
         Some(ServerStatus {
             entries,
-            running_elsewhere: busyness.running_elsewhere,
-            delay: busyness.delay,
-            backlog_ms: busyness.backlog_ms,
-            failure_penalty: busyness.failure_penalty,
+            running_elsewhere: load_snapshot.running_elsewhere,
+            delay: load_snapshot.delay,
+            backlog_ms: load_snapshot.backlog_ms,
+            failure_penalty: load_snapshot.failure_penalty,
             takes_loads,
             load_wait_ms: self.held.load_wait_ms(),
             is_scarce: self.held.admission.borrow().is_scarce(),
