--- a/crates/tinbay-gateway/src/handover/split.rs
+++ b/crates/tinbay-gateway/src/handover/split.rs
@@ -62,7 +62,7 @@
         if let Some(counted) = counts.get(service).filter(|kept| now_ms < kept.until_ms) {
             return counted.engines;
         }
-        let engines = servers.borrow().staying(service).len();
+        let engines = servers.borrow().in_service(service).len();
         let until_ms = now_ms + CACHE_LIFE_MS;
         counts.insert(service.to_string(), CachedCount { engines, until_ms });
         engines
@@ -126,7 +126,7 @@
         if let Some(cached) = cache.get(service).filter(|cached| now_ms < cached.until_ms) {
             return Rc::clone(&cached.roles);
         }
-        let roles = Rc::new(assign_server_roles(&servers.borrow().staying(service)));
+        let roles = Rc::new(assign_server_roles(&servers.borrow().in_service(service)));
         let kept = CachedRoles {
             roles: Rc::clone(&roles),
             until_ms: now_ms + CACHE_LIFE_MS,
--- a/crates/tinbay-gateway/src/servers/mod.rs
+++ b/crates/tinbay-gateway/src/servers/mod.rs
@@ -182,7 +182,7 @@
     }
 
     /// Servers of a service that are not leaving, including those in a back-off or at their limits.
-    pub fn staying(&self, service: &str) -> Vec<Rc<Server>> {
+    pub fn in_service(&self, service: &str) -> Vec<Rc<Server>> {
         let now_ms = self.clock.now_ms();
         self.of_service(service)
             .filter(|server| server.is_in_service(now_ms))
