--- a/crates/tinbay-gateway/src/orders/held_server.rs
+++ b/crates/tinbay-gateway/src/orders/held_server.rs
@@ -47,7 +47,7 @@
     /// Adapters and base models that the server holds or loads.
     pub contents: RefCell<Contents>,
     /// Load requests that are not fulfilled yet.
-    pub wants: RefCell<WantedLoads>,
+    pub wanted_loads: RefCell<WantedLoads>,
     /// Requests that wait for admission while the server's capacity is scarce.
     pub admission: RefCell<AdmissionQueue>,
     /// Set when the server refused a request for an adapter that it should hold.
@@ -64,7 +64,7 @@
     pub fn new(spec: &EngineProperties, now_ms: Millis) -> Self {
         Self {
             contents: RefCell::new(Contents::new(spec, now_ms)),
-            wants: RefCell::default(),
+            wanted_loads: RefCell::default(),
             admission: RefCell::default(),
             restart_check_due: Cell::default(),
             limit_changed: Cell::default(),
@@ -99,13 +99,13 @@
     }
 
     /// Records that a box asked for the server's status.
-    pub fn note_status_request(&self, box_id: &str, now_ms: Millis) {
+    pub fn record_status_request(&self, box_id: &str, now_ms: Millis) {
         self.subscribers.borrow_mut().hear(box_id, now_ms);
     }
 
     /// Records the adapter that a box's request needs. An adapter that is loaded already is
     /// recorded as used, so that it is kept for the request.
-    pub fn note_load_request(&self, box_id: &str, want: WantedLoad, now_ms: Millis) {
+    pub fn record_load_request(&self, box_id: &str, want: WantedLoad, now_ms: Millis) {
         let key = adapter_key(&want.adapter);
         let mut subscribers = self.subscribers.borrow_mut();
         if want.is_copy {
@@ -118,11 +118,11 @@
             contents.note_uses(key, 0, now_ms);
             return;
         }
-        self.wants.borrow_mut().ask(want, now_ms);
+        self.wanted_loads.borrow_mut().ask(want, now_ms);
     }
 
     /// Records the requests that a box has running at the server.
-    pub fn note_usage(&self, node: &Node, server: &Server, box_id: &str, report: UsageReport) {
+    pub fn record_usage(&self, node: &Node, server: &Server, box_id: &str, report: UsageReport) {
         let now_ms = node.now_ms();
         let mut contents = self.contents.borrow_mut();
         let mut subscribers = self.subscribers.borrow_mut();
@@ -145,8 +145,8 @@
     }
 
     /// Whether load requests are pending.
-    pub fn has_wants(&self) -> bool {
-        !self.wants.borrow().is_empty()
+    pub fn has_wanted_loads(&self) -> bool {
+        !self.wanted_loads.borrow().is_empty()
     }
 
     /// Boxes that used the server recently.
@@ -182,7 +182,7 @@
 
     /// Expected time until a load requested now is finished.
     pub fn load_wait_ms(&self) -> f64 {
-        let awaited = self.wants.borrow().awaited();
+        let awaited = self.wanted_loads.borrow().awaited();
         self.contents.borrow().load_wait_ms(awaited)
     }
 
--- a/crates/tinbay-gateway/src/orders/holder.rs
+++ b/crates/tinbay-gateway/src/orders/holder.rs
@@ -172,7 +172,7 @@
                 let _ = self.fetch_report().await;
                 continue;
             }
-            let wants = self.held.wants.borrow_mut().current(now_ms);
+            let wants = self.held.wanted_loads.borrow_mut().current(now_ms);
             match self.next_action(&wants, now_ms) {
                 Some(Action::FetchReport) => self.refresh_contents().await,
                 Some(Action::PollReport) => self.check_progress().await,
@@ -266,7 +266,7 @@
             let mut contents = self.held.contents.borrow_mut();
             contents.note_poll(report.as_ref(), self.node.now_ms())
         };
-        let mut wants = self.held.wants.borrow_mut();
+        let mut wants = self.held.wanted_loads.borrow_mut();
         for key in done {
             wants.forget(key);
         }
@@ -367,7 +367,7 @@
         contents.note_answer(action, answer, now_ms);
         drop(contents);
         if let (OrderAction::Load { .. }, OrderAnswer::Done) = (&order.action, answer) {
-            let mut wants = self.held.wants.borrow_mut();
+            let mut wants = self.held.wanted_loads.borrow_mut();
             wants.forget(adapter_key(&order.adapter));
         }
         self.log_order(&order, answer, now_ms - began_ms, wants);
--- a/crates/tinbay-gateway/src/peers/exchange.rs
+++ b/crates/tinbay-gateway/src/peers/exchange.rs
@@ -227,7 +227,7 @@
     let report = server.usage.borrow_mut().take_report(node.now_ms());
     if let Some(held) = node.held_server(server.key) {
         let own_id = node.settings.borrow().box_id.clone();
-        held.note_usage(node, &server, &own_id, report);
+        held.record_usage(node, &server, &own_id, report);
         holder::decide_waiting(node, &server, &held);
         return None;
     }
--- a/crates/tinbay-gateway/src/peers/inbox.rs
+++ b/crates/tinbay-gateway/src/peers/inbox.rs
@@ -189,7 +189,7 @@
         version: request.version,
         is_copy: request.is_copy,
     };
-    held.note_load_request(box_id, want, now_ms);
+    held.record_load_request(box_id, want, now_ms);
     server.order_due.notify_one();
     node.outbox.post_status(server.key, box_id);
 }
@@ -199,7 +199,7 @@
         return;
     };
     if let Some(held) = node.held_server(server.key) {
-        held.note_status_request(box_id, now_ms);
+        held.record_status_request(box_id, now_ms);
         node.outbox.post_status(server.key, box_id);
     }
 }
@@ -222,9 +222,9 @@
         failure_penalty: from_percent(part.failure_penalty_percent),
         delay: part.delay_percent.map(from_percent),
     };
-    held.note_usage(node, &server, box_id, report);
+    held.record_usage(node, &server, box_id, report);
     holder::decide_waiting(node, &server, &held);
-    if held.has_wants() {
+    if held.has_wanted_loads() {
         server.order_due.notify_one();
     }
 }
