--- a/crates/tinbay-gateway/src/front/deliver.rs
+++ b/crates/tinbay-gateway/src/front/deliver.rs
@@ -121,7 +121,7 @@
         let (server, sent_ms, result) = (sent.server, sent.sent_ms, sent.result);
         if matches!(result, AttemptResult::Begun(_)) {
             node.note_prefill(inbound, before_ms, node.now_ms() - sent_ms);
-            note_answer_time(node, inbound, &server, sent_ms);
+            record_answer_time(node, inbound, &server, sent_ms);
         }
         note_delay(node, inbound, &server, sent_ms);
         log_try(node, inbound, &server, &result);
@@ -143,7 +143,7 @@
                 AttemptEnd::NotRun
             }
             AttemptResult::Displaced => {
-                server.note_displaced(node.now_ms());
+                server.mark_displaced(node.now_ms());
                 AttemptEnd::NotRun
             }
             AttemptResult::NotSent { .. } => {
@@ -211,7 +211,7 @@
 fn note_declined(node: &Node, inbound: &InboundRequest, server: &Server, status: StatusCode) {
     match inbound.model_key {
         Some(key) if status == StatusCode::MISDIRECTED_REQUEST => {
-            server.note_missing(key);
+            server.record_missing(key);
             node.report_contents_mismatch(server);
         }
         _ => server.add_failure_penalty(DECLINED_PENALTY, node.now_ms()),
@@ -248,10 +248,10 @@
 
 /// Records the response time of a server. Only requests without a model are comparable between the
 /// servers of a service.
-fn note_answer_time(node: &Node, inbound: &InboundRequest, server: &Server, sent_ms: Millis) {
+fn record_answer_time(node: &Node, inbound: &InboundRequest, server: &Server, sent_ms: Millis) {
     if inbound.model.is_none() {
         let now_ms = node.now_ms();
-        server.note_answer_time((now_ms - sent_ms) as f64, now_ms);
+        server.record_answer_time((now_ms - sent_ms) as f64, now_ms);
     }
 }
 
@@ -259,7 +259,7 @@
 fn note_delay(node: &Node, inbound: &InboundRequest, server: &Server, sent_ms: Millis) {
     let now_ms = node.now_ms();
     let objective_ms = inbound.route.objective_ms.max(1) as f64;
-    server.note_delay((now_ms - sent_ms) as f64 / objective_ms, now_ms);
+    server.record_delay((now_ms - sent_ms) as f64 / objective_ms, now_ms);
 }
 
 async fn try_server(
--- a/crates/tinbay-gateway/src/front/hedge.rs
+++ b/crates/tinbay-gateway/src/front/hedge.rs
@@ -179,7 +179,7 @@
     if outcome == HedgeOutcome::SecondWon && sent.failed.is_none() {
         // The first send is cancelled, so its elapsed time is recorded instead: otherwise slow
         // answers would be missing from the recorded times.
-        server.note_answer_time(after_ms as f64, node.now_ms());
+        server.record_answer_time(after_ms as f64, node.now_ms());
     }
     count(node, outcome);
     let event = HedgeEvent {
--- a/crates/tinbay-gateway/src/orders/holder.rs
+++ b/crates/tinbay-gateway/src/orders/holder.rs
@@ -458,7 +458,7 @@
     /// its address, and that one's reports were mistaken for this server's.
     fn report_displaced(&self) {
         let now_ms = self.node.now_ms();
-        self.server.note_displaced(now_ms);
+        self.server.mark_displaced(now_ms);
         self.held.record_unreachable(now_ms);
         self.publish(Audience::Users);
     }
--- a/crates/tinbay-gateway/src/servers/server.rs
+++ b/crates/tinbay-gateway/src/servers/server.rs
@@ -172,7 +172,7 @@
     }
 
     /// Records the time of an answer without special costs, such as a load.
-    pub fn note_answer_time(&self, took_ms: f64, now_ms: Millis) {
+    pub fn record_answer_time(&self, took_ms: f64, now_ms: Millis) {
         let mut times = self.service.times.borrow_mut();
         if let Some(usual_ms) = times.quantile_ms(MEDIAN) {
             let mut slowness = self.slowness.get();
@@ -230,8 +230,8 @@
     }
 
     /// Records that the server refused a request because it doesn't hold the adapter.
-    pub fn note_missing(&self, key: AdapterKey) {
-        self.view.borrow_mut().note_missing(key as Fingerprint);
+    pub fn record_missing(&self, key: AdapterKey) {
+        self.view.borrow_mut().record_missing(key as Fingerprint);
     }
 
     /// Whether it is leaving, by its entry or by a notice.
@@ -293,7 +293,7 @@
     /// Records that another server answers at its address, which shows that this one has ended even
     /// if it has an entry. Entries of ended servers can reappear next to those of servers that took
     /// over their addresses.
-    pub fn note_displaced(&self, now_ms: Millis) {
+    pub fn mark_displaced(&self, now_ms: Millis) {
         self.displaced_until_ms.set(now_ms + DISPLACED_PAUSE_MS);
     }
 
@@ -326,7 +326,7 @@
     }
 
     /// Records a time to the response head as a fraction of its objective.
-    pub fn note_delay(&self, part_of_objective: f64, now_ms: Millis) {
+    pub fn record_delay(&self, part_of_objective: f64, now_ms: Millis) {
         let part = part_of_objective.min(MAX_DELAY);
         let known = self.own_delay(now_ms);
         let delay = known + DELAY_WEIGHT * (part - known);
--- a/crates/tinbay-gateway/src/servers/view.rs
+++ b/crates/tinbay-gateway/src/servers/view.rs
@@ -121,7 +121,7 @@
     }
 
     /// Removes an adapter after the server refused a request because it doesn't hold it.
-    pub fn note_missing(&mut self, adapter: Fingerprint) {
+    pub fn record_missing(&mut self, adapter: Fingerprint) {
         if let Some(status) = &mut self.status {
             status.entries.remove(&adapter);
         }
