--- a/crates/tinbay-gateway/src/servers/server.rs
+++ b/crates/tinbay-gateway/src/servers/server.rs
@@ -252,11 +252,11 @@
 
     /// Whether this box may send it a request for which it has no permit yet.
     pub fn takes_work(&self, now_ms: Millis) -> bool {
-        self.may_be_sent(now_ms) && self.at_limit_until_ms(now_ms).is_none()
+        self.may_receive_requests(now_ms) && self.at_limit_until_ms(now_ms).is_none()
     }
 
     /// Whether this box may send it a request that has a permit within the server's limit.
-    pub fn may_be_sent(&self, now_ms: Millis) -> bool {
+    pub fn may_receive_requests(&self, now_ms: Millis) -> bool {
         let accepts_requests =
             self.is_in_service(now_ms) && self.back_off_until_ms(now_ms).is_none();
         accepts_requests && self.waiting.takes_more()
