--- a/crates/tinbay-gateway/src/node.rs
+++ b/crates/tinbay-gateway/src/node.rs
@@ -467,7 +467,7 @@
         let Some(holder) = self.holder_of(server) else {
             return;
         };
-        server.view.borrow_mut().note_asked(now_ms);
+        server.view.borrow_mut().record_request(now_ms);
         let part = LoadRequestPart {
             server: server.fingerprint(),
             adapter: want.adapter,
@@ -480,7 +480,7 @@
     /// Asks the claim holder for the server's status.
     pub fn request_status(&self, server: &Server) {
         if let Some(holder) = self.holder_of(server) {
-            server.view.borrow_mut().note_asked(self.now_ms());
+            server.view.borrow_mut().record_request(self.now_ms());
             let part = FramePart::StatusRequest(server.fingerprint());
             self.outbox.post(&holder, part);
         }
@@ -615,7 +615,7 @@
         if inbound.model_key.is_some() {
             let prefill_ms = self.prefill_ms(&inbound.service, tokens);
             let mut view = server.view.borrow_mut();
-            view.note_begun(prefill_ms, self.now_ms());
+            view.add_to_backlog(prefill_ms, self.now_ms());
             self.outbox.post_usage(server.key);
         }
         server.begin_request(inbound.model_key, tokens)
--- a/crates/tinbay-gateway/src/orders/holder.rs
+++ b/crates/tinbay-gateway/src/orders/holder.rs
@@ -553,7 +553,7 @@
             return;
         };
         let now_ms = self.node.now_ms();
-        let change = self.server.view.borrow_mut().note(status, now_ms);
+        let change = self.server.view.borrow_mut().apply_status(status, now_ms);
         self.node.waiters.wake(&change.ready);
         if change.has_lost || audience == Audience::Users {
             self.server.status_received.notify_waiters();
--- a/crates/tinbay-gateway/src/peers/inbox.rs
+++ b/crates/tinbay-gateway/src/peers/inbox.rs
@@ -244,7 +244,7 @@
         load_wait_ms: f64::from(part.load_wait_ms),
         is_scarce: part.is_scarce,
     };
-    let change = server.view.borrow_mut().note(status, now_ms);
+    let change = server.view.borrow_mut().apply_status(status, now_ms);
     node.waiters.wake(&change.ready);
     server.status_received.notify_waiters();
 }
--- a/crates/tinbay-gateway/src/servers/view.rs
+++ b/crates/tinbay-gateway/src/servers/view.rs
@@ -64,7 +64,7 @@
 
 impl View {
     /// Stores a status from the holder and returns what it changes.
-    pub fn note(&mut self, status: ServerStatus, now_ms: Millis) -> ContentsChange {
+    pub fn apply_status(&mut self, status: ServerStatus, now_ms: Millis) -> ContentsChange {
         let change = self.change_to(&status);
         self.backlog = Backlog::new(status.backlog_ms, now_ms);
         self.status = Some(status);
@@ -94,7 +94,7 @@
     }
 
     /// Records a request to the holder. The time-out runs from the first unanswered one.
-    pub fn note_asked(&mut self, now_ms: Millis) {
+    pub fn record_request(&mut self, now_ms: Millis) {
         let is_over = |asked_ms| now_ms >= asked_ms + SILENT_HOLDER_PAUSE_MS;
         if self.asked_ms.is_none_or(is_over) {
             self.asked_ms = Some(now_ms);
@@ -139,7 +139,7 @@
     }
 
     /// Adds the prompt of a request that this box has sent to the backlog.
-    pub fn note_begun(&mut self, prefill_ms: f64, now_ms: Millis) {
+    pub fn add_to_backlog(&mut self, prefill_ms: f64, now_ms: Millis) {
         self.backlog.add(prefill_ms, now_ms);
     }
 
--- a/crates/tinbay-gateway/tests/server_view_test.rs
+++ b/crates/tinbay-gateway/tests/server_view_test.rs
@@ -29,45 +29,55 @@
 }
 
 #[test]
-fn note_returns_newly_ready_adapters() {
+fn apply_status_returns_newly_ready_adapters() {
     let mut view = View::default();
     let loading = entry(1, HeldState::Loading);
     let ready = entry(1, HeldState::Ready);
-    let first = view.note(status(&[(4, ready), (5, loading)]), 0);
+    let first = view.apply_status(status(&[(4, ready), (5, loading)]), 0);
     assert_eq!((first.ready, first.has_lost), (vec![4], false));
-    let second = view.note(status(&[(4, ready), (5, ready)]), 10);
+    let second = view.apply_status(status(&[(4, ready), (5, ready)]), 10);
     assert_eq!((second.ready, second.has_lost), (vec![5], false));
     let newer = entry(2, HeldState::Ready);
-    let third = view.note(status(&[(4, newer), (5, ready)]), 20);
+    let third = view.apply_status(status(&[(4, newer), (5, ready)]), 20);
     assert_eq!((third.ready, third.has_lost), (vec![4], true));
 }
 
 #[test]
-fn note_returns_lost_adapters() {
+fn apply_status_returns_lost_adapters() {
     let mut view = View::default();
     let ready = entry(1, HeldState::Ready);
     let loading = entry(1, HeldState::Loading);
-    view.note(status(&[(4, ready), (5, ready), (6, loading)]), 0);
-    assert!(!view.note(status(&[(4, ready), (5, ready)]), 10).has_lost);
-    assert!(view.note(status(&[(4, loading), (5, ready)]), 20).has_lost);
-    assert!(view.note(status(&[]), 30).has_lost);
+    view.apply_status(status(&[(4, ready), (5, ready), (6, loading)]), 0);
+    assert!(
+        !view
+            .apply_status(status(&[(4, ready), (5, ready)]), 10)
+            .has_lost
+    );
+    assert!(
+        view.apply_status(status(&[(4, loading), (5, ready)]), 20)
+            .has_lost
+    );
+    assert!(view.apply_status(status(&[]), 30).has_lost);
 }
 
 #[test]
-fn note_same_status_returns_no_change() {
+fn apply_status_same_status_returns_no_change() {
     let mut view = View::default();
     let entries = [
         (4, entry(1, HeldState::Ready)),
         (5, entry(0, HeldState::Loading)),
     ];
-    view.note(status(&entries), 0);
-    assert_eq!(view.note(status(&entries), 10), ContentsChange::default());
+    view.apply_status(status(&entries), 0);
+    assert_eq!(
+        view.apply_status(status(&entries), 10),
+        ContentsChange::default()
+    );
 }
 
 #[test]
 fn status_values_expire_before_contents() {
     let mut view = View::default();
-    view.note(status(&[(4, entry(1, HeldState::Ready))]), 1_000);
+    view.apply_status(status(&[(4, entry(1, HeldState::Ready))]), 1_000);
     assert!(view.is_fresh(1_299) && !view.is_fresh(1_300));
     assert_eq!(view.running_elsewhere(2_999), 7);
     assert!(!view.takes_loads(2_999));
@@ -81,11 +91,11 @@
 #[test]
 fn is_silent_until_answer_or_retry() {
     let mut view = View::default();
-    view.note_asked(0);
-    view.note_asked(50);
+    view.record_request(0);
+    view.record_request(50);
     assert!(!view.is_silent(59) && view.is_silent(60));
     assert!(!view.is_silent(1_500));
-    view.note(status(&[]), 70);
+    view.apply_status(status(&[]), 70);
     assert!(!view.is_silent(80));
 }
 
