--- a/crates/tinbay-gateway/src/crashes/check.rs
+++ b/crates/tinbay-gateway/src/crashes/check.rs
@@ -47,7 +47,7 @@
 
 /// Records that a server cut an answer short or closed the connection without one, and starts a
 /// check unless one is pending.
-pub fn note_cut(node: &Rc<Node>, server: &Rc<Server>, request: CutRequest) {
+pub fn record_cut(node: &Rc<Node>, server: &Rc<Server>, request: CutRequest) {
     node.crashes.begin_check(request.digest);
     let mut cut = server.cut_requests.borrow_mut();
     cut.push(request);
--- a/crates/tinbay-gateway/src/crashes/mod.rs
+++ b/crates/tinbay-gateway/src/crashes/mod.rs
@@ -122,7 +122,7 @@
 }
 
 /// Records that a request completed, which clears its crashes.
-pub fn note_proven(node: &Node, digest: RequestDigest) {
+pub fn record_completed(node: &Node, digest: RequestDigest) {
     node.crashes.proven.borrow_mut().note(digest);
     node.crashes.ledger.borrow_mut().clear(digest);
 }
--- a/crates/tinbay-gateway/src/front/deliver.rs
+++ b/crates/tinbay-gateway/src/front/deliver.rs
@@ -225,7 +225,7 @@
             id: inbound.id.clone(),
             digest: *digest,
         };
-        check::note_cut(node, server, request);
+        check::record_cut(node, server, request);
     }
 }
 
@@ -485,7 +485,9 @@
         handover::note_stream(&node, &inbound, sight, end);
         match (end, inbound.digest.get()) {
             (Err(BodyError::ServerBrokeOff), _) => note_cut(&node, &inbound, &server),
-            (Ok(()), Some(digest)) if is_success(status) => crashes::note_proven(&node, *digest),
+            (Ok(()), Some(digest)) if is_success(status) => {
+                crashes::record_completed(&node, *digest)
+            }
             _ => {}
         }
         let server = server.record().id.clone();
