--- a/crates/tinbay-gateway/src/front/admission.rs
+++ b/crates/tinbay-gateway/src/front/admission.rs
@@ -47,12 +47,12 @@
     };
     inbound
         .admission
-        .note(answered.outcome, node.now_ms() - began_ms);
+        .record(answered.outcome, node.now_ms() - began_ms);
     count(node, inbound, answered.outcome.name());
     let Some(retry_after_ms) = answered.retry_after_ms else {
         return Ok(Admission::Here);
     };
-    inbound.admission.note_full(server.key);
+    inbound.admission.record_full(server.key);
     let may_ask_more = inbound.admission.full_count() < MAX_ASKED;
     if may_ask_more && has_other_server(node, inbound, tried) {
         return Ok(Admission::Elsewhere);
--- a/crates/tinbay-gateway/src/sharing/outcome.rs
+++ b/crates/tinbay-gateway/src/sharing/outcome.rs
@@ -41,14 +41,14 @@
 
 impl AdmissionOutcomes {
     /// Records the outcome of an admission request and how long it took.
-    pub fn note(&self, outcome: AdmissionOutcome, took_ms: Millis) {
+    pub fn record(&self, outcome: AdmissionOutcome, took_ms: Millis) {
         self.outcome.set(Some(outcome));
         let before_ms = self.wait_ms.get().unwrap_or_default();
         self.wait_ms.set(Some(before_ms + took_ms));
     }
 
     /// Records a server that had no capacity for the request.
-    pub fn note_full(&self, server: ServerKey) {
+    pub fn record_full(&self, server: ServerKey) {
         self.full_servers.borrow_mut().push(server);
     }
 
