--- a/crates/tinbay-gateway/src/front/admission.rs
+++ b/crates/tinbay-gateway/src/front/admission.rs
@@ -42,7 +42,7 @@
         return Ok(Admission::Here);
     };
     let began_ms = node.now_ms();
-    let Some(answered) = asking::ask(&**node, server, wish).await else {
+    let Some(answered) = asking::request_admission(&**node, server, wish).await else {
         return Ok(Admission::Here);
     };
     inbound
--- a/crates/tinbay-gateway/src/peers/inbox.rs
+++ b/crates/tinbay-gateway/src/peers/inbox.rs
@@ -113,7 +113,7 @@
             }
             FramePart::ContentsMismatch(server) => handle_contents_mismatch(node, server),
             FramePart::AdmissionRequest(part) => holder::handle_request(node, &frame.box_id, &part),
-            FramePart::AdmissionReply(part) => node.sharing.take_reply(part),
+            FramePart::AdmissionReply(part) => node.sharing.deliver_reply(part),
             FramePart::Usage(usage) => {
                 if advance(seen.usage.entry(usage.server).or_default(), frame.sequence) {
                     handle_usage(node, &frame.box_id, usage);
--- a/crates/tinbay-gateway/src/sharing/asking.rs
+++ b/crates/tinbay-gateway/src/sharing/asking.rs
@@ -80,7 +80,7 @@
 
 /// Requests admission at a server. Returns `None` if the server is not scarce or has no holder, so
 /// that no admission is needed.
-pub async fn ask(
+pub async fn request_admission(
     context: &dyn AdmissionContext,
     server: &Rc<Server>,
     request: AdmissionParams,
--- a/crates/tinbay-gateway/src/sharing/holder.rs
+++ b/crates/tinbay-gateway/src/sharing/holder.rs
@@ -55,11 +55,11 @@
         let reply = AdmissionReply::NotHolder;
         return node
             .sharing
-            .take_reply(AdmissionReplyPart { number, reply });
+            .deliver_reply(AdmissionReplyPart { number, reply });
     };
     let reply = AdmissionReply::Queued;
     node.sharing
-        .take_reply(AdmissionReplyPart { number, reply });
+        .deliver_reply(AdmissionReplyPart { number, reply });
     let request = part.to_request(own_key(node));
     held.admission.borrow_mut().ask(request, node.now_ms());
     decide_waiting(node, server, &held);
@@ -147,7 +147,7 @@
     if decision.id.box_key == own_key(node) {
         return node
             .sharing
-            .take_reply(AdmissionReplyPart { number, reply });
+            .deliver_reply(AdmissionReplyPart { number, reply });
     }
     let members = node.members.borrow();
     let box_id = members.id_of(decision.id.box_key).cloned();
--- a/crates/tinbay-gateway/src/sharing/links.rs
+++ b/crates/tinbay-gateway/src/sharing/links.rs
@@ -37,7 +37,7 @@
     /// Box that allocates a server's capacity; `None` if no box holds the server.
     fn admission_holder(&self, server: &Server) -> Option<AdmissionHolder>;
 
-    /// Sends an admission request. The reply is delivered through [`Sharing::take_reply`].
+    /// Sends an admission request. The reply is delivered through [`Sharing::deliver_reply`].
     fn send_request(
         &self,
         holder: &AdmissionHolder,
--- a/crates/tinbay-gateway/src/sharing/mod.rs
+++ b/crates/tinbay-gateway/src/sharing/mod.rs
@@ -40,7 +40,7 @@
 impl Sharing {
     /// Delivers a holder's reply to the waiting request; ignores replies to requests that have
     /// ended.
-    pub fn take_reply(&self, part: AdmissionReplyPart) {
+    pub fn deliver_reply(&self, part: AdmissionReplyPart) {
         let mut waiting = self.waiting.borrow_mut();
         if part.reply == AdmissionReply::Queued {
             if let Some(waiting) = waiting.get_mut(&part.number) {
--- a/crates/tinbay-gateway/tests/sharing_asking_test.rs
+++ b/crates/tinbay-gateway/tests/sharing_asking_test.rs
@@ -9,7 +9,7 @@
 use tinbay_gateway::clock::Clock;
 use tinbay_gateway::servers::{Server, ServerTable};
 use tinbay_gateway::sharing::Sharing;
-use tinbay_gateway::sharing::asking::{AdmissionParams, AdmissionResult, ask};
+use tinbay_gateway::sharing::asking::{AdmissionParams, AdmissionResult, request_admission};
 use tinbay_gateway::sharing::links::{AdmissionContext, AdmissionHolder};
 use tinbay_gateway::sharing::messages::{AdmissionReply, AdmissionReplyPart, AdmissionRequestPart};
 use tinbay_gateway::sharing::outcome::AdmissionOutcome;
@@ -75,7 +75,7 @@
         let number = part.number;
         if let Some(Some(reply)) = self.replies.borrow_mut().pop() {
             self.sharing
-                .take_reply(AdmissionReplyPart { number, reply });
+                .deliver_reply(AdmissionReplyPart { number, reply });
         }
     }
 }
@@ -111,24 +111,24 @@
 }
 
 #[test]
-fn ask_not_scarce_sends_nothing() {
+fn request_admission_not_scarce_sends_nothing() {
     let context = FakeContext {
         is_scarce: false,
         ..FakeContext::new(&[])
     };
-    assert_eq!(run(ask(&context, &server(), PARAMS)), None);
+    assert_eq!(run(request_admission(&context, &server(), PARAMS)), None);
     assert_eq!(context.sends.get(), 0);
 }
 
 #[test]
-fn ask_admitted_and_rejected() {
+fn request_admission_admitted_and_rejected() {
     let rejected = AdmissionReply::Rejected {
         retry_after_ms: 700,
     };
     let context = FakeContext::new(&[Some(AdmissionReply::Admitted), Some(rejected)]);
-    let first = run(ask(&context, &server(), PARAMS));
+    let first = run(request_admission(&context, &server(), PARAMS));
     assert_eq!(outcome(first), Some((AdmissionOutcome::Holder, None)));
-    let second = run(ask(&context, &server(), PARAMS));
+    let second = run(request_admission(&context, &server(), PARAMS));
     let expected = Some((AdmissionOutcome::Rejected, Some(700)));
     assert_eq!(outcome(second), expected);
 }
@@ -136,14 +136,14 @@
 /// A request whose answer is lost must be sent again under the same number, also after it was
 /// queued.
 #[test]
-fn ask_lost_message_is_resent() {
+fn request_admission_lost_message_is_resent() {
     let context = FakeContext::new(&[
         None,
         Some(AdmissionReply::Queued),
         None,
         Some(AdmissionReply::Admitted),
     ]);
-    let result = run(ask(&context, &server(), PARAMS));
+    let result = run(request_admission(&context, &server(), PARAMS));
     assert_eq!(outcome(result), Some((AdmissionOutcome::Holder, None)));
     assert_eq!(*context.numbers.borrow(), vec![1; 4]);
 }
@@ -151,17 +151,18 @@
 /// With a silent holder, a box admits one request at a time at the server. It doesn't ask the
 /// holder for a while and then asks again.
 #[test]
-fn ask_silent_holder_limits_own_requests() {
+fn request_admission_silent_holder_limits_own_requests() {
     let context = FakeContext::new(&[]);
     let server = server();
-    let first = run(ask(&context, &server, PARAMS));
+    let first = run(request_admission(&context, &server, PARAMS));
     assert_eq!(
         outcome(first),
         Some((AdmissionOutcome::WithoutHolder, None))
     );
     let sends = context.sends.get();
     let running = server.begin_request(Some(7), 100);
-    let second = run(ask(&context, &server, PARAMS)).expect("a result while the server is scarce");
+    let second = run(request_admission(&context, &server, PARAMS))
+        .expect("a result while the server is scarce");
     assert_eq!(second.outcome, AdmissionOutcome::NoAnswer);
     assert!(second.retry_after_ms > Some(0));
     assert_eq!(context.sends.get(), sends);
@@ -171,15 +172,15 @@
         .replies
         .borrow_mut()
         .push(Some(AdmissionReply::Admitted));
-    let third = run(ask(&context, &server, PARAMS));
+    let third = run(request_admission(&context, &server, PARAMS));
     assert_eq!(outcome(third), Some((AdmissionOutcome::Holder, None)));
 }
 
 /// The box that is asked is no longer the holder.
 #[test]
-fn ask_not_holder_limits_own_requests() {
+fn request_admission_not_holder_limits_own_requests() {
     let context = FakeContext::new(&[Some(AdmissionReply::NotHolder)]);
-    let result = run(ask(&context, &server(), PARAMS));
+    let result = run(request_admission(&context, &server(), PARAMS));
     assert_eq!(
         outcome(result),
         Some((AdmissionOutcome::WithoutHolder, None))
@@ -190,9 +191,9 @@
 /// A holder that queues a request and never decides. The request must not wait for it beyond its
 /// time limit.
 #[test]
-fn ask_undecided_holder_limits_own_requests() {
+fn request_admission_undecided_holder_limits_own_requests() {
     let context = FakeContext::new(&[Some(AdmissionReply::Queued); 50]);
-    let result = run(ask(&context, &server(), PARAMS));
+    let result = run(request_admission(&context, &server(), PARAMS));
     assert_eq!(
         outcome(result),
         Some((AdmissionOutcome::WithoutHolder, None))
@@ -203,12 +204,12 @@
 
 /// Replies without a waiting request must change nothing.
 #[test]
-fn take_reply_late_or_unknown_is_ignored() {
+fn deliver_reply_late_or_unknown_is_ignored() {
     let context = FakeContext::new(&[
         Some(AdmissionReply::Admitted),
         Some(AdmissionReply::Admitted),
     ]);
-    run(ask(&context, &server(), PARAMS));
+    run(request_admission(&context, &server(), PARAMS));
     for number in [1, 77] {
         for reply in [
             AdmissionReply::Admitted,
@@ -217,9 +218,9 @@
         ] {
             context
                 .sharing
-                .take_reply(AdmissionReplyPart { number, reply });
+                .deliver_reply(AdmissionReplyPart { number, reply });
         }
     }
-    let result = run(ask(&context, &server(), PARAMS));
+    let result = run(request_admission(&context, &server(), PARAMS));
     assert_eq!(outcome(result), Some((AdmissionOutcome::Holder, None)));
 }
