--- a/crates/tinbay-gateway/src/crashes/entries.rs
+++ b/crates/tinbay-gateway/src/crashes/entries.rs
@@ -81,7 +81,7 @@
 
 /// Applies an entry read from the store. The entry holds no age, so the quarantine begins anew at a
 /// box that reads it; the entry's lease limits how long it can be read.
-pub fn take(node: &Node, item: &Item) {
+pub fn apply(node: &Node, item: &Item) {
     let Some(digest) = item.key.strip_prefix(PREFIX) else {
         return;
     };
--- a/crates/tinbay-gateway/src/front/attempt.rs
+++ b/crates/tinbay-gateway/src/front/attempt.rs
@@ -266,7 +266,7 @@
             headers: response.headers(),
             has_run: !is_not_run,
         };
-        notices::take(node, terms.server, &head);
+        notices::apply(node, terms.server, &head);
     }
     if is_not_run {
         return AttemptResult::Declined { status };
--- a/crates/tinbay-gateway/src/limits/mod.rs
+++ b/crates/tinbay-gateway/src/limits/mod.rs
@@ -398,7 +398,7 @@
 
 /// Answers a request for units from a box that regards this one as the limit's home.
 pub fn handle_request(node: &Node, box_id: &str, part: &LimitRequestPart) {
-    notices::take(node, part.key, part.notice.as_ref());
+    notices::apply(node, part.key, part.notice.as_ref());
     let limited = Limited::find(node, part.key);
     if limited.is_none() && matches!(part.key, LimitKey::Account(_)) {
         return;
@@ -433,7 +433,7 @@
 
 /// Applies the answer of a home. A late answer still brings its units.
 pub fn handle_grant(node: &Node, part: &LimitGrantPart) {
-    notices::take(node, part.key, part.notice.as_ref());
+    notices::apply(node, part.key, part.notice.as_ref());
     if Limited::find(node, part.key).is_none() && matches!(part.key, LimitKey::Account(_)) {
         return;
     }
--- a/crates/tinbay-gateway/src/limits/notices.rs
+++ b/crates/tinbay-gateway/src/limits/notices.rs
@@ -75,7 +75,7 @@
 }
 
 /// Applies the limit of a server that another box passed on.
-pub fn take(node: &Node, key: LimitKey, part: Option<&LimitNoticePart>) {
+pub fn apply(node: &Node, key: LimitKey, part: Option<&LimitNoticePart>) {
     let (LimitKey::Server(server), Some(part)) = (key, part) else {
         return;
     };
--- a/crates/tinbay-gateway/src/orders/holder.rs
+++ b/crates/tinbay-gateway/src/orders/holder.rs
@@ -309,7 +309,7 @@
             headers: &reply.headers,
             has_run: false,
         };
-        if notices::take(&self.node, &self.server, &head) {
+        if notices::apply(&self.node, &self.server, &head) {
             // Other boxes stop requesting loads at a server that is leaving or in a back-off.
             self.publish(Audience::Users);
         }
--- a/crates/tinbay-gateway/src/peers/inbox.rs
+++ b/crates/tinbay-gateway/src/peers/inbox.rs
@@ -103,7 +103,7 @@
             FramePart::LimitRequest(part) => limits::handle_request(node, &frame.box_id, &part),
             FramePart::LimitGrant(part) => limits::handle_grant(node, &part),
             FramePart::ServerLimit(part) => {
-                notices::take(node, LimitKey::Server(part.server), Some(&part.notice));
+                notices::apply(node, LimitKey::Server(part.server), Some(&part.notice));
             }
             FramePart::LoadRequest(request) => {
                 handle_load_request(node, &frame.box_id, request, now_ms)
@@ -233,7 +233,7 @@
     let Some(server) = node.servers.borrow().by_fingerprint(part.server) else {
         return;
     };
-    notices::take(node, LimitKey::Server(part.server), part.limit.as_ref());
+    notices::apply(node, LimitKey::Server(part.server), part.limit.as_ref());
     let status = ServerStatus {
         entries: part.adapters.iter().map(to_entry).collect(),
         running_elsewhere: usize::from(part.running_elsewhere),
--- a/crates/tinbay-gateway/src/servers/notices.rs
+++ b/crates/tinbay-gateway/src/servers/notices.rs
@@ -96,7 +96,7 @@
 
 /// Applies the notices in the head of a server's own answer. Returns whether they changed anything
 /// that other boxes have to know.
-pub fn take(node: &Node, server: &Rc<Server>, head: &AnswerHead<'_>) -> bool {
+pub fn apply(node: &Node, server: &Rc<Server>, head: &AnswerHead<'_>) -> bool {
     let notice = decode(node, server, head);
     server.apply_notice(notice, node.now_ms());
     let limit_before = server.take_limit_change();
--- a/crates/tinbay-gateway/src/watch/boxes.rs
+++ b/crates/tinbay-gateway/src/watch/boxes.rs
@@ -58,9 +58,9 @@
         } else if let Some(address) = item.key.strip_prefix(CLAIM_PREFIX) {
             self.node.note_claim(address, item);
         } else if item.key == era_mark::KEY {
-            era_mark::take(&self.node, item);
+            era_mark::apply(&self.node, item);
         } else {
-            entries::take(&self.node, item);
+            entries::apply(&self.node, item);
         }
     }
 
