--- a/crates/tinbay-gateway/src/front/attempt.rs
+++ b/crates/tinbay-gateway/src/front/attempt.rs
@@ -165,7 +165,9 @@
         let mut connection = connected.map_err(|error| AttemptResult::NotSent { error })?;
         // The server was chosen before the wait for a connection, so its state is checked again.
         let now_ms = node.now_ms();
-        if !terms.server.may_receive_requests(now_ms) || !terms.permit.holds(terms.server, now_ms) {
+        if !terms.server.may_receive_requests(now_ms)
+            || !terms.permit.is_valid(terms.server, now_ms)
+        {
             let body = request.into_body();
             return Err(AttemptResult::Withdrawn { body });
         }
--- a/crates/tinbay-gateway/src/front/deliver.rs
+++ b/crates/tinbay-gateway/src/front/deliver.rs
@@ -102,7 +102,7 @@
             Err(refusal) if tries.tried.is_empty() => return Err(refusal),
             Err(_) => return Err(give_up(node, inbound, &tries)),
         }
-        let Some(permit) = permits::take(node, &server).await else {
+        let Some(permit) = permits::acquire(node, &server).await else {
             inbound.note_at_limit();
             continue;
         };
--- a/crates/tinbay-gateway/src/front/handover/actions.rs
+++ b/crates/tinbay-gateway/src/front/handover/actions.rs
@@ -163,7 +163,7 @@
         let (Some(server), Some(body)) = (server, self.body.repeat()) else {
             return Resumed::Declined;
         };
-        let Some(permit) = permits::take(&self.node, &server).await else {
+        let Some(permit) = permits::acquire(&self.node, &server).await else {
             return Resumed::Declined;
         };
         let source = self.source.record().address;
--- a/crates/tinbay-gateway/src/front/hedge.rs
+++ b/crates/tinbay-gateway/src/front/hedge.rs
@@ -268,7 +268,7 @@
         Choice::Send { server, .. } if server.limit_per_s().is_none() => server,
         _ => return Err(HedgeOutcome::NoServer),
     };
-    let permit = permits::take(node, &server).await;
+    let permit = permits::acquire(node, &server).await;
     let permit = permit.ok_or(HedgeOutcome::NoServer)?;
     if !takes_budget(node, inbound) {
         return Err(HedgeOutcome::NoBudget);
--- a/crates/tinbay-gateway/src/limits/permits.rs
+++ b/crates/tinbay-gateway/src/limits/permits.rs
@@ -24,7 +24,7 @@
 impl Permit {
     /// Whether the permit is still valid. The server may have announced a limit in the meantime,
     /// and a request sent on an expired unit would come on top of those granted by now.
-    pub fn holds(&self, server: &Server, now_ms: Millis) -> bool {
+    pub fn is_valid(&self, server: &Server, now_ms: Millis) -> bool {
         match self.unit_until_ms {
             Some(until_ms) => now_ms < until_ms,
             None => server.limit_per_s().is_none(),
@@ -48,7 +48,7 @@
 /// The load on an overloaded server is the sum over all boxes, which no single box can see. If each
 /// box sent requests until the server announced its limit to that box, all boxes together would
 /// exceed the limit several times over.
-pub async fn take(node: &Node, server: &Rc<Server>) -> Option<Permit> {
+pub async fn acquire(node: &Node, server: &Rc<Server>) -> Option<Permit> {
     let Some(limited) = Limited::of_server(node, server) else {
         let unit_until_ms = None;
         return Some(Permit { unit_until_ms });
