--- a/crates/tinbay-gateway/src/crashes/entries.rs
+++ b/crates/tinbay-gateway/src/crashes/entries.rs
@@ -33,7 +33,7 @@
 }
 
 /// Writes entries for the requests that this box has quarantined, until the box stops.
-pub async fn keep(node: Rc<Node>) {
+pub async fn run(node: Rc<Node>) {
     let mut pause_ms = RETRY_PAUSE_MS;
     loop {
         let Some(digest) = next_unsaved(&node) else {
--- a/crates/tinbay-gateway/src/orders/membership.rs
+++ b/crates/tinbay-gateway/src/orders/membership.rs
@@ -56,7 +56,7 @@
 }
 
 /// Maintains the entry until the box stops.
-pub async fn keep(node: Rc<Node>) {
+pub async fn run(node: Rc<Node>) {
     let mut entry = Entry::default();
     let mut retry_ms = RETRY_PAUSE_MS;
     loop {
--- a/crates/tinbay-gateway/src/run.rs
+++ b/crates/tinbay-gateway/src/run.rs
@@ -144,9 +144,9 @@
     start_listeners(&node, &settings)?;
     start_followers(&node);
     start_exchange(&node, settings.peer).await?;
-    tokio::task::spawn_local(membership::keep(Rc::clone(&node)));
+    tokio::task::spawn_local(membership::run(Rc::clone(&node)));
     tokio::task::spawn_local(claiming::run(Rc::clone(&node)));
-    tokio::task::spawn_local(entries::keep(Rc::clone(&node)));
+    tokio::task::spawn_local(entries::run(Rc::clone(&node)));
     tokio::task::spawn_local(returns::run(Rc::clone(&node)));
     tokio::task::spawn_local(housekeeping::run(Rc::clone(&node)));
     tokio::task::spawn_local(pump::run(Rc::clone(&node.answers)));
