--- a/crates/tinbay-gateway/src/front/attempt.rs
+++ b/crates/tinbay-gateway/src/front/attempt.rs
@@ -262,8 +262,8 @@
         || status == StatusCode::MISDIRECTED_REQUEST;
     if is_own {
         let head = AnswerHead {
-            asked_for: RequestKind::Request(&inbound.id),
-            asked_ms: sent_ms,
+            request_kind: RequestKind::Request(&inbound.id),
+            request_sent_ms: sent_ms,
             status: status.as_u16(),
             headers: response.headers(),
             has_run: !is_not_run,
--- a/crates/tinbay-gateway/src/orders/holder.rs
+++ b/crates/tinbay-gateway/src/orders/holder.rs
@@ -277,9 +277,9 @@
     async fn fetch_report(&self) -> Option<Report> {
         let path = self.node.dialect.report_path().to_string();
         let call = self.call(Method::GET, path, Bytes::new(), REPORT_TIMEOUT_MS);
-        let asked_ms = self.node.now_ms();
+        let request_sent_ms = self.node.now_ms();
         match self.caller.call(&call).await {
-            Ok(reply) => self.read_reply(&reply, asked_ms),
+            Ok(reply) => self.read_reply(&reply, request_sent_ms),
             Err(error) => {
                 self.report_unreachable(error);
                 None
@@ -288,23 +288,23 @@
     }
 
     /// Decodes the answer to a report request and applies the notices in its headers.
-    fn read_reply(&self, reply: &Reply, asked_ms: Millis) -> Option<Report> {
+    fn read_reply(&self, reply: &Reply, request_sent_ms: Millis) -> Option<Report> {
         if reply.status != 200 {
-            self.apply_notices(RequestKind::Report, asked_ms, reply);
+            self.apply_notices(RequestKind::Report, request_sent_ms, reply);
             return None;
         }
         let report = self.read_report(&reply.body)?;
-        self.apply_notices(RequestKind::Report, asked_ms, reply);
+        self.apply_notices(RequestKind::Report, request_sent_ms, reply);
         Some(report)
     }
 
-    fn apply_notices(&self, asked_for: RequestKind<'_>, asked_ms: Millis, reply: &Reply) {
+    fn apply_notices(&self, request_kind: RequestKind<'_>, request_sent_ms: Millis, reply: &Reply) {
         if self.is_from_another_server(reply) {
             return;
         }
         let head = AnswerHead {
-            asked_for,
-            asked_ms,
+            request_kind,
+            request_sent_ms,
             status: reply.status,
             headers: &reply.headers,
             has_run: false,
@@ -417,13 +417,13 @@
         let body = self.node.dialect.encode_order(order);
         let path = self.node.dialect.order_path().to_string();
         let call = self.call(Method::POST, path, body, ORDER_TIMEOUT_MS);
-        let asked_ms = self.node.now_ms();
+        let request_sent_ms = self.node.now_ms();
         match self.caller.call(&call).await {
             Ok(reply) => {
                 if self.is_from_another_server(&reply) {
                     self.report_displaced();
                 }
-                self.apply_notices(RequestKind::Order, asked_ms, &reply);
+                self.apply_notices(RequestKind::Order, request_sent_ms, &reply);
                 match reply.status {
                     200 => OrderAnswer::Done,
                     202 => OrderAnswer::Accepted,
--- a/crates/tinbay-gateway/src/servers/notices.rs
+++ b/crates/tinbay-gateway/src/servers/notices.rs
@@ -48,9 +48,9 @@
 #[derive(Debug, Clone, Copy)]
 pub struct AnswerHead<'a> {
     /// Kind of request.
-    pub asked_for: RequestKind<'a>,
+    pub request_kind: RequestKind<'a>,
     /// Time at which the request was sent.
-    pub asked_ms: Millis,
+    pub request_sent_ms: Millis,
     /// HTTP status.
     pub status: u16,
     /// HTTP headers.
@@ -129,7 +129,7 @@
             .filter(|per_s| per_s.is_some() || head.has_run)
             .map(|per_s| LimitNotice {
                 per_s,
-                request_sent_ms: head.asked_ms,
+                request_sent_ms: head.request_sent_ms,
                 answer_received_ms: node.now_ms(),
             }),
     }
@@ -145,8 +145,8 @@
     }
     let event = NoticeEvent {
         server: &server.record().id,
-        asked_for: head.asked_for.name(),
-        request: head.asked_for.request(),
+        asked_for: head.request_kind.name(),
+        request: head.request_kind.request(),
         status: head.status,
         is_leaving: notice.is_leaving,
         back_off_ms: notice.back_off_ms,
@@ -171,11 +171,11 @@
     notices.with_label_values(&[notice]).inc();
     let event = LimitEvent {
         server: &server.record().id,
-        asked_for: head.asked_for.name(),
-        request: head.asked_for.request(),
+        asked_for: head.request_kind.name(),
+        request: head.request_kind.request(),
         limit_per_s,
         before_per_s,
-        asked_ms_ago: node.now_ms().saturating_sub(head.asked_ms),
+        asked_ms_ago: node.now_ms().saturating_sub(head.request_sent_ms),
     };
     events::emit(part::SERVERS, Level::Info, "server_limit", &event);
 }
