--- a/crates/tinbay-gateway/src/limits/mod.rs
+++ b/crates/tinbay-gateway/src/limits/mod.rs
@@ -79,11 +79,14 @@
 /// State of all limits at this box.
 #[derive(Debug, Default)]
 pub struct Limits {
+    /// This box's units of each limit, granted or from its local share.
     shares: RefCell<HashMap<LimitKey, LimitShare>>,
+    /// State of the limits of which this box is the home.
     homes: RefCell<HashMap<LimitKey, LimitHome>>,
     cached_homes: RefCell<HashMap<LimitKey, CachedHome>>,
     /// Homes that did not answer, with the time until which they are not asked.
     failed_homes: RefCell<HashMap<String, Millis>>,
+    /// Time of the last prefetch of units of each limit.
     prefetched_ms: RefCell<HashMap<LimitKey, Millis>>,
     /// Retry times of callers rejected while all servers of a service are at their limits, by
     /// service.
--- a/crates/tinbay-gateway/src/orders/held_server.rs
+++ b/crates/tinbay-gateway/src/orders/held_server.rs
@@ -105,20 +105,20 @@
 
     /// Records the adapter that a box's request needs. An adapter that is loaded already is
     /// recorded as used, so that it is kept for the request.
-    pub fn record_load_request(&self, box_id: &str, want: WantedLoad, now_ms: Millis) {
-        let key = adapter_key(&want.adapter);
+    pub fn record_load_request(&self, box_id: &str, wanted_load: WantedLoad, now_ms: Millis) {
+        let key = adapter_key(&wanted_load.adapter);
         let mut subscribers = self.subscribers.borrow_mut();
-        if want.is_copy {
+        if wanted_load.is_copy {
             subscribers.hear(box_id, now_ms);
         } else {
             subscribers.note_wait(box_id, key as Fingerprint, now_ms);
         }
         let mut contents = self.contents.borrow_mut();
-        if contents.holding(key, want.version) == Holding::Current {
+        if contents.holding(key, wanted_load.version) == Holding::Current {
             contents.note_uses(key, 0, now_ms);
             return;
         }
-        self.wanted_loads.borrow_mut().ask(want, now_ms);
+        self.wanted_loads.borrow_mut().ask(wanted_load, now_ms);
     }
 
     /// Records the requests that a box has running at the server.
--- a/crates/tinbay-gateway/src/orders/holder.rs
+++ b/crates/tinbay-gateway/src/orders/holder.rs
@@ -96,7 +96,7 @@
 
 /// Boxes that receive an update of a server's status.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Audience {
+enum Recipients {
     /// Boxes affected by the change of the server's contents.
     Affected,
     /// All boxes that used the server recently, for its first known contents and for failures.
@@ -160,7 +160,7 @@
                 continue;
             };
             if self.held.limit_changed.take() {
-                self.publish(Audience::Users);
+                self.publish(Recipients::Users);
             }
             let now_ms = self.node.now_ms();
             if !self.may_contact(now_ms) {
@@ -172,12 +172,12 @@
                 let _ = self.fetch_report().await;
                 continue;
             }
-            let wants = self.held.wanted_loads.borrow_mut().current(now_ms);
-            match self.next_action(&wants, now_ms) {
+            let wanted_loads = self.held.wanted_loads.borrow_mut().current(now_ms);
+            match self.next_action(&wanted_loads, now_ms) {
                 Some(Action::FetchReport) => self.refresh_contents().await,
                 Some(Action::PollReport) => self.check_progress().await,
-                Some(action) => self.order(&action, token, &wants).await,
-                None => self.pause(&wants).await,
+                Some(action) => self.order(&action, token, &wanted_loads).await,
+                None => self.pause(&wanted_loads).await,
             }
         }
         self.node.held_servers.borrow_mut().remove(&self.server.key);
@@ -198,7 +198,7 @@
         !self.server.is_displaced(now_ms) && self.server.back_off_until_ms(now_ms).is_none()
     }
 
-    fn next_action(&self, wants: &[WantedLoad], now_ms: Millis) -> Option<Action> {
+    fn next_action(&self, wanted_loads: &[WantedLoad], now_ms: Millis) -> Option<Action> {
         let context = OrderContext {
             named: &|adapter: &str| self.node.named_version(adapter),
             is_in_use: &|key| self.held.is_in_use(&self.server, key, now_ms),
@@ -209,12 +209,12 @@
             now_ms,
         };
         let contents = self.held.contents.borrow();
-        contents.next_action(wants, &context, &mut allowance)
+        contents.next_action(wanted_loads, &context, &mut allowance)
     }
 
-    async fn pause(&self, wants: &[WantedLoad]) {
+    async fn pause(&self, wanted_loads: &[WantedLoad]) {
         let now_ms = self.node.now_ms();
-        let max_ms = if wants.is_empty() {
+        let max_ms = if wanted_loads.is_empty() {
             MAX_PAUSE_MS
         } else {
             PENDING_LOAD_PAUSE_MS
@@ -241,9 +241,9 @@
             .borrow_mut()
             .note_report(&report, self.node.now_ms());
         self.publish(if is_first_report {
-            Audience::Users
+            Recipients::Users
         } else {
-            Audience::Affected
+            Recipients::Affected
         });
     }
 
@@ -266,12 +266,12 @@
             let mut contents = self.held.contents.borrow_mut();
             contents.note_poll(report.as_ref(), self.node.now_ms())
         };
-        let mut wants = self.held.wanted_loads.borrow_mut();
+        let mut wanted_loads = self.held.wanted_loads.borrow_mut();
         for key in done {
-            wants.forget(key);
+            wanted_loads.forget(key);
         }
-        drop(wants);
-        self.publish(Audience::Affected);
+        drop(wanted_loads);
+        self.publish(Recipients::Affected);
     }
 
     async fn fetch_report(&self) -> Option<Report> {
@@ -311,7 +311,7 @@
         };
         if notices::apply(&self.node, &self.server, &head) {
             // Other boxes stop requesting loads at a server that is leaving or in a back-off.
-            self.publish(Audience::Users);
+            self.publish(Recipients::Users);
         }
     }
 
@@ -356,7 +356,7 @@
         events::emit(part::ORDERS, Level::Warn, "report_unreadable", &event);
     }
 
-    async fn order(&self, action: &Action, token: u64, wants: &[WantedLoad]) {
+    async fn order(&self, action: &Action, token: u64, wanted_loads: &[WantedLoad]) {
         let Some(order) = self.build_order(action, token) else {
             return;
         };
@@ -367,11 +367,11 @@
         contents.note_answer(action, answer, now_ms);
         drop(contents);
         if let (OrderAction::Load { .. }, OrderAnswer::Done) = (&order.action, answer) {
-            let mut wants = self.held.wanted_loads.borrow_mut();
-            wants.forget(adapter_key(&order.adapter));
+            let mut wanted_loads = self.held.wanted_loads.borrow_mut();
+            wanted_loads.forget(adapter_key(&order.adapter));
         }
-        self.log_order(&order, answer, now_ms - began_ms, wants);
-        self.publish(Audience::Affected);
+        self.log_order(&order, answer, now_ms - began_ms, wanted_loads);
+        self.publish(Recipients::Affected);
     }
 
     /// Sends an order until its result is known or the limit of rounds is reached.
@@ -385,7 +385,7 @@
             unanswered += 1;
             if unanswered == ROUNDS_UNTIL_UNRESPONSIVE {
                 self.held.record_unresponsive(self.node.now_ms());
-                self.publish(Audience::Users);
+                self.publish(Recipients::Users);
             }
             answer = self.send_copies(order).await;
         }
@@ -460,14 +460,14 @@
         let now_ms = self.node.now_ms();
         self.server.mark_displaced(now_ms);
         self.held.record_unreachable(now_ms);
-        self.publish(Audience::Users);
+        self.publish(Recipients::Users);
     }
 
     /// Reports to all users of the server that it accepts no connections.
     fn report_unreachable(&self, error: CallError) {
         if error == CallError::NotConnected {
             self.held.record_unreachable(self.node.now_ms());
-            self.publish(Audience::Users);
+            self.publish(Recipients::Users);
         }
     }
 
@@ -508,8 +508,16 @@
         }
     }
 
-    fn log_order(&self, order: &Order, answer: OrderAnswer, took_ms: Millis, wants: &[WantedLoad]) {
-        let want = wants.iter().find(|want| want.adapter == order.adapter);
+    fn log_order(
+        &self,
+        order: &Order,
+        answer: OrderAnswer,
+        took_ms: Millis,
+        wanted_loads: &[WantedLoad],
+    ) {
+        let wanted_load = wanted_loads
+            .iter()
+            .find(|wanted_load| wanted_load.adapter == order.adapter);
         let (action, version) = match order.action {
             OrderAction::Load { version } => ("load", version),
             OrderAction::Unload => ("unload", None),
@@ -535,8 +543,8 @@
             token: order.token,
             outcome,
             took_ms,
-            wanted: wants.len(),
-            is_awaited: want.is_some_and(|want| !want.is_copy),
+            wanted: wanted_loads.len(),
+            is_awaited: wanted_load.is_some_and(|wanted_load| !wanted_load.is_copy),
             loads_at_once: self.held.contents.borrow().loads_at_once(),
             load_wait_ms: self.held.load_wait_ms() as Millis,
         };
@@ -548,19 +556,19 @@
     /// Most calls follow a check whether a load has finished, and few boxes wait for the result.
     /// Sending each change to all users of a server would take considerable bandwidth in a large
     /// fleet during failures.
-    fn publish(&self, audience: Audience) {
+    fn publish(&self, recipients: Recipients) {
         let Some(status) = self.own_status() else {
             return;
         };
         let now_ms = self.node.now_ms();
         let change = self.server.view.borrow_mut().apply_status(status, now_ms);
         self.node.waiters.wake(&change.ready);
-        if change.has_lost || audience == Audience::Users {
+        if change.has_lost || recipients == Recipients::Users {
             self.server.status_received.notify_waiters();
         }
-        let boxes = match audience {
-            Audience::Affected => self.held.affected_boxes(&change, now_ms),
-            Audience::Users => self.held.user_boxes(now_ms),
+        let boxes = match recipients {
+            Recipients::Affected => self.held.affected_boxes(&change, now_ms),
+            Recipients::Users => self.held.user_boxes(now_ms),
         };
         for box_id in boxes {
             self.node.outbox.post_status(self.server.key, &box_id);
