--- a/crates/tinbay-gateway/src/servers/server.rs
+++ b/crates/tinbay-gateway/src/servers/server.rs
@@ -24,7 +24,7 @@
 use crate::crashes::check::CutRequest;
 use crate::http::pool::Pool;
 
-/// Weight of a new sample in the moving average of the time to the response head.
+/// Weight of a new sample in the moving average of the time to the first byte.
 const DELAY_WEIGHT: f64 = 0.15;
 
 /// Upper bound of a sample, as a fraction of the objective.
@@ -325,7 +325,7 @@
         self.usage.borrow().running() + self.view.borrow().running_elsewhere(now_ms)
     }
 
-    /// Records a time to the response head as a fraction of its objective.
+    /// Records a time to the first byte as a fraction of its objective.
     pub fn record_delay(&self, part_of_objective: f64, now_ms: Millis) {
         let part = part_of_objective.min(MAX_DELAY);
         let known = self.own_delay(now_ms);
@@ -334,7 +334,7 @@
         self.usage.borrow_mut().record_delay(part);
     }
 
-    /// Usual time to the response head as a fraction of the objective, which decays over time: the
+    /// Usual time to the first byte as a fraction of the objective, which decays over time: the
     /// larger of this box's own value and the value over all boxes.
     pub fn delay(&self, now_ms: Millis) -> f64 {
         self.own_delay(now_ms).max(self.view.borrow().delay(now_ms))
