--- a/crates/tinbay-gateway/src/front/admission.rs
+++ b/crates/tinbay-gateway/src/front/admission.rs
@@ -42,17 +42,17 @@
         return Ok(Admission::Here);
     };
     let began_ms = node.now_ms();
-    let Some(answered) = asking::ask(&**node, server, wish).await else {
+    let Some(answered) = asking::request_admission(&**node, server, wish).await else {
         return Ok(Admission::Here);
     };
     inbound
         .admission
-        .note(answered.outcome, node.now_ms() - began_ms);
+        .record(answered.outcome, node.now_ms() - began_ms);
     count(node, inbound, answered.outcome.name());
     let Some(retry_after_ms) = answered.retry_after_ms else {
         return Ok(Admission::Here);
     };
-    inbound.admission.note_full(server.key);
+    inbound.admission.record_full(server.key);
     let may_ask_more = inbound.admission.full_count() < MAX_ASKED;
     if may_ask_more && has_other_server(node, inbound, tried) {
         return Ok(Admission::Elsewhere);
--- a/crates/tinbay-gateway/src/front/attempt.rs
+++ b/crates/tinbay-gateway/src/front/attempt.rs
@@ -165,7 +165,9 @@
         let mut connection = connected.map_err(|error| AttemptResult::NotSent { error })?;
         // The server was chosen before the wait for a connection, so its state is checked again.
         let now_ms = node.now_ms();
-        if !terms.server.may_be_sent(now_ms) || !terms.permit.holds(terms.server, now_ms) {
+        if !terms.server.may_receive_requests(now_ms)
+            || !terms.permit.is_valid(terms.server, now_ms)
+        {
             let body = request.into_body();
             return Err(AttemptResult::Withdrawn { body });
         }
@@ -260,13 +262,13 @@
         || status == StatusCode::MISDIRECTED_REQUEST;
     if is_own {
         let head = AnswerHead {
-            asked_for: RequestKind::Request(&inbound.id),
-            asked_ms: sent_ms,
+            request_kind: RequestKind::Request(&inbound.id),
+            request_sent_ms: sent_ms,
             status: status.as_u16(),
             headers: response.headers(),
             has_run: !is_not_run,
         };
-        notices::take(node, terms.server, &head);
+        notices::apply(node, terms.server, &head);
     }
     if is_not_run {
         return AttemptResult::Declined { status };
--- a/crates/tinbay-gateway/src/front/hedge.rs
+++ b/crates/tinbay-gateway/src/front/hedge.rs
@@ -179,7 +179,7 @@
     if outcome == HedgeOutcome::SecondWon && sent.failed.is_none() {
         // The first send is cancelled, so its elapsed time is recorded instead: otherwise slow
         // answers would be missing from the recorded times.
-        server.note_answer_time(after_ms as f64, node.now_ms());
+        server.record_answer_time(after_ms as f64, node.now_ms());
     }
     count(node, outcome);
     let event = HedgeEvent {
@@ -268,7 +268,7 @@
         Choice::Send { server, .. } if server.limit_per_s().is_none() => server,
         _ => return Err(HedgeOutcome::NoServer),
     };
-    let permit = permits::take(node, &server).await;
+    let permit = permits::acquire(node, &server).await;
     let permit = permit.ok_or(HedgeOutcome::NoServer)?;
     if !takes_budget(node, inbound) {
         return Err(HedgeOutcome::NoBudget);
--- a/crates/tinbay-gateway/src/orders/held_server.rs
+++ b/crates/tinbay-gateway/src/orders/held_server.rs
@@ -20,17 +20,17 @@
 use crate::servers::usage::UsageReport;
 use crate::servers::view::ViewEntry;
 
-/// Failure penalty of a server that doesn't answer orders, about that after a failed connection. It
-/// is the penalty that makes boxes prefer other servers; it decays over time.
+/// Failure penalty added to a server that doesn't answer orders, about as much as for a failed
+/// connection. Boxes prefer servers with a lower penalty; it decays over time.
 const UNRESPONSIVE_PENALTY: f64 = 2.0;
 
-/// Least interval between checks for a restart of the server. Refusals for other reasons come in
-/// bursts, and each check costs a report.
+/// Minimum interval between checks for a restart of the server. Refusals for other reasons come in
+/// bursts, and each check fetches a report from the server.
 const MIN_CHECK_INTERVAL_MS: Millis = 1_000;
 
 /// Current load of a server as seen by its holder.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Busyness {
+pub struct LoadSnapshot {
     /// Usual time to the first byte as a fraction of the objective.
     pub delay: f64,
     /// Requests that other boxes have running there.
@@ -47,12 +47,12 @@
     /// Adapters and base models that the server holds or loads.
     pub contents: RefCell<Contents>,
     /// Load requests that are not fulfilled yet.
-    pub wants: RefCell<WantedLoads>,
-    /// Sharing of the server's capacity among client accounts while it is scarce.
+    pub wanted_loads: RefCell<WantedLoads>,
+    /// Requests that wait for admission while the server's capacity is scarce.
     pub admission: RefCell<AdmissionQueue>,
     /// Set when the server refused a request for an adapter that it should hold.
     pub restart_check_due: Cell<bool>,
-    /// Set when the server's limit changed and its users have not been told yet.
+    /// Set when the server's limit changed and the boxes that use it have not been notified yet.
     pub limit_changed: Cell<bool>,
     checked_ms: Cell<Millis>,
     subscribers: RefCell<Subscribers>,
@@ -64,7 +64,7 @@
     pub fn new(spec: &EngineProperties, now_ms: Millis) -> Self {
         Self {
             contents: RefCell::new(Contents::new(spec, now_ms)),
-            wants: RefCell::default(),
+            wanted_loads: RefCell::default(),
             admission: RefCell::default(),
             restart_check_due: Cell::default(),
             limit_changed: Cell::default(),
@@ -84,54 +84,55 @@
         true
     }
 
-    /// Records that the server doesn't answer orders, so that others are preferred for a while.
-    pub fn note_unresponsive(&self, now_ms: Millis) {
+    /// Records that the server doesn't answer orders, so that boxes prefer other servers for a
+    /// while.
+    pub fn record_unresponsive(&self, now_ms: Millis) {
         let mut subscribers = self.subscribers.borrow_mut();
         subscribers.note_failures(UNRESPONSIVE_PENALTY, now_ms);
     }
 
     /// Records that the server accepted no connection. This raises its failure penalty to the upper
-    /// bound, so that others are preferred for a while.
-    pub fn note_unreachable(&self, now_ms: Millis) {
+    /// bound, so that boxes prefer other servers for a while.
+    pub fn record_unreachable(&self, now_ms: Millis) {
         let mut subscribers = self.subscribers.borrow_mut();
         subscribers.note_failures(MAX_FAILURE_PENALTY, now_ms);
     }
 
     /// Records that a box asked for the server's status.
-    pub fn note_status_request(&self, box_id: &str, now_ms: Millis) {
+    pub fn record_status_request(&self, box_id: &str, now_ms: Millis) {
         self.subscribers.borrow_mut().hear(box_id, now_ms);
     }
 
-    /// Records the adapter that a box's request needs. An adapter that is loaded already is kept
-    /// for the request.
-    pub fn note_load_request(&self, box_id: &str, want: WantedLoad, now_ms: Millis) {
-        let key = adapter_key(&want.adapter);
+    /// Records the adapter that a box's request needs. An adapter that is loaded already is
+    /// recorded as used, so that it is kept for the request.
+    pub fn record_load_request(&self, box_id: &str, wanted_load: WantedLoad, now_ms: Millis) {
+        let key = adapter_key(&wanted_load.adapter);
         let mut subscribers = self.subscribers.borrow_mut();
-        if want.is_copy {
+        if wanted_load.is_copy {
             subscribers.hear(box_id, now_ms);
         } else {
             subscribers.note_wait(box_id, key as Fingerprint, now_ms);
         }
         let mut contents = self.contents.borrow_mut();
-        if contents.holding(key, want.version) == Holding::Current {
+        if contents.holding(key, wanted_load.version) == Holding::Current {
             contents.note_uses(key, 0, now_ms);
             return;
         }
-        self.wants.borrow_mut().ask(want, now_ms);
+        self.wanted_loads.borrow_mut().ask(wanted_load, now_ms);
     }
 
     /// Records the requests that a box has running at the server.
-    pub fn note_usage(&self, node: &Node, server: &Server, box_id: &str, report: UsageReport) {
+    pub fn record_usage(&self, node: &Node, server: &Server, box_id: &str, report: UsageReport) {
         let now_ms = node.now_ms();
         let mut contents = self.contents.borrow_mut();
         let mut subscribers = self.subscribers.borrow_mut();
         let mut spreads = self.spreads.borrow_mut();
         let service = &server.record().service;
-        for of in report.uses.iter().filter(|of| of.begun > 0) {
-            contents.note_uses_of(of.adapter, u32::from(of.begun), now_ms);
-            let prefill_ms = node.prefill_ms(service, of.begun_tokens);
+        for adapter_use in report.uses.iter().filter(|of| of.begun > 0) {
+            contents.note_uses_of(adapter_use.adapter, u32::from(adapter_use.begun), now_ms);
+            let prefill_ms = node.prefill_ms(service, adapter_use.begun_tokens);
             subscribers.note_begun(prefill_ms, now_ms);
-            spreads.note_begun(of.adapter, prefill_ms, now_ms);
+            spreads.note_begun(adapter_use.adapter, prefill_ms, now_ms);
         }
         let begun = report.uses.iter().map(|of| usize::from(of.begun)).sum();
         let mut admission = self.admission.borrow_mut();
@@ -144,8 +145,8 @@
     }
 
     /// Whether load requests are pending.
-    pub fn has_wants(&self) -> bool {
-        !self.wants.borrow().is_empty()
+    pub fn has_wanted_loads(&self) -> bool {
+        !self.wanted_loads.borrow().is_empty()
     }
 
     /// Boxes that used the server recently.
@@ -181,7 +182,7 @@
 
     /// Expected time until a load requested now is finished.
     pub fn load_wait_ms(&self) -> f64 {
-        let awaited = self.wants.borrow().awaited();
+        let awaited = self.wanted_loads.borrow().awaited();
         self.contents.borrow().load_wait_ms(awaited)
     }
 
@@ -217,9 +218,9 @@
     }
 
     /// Load of the server without the requests of `box_id`.
-    pub fn busyness(&self, box_id: &str, now_ms: Millis) -> Busyness {
+    pub fn load_snapshot(&self, box_id: &str, now_ms: Millis) -> LoadSnapshot {
         let subscribers = self.subscribers.borrow();
-        Busyness {
+        LoadSnapshot {
             delay: subscribers.delay(now_ms),
             running_elsewhere: subscribers.running_of_others(box_id, now_ms),
             backlog_ms: subscribers.backlog_ms(now_ms),
@@ -269,7 +270,7 @@
             .collect()
     }
 
-    /// Drops boxes that have been silent and adapters that are no longer requested.
+    /// Drops boxes that no longer use the server and adapters that are no longer requested.
     pub fn tidy(&self, now_ms: Millis) {
         self.subscribers.borrow_mut().tidy(now_ms);
         self.spreads.borrow_mut().tidy(now_ms);
--- a/crates/tinbay-gateway/src/orders/holder.rs
+++ b/crates/tinbay-gateway/src/orders/holder.rs
@@ -1,4 +1,5 @@
-//! Sends load and unload orders to one server while this box holds the claim on it.
+//! Sends load and unload orders to one backend server while this box holds the claim on it, and
+//! follows the server's contents by its reports.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -35,10 +36,9 @@
 /// Time-out of an order; most answers come within a few milliseconds.
 const ORDER_TIMEOUT_MS: Millis = 60;
 
-/// Copies of an order that are sent in parallel once the first send had no answer. All carry the
-/// same expected order count, so the server applies at most one of them. With nine of ten orders
-/// lost, four copies raised the share of requests served from 0.70 to between 0.73 and 0.75 over
-/// three simulated days.
+/// Copies of an order that are sent in parallel once the first send had no answer, so that one gets
+/// through sooner where most orders are lost. All carry the same expected order count, so the
+/// server applies at most one of them.
 const PARALLEL_SENDS: usize = 4;
 
 /// Upper bound on rounds of resending an unanswered order. The server may have applied it already
@@ -46,7 +46,7 @@
 /// effect. Until the result is known, no other order may use that count.
 const MAX_RESEND_ROUNDS: usize = 16;
 
-/// Unanswered rounds after which other boxes are told to prefer other servers.
+/// Unanswered rounds after which the server gets a failure penalty, so that boxes prefer others.
 const ROUNDS_UNTIL_UNRESPONSIVE: usize = 4;
 
 /// Longest wait before the next action is computed; a new load request ends it early.
@@ -59,7 +59,7 @@
 /// running.
 const MISDIRECTED_REQUEST: u16 = 421;
 
-/// Wait while this box lacks proof of its membership, or the server must not be contacted.
+/// Wait while this box lacks a valid membership proof, or the server must not be contacted.
 const IDLE_PAUSE: Duration = Duration::from_millis(50);
 
 #[derive(Serialize)]
@@ -96,7 +96,7 @@
 
 /// Boxes that receive an update of a server's status.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Audience {
+enum Recipients {
     /// Boxes affected by the change of the server's contents.
     Affected,
     /// All boxes that used the server recently, for its first known contents and for failures.
@@ -153,14 +153,14 @@
     async fn run(self) {
         while self.is_known() {
             let Some(token) = self.node.order_token(&self.server) else {
-                if !self.is_own() {
+                if !self.is_holder() {
                     break;
                 }
                 tokio::time::sleep(IDLE_PAUSE).await;
                 continue;
             };
             if self.held.limit_changed.take() {
-                self.publish(Audience::Users);
+                self.publish(Recipients::Users);
             }
             let now_ms = self.node.now_ms();
             if !self.may_contact(now_ms) {
@@ -172,12 +172,12 @@
                 let _ = self.fetch_report().await;
                 continue;
             }
-            let wants = self.held.wants.borrow_mut().current(now_ms);
-            match self.next_action(&wants, now_ms) {
-                Some(Action::FetchReport) => self.learn_contents().await,
+            let wanted_loads = self.held.wanted_loads.borrow_mut().current(now_ms);
+            match self.next_action(&wanted_loads, now_ms) {
+                Some(Action::FetchReport) => self.refresh_contents().await,
                 Some(Action::PollReport) => self.check_progress().await,
-                Some(action) => self.order(&action, token, &wants).await,
-                None => self.pause(&wants).await,
+                Some(action) => self.order(&action, token, &wanted_loads).await,
+                None => self.pause(&wanted_loads).await,
             }
         }
         self.node.held_servers.borrow_mut().remove(&self.server.key);
@@ -187,19 +187,19 @@
         self.node.servers.borrow().by_key(self.server.key).is_some()
     }
 
-    fn is_own(&self) -> bool {
+    fn is_holder(&self) -> bool {
         let own_id = self.node.settings.borrow().box_id.clone();
         self.node.holder_of(&self.server).as_deref() == Some(own_id.as_str())
     }
 
-    /// Whether the server may be contacted: no other server answers at its address and it has not
-    /// asked for a pause.
+    /// Whether the server may be contacted: no other server answers at its address, and it is not
+    /// in a back-off.
     fn may_contact(&self, now_ms: Millis) -> bool {
         !self.server.is_displaced(now_ms) && self.server.back_off_until_ms(now_ms).is_none()
     }
 
-    fn next_action(&self, wants: &[WantedLoad], now_ms: Millis) -> Option<Action> {
-        let look = OrderContext {
+    fn next_action(&self, wanted_loads: &[WantedLoad], now_ms: Millis) -> Option<Action> {
+        let context = OrderContext {
             named: &|adapter: &str| self.node.named_version(adapter),
             is_in_use: &|key| self.held.is_in_use(&self.server, key, now_ms),
             now_ms,
@@ -209,12 +209,12 @@
             now_ms,
         };
         let contents = self.held.contents.borrow();
-        contents.next_action(wants, &look, &mut allowance)
+        contents.next_action(wanted_loads, &context, &mut allowance)
     }
 
-    async fn pause(&self, wants: &[WantedLoad]) {
+    async fn pause(&self, wanted_loads: &[WantedLoad]) {
         let now_ms = self.node.now_ms();
-        let max_ms = if wants.is_empty() {
+        let max_ms = if wanted_loads.is_empty() {
             MAX_PAUSE_MS
         } else {
             PENDING_LOAD_PAUSE_MS
@@ -226,7 +226,7 @@
         let _ = tokio::time::timeout(pause, self.server.order_due.notified()).await;
     }
 
-    async fn learn_contents(&self) {
+    async fn refresh_contents(&self) {
         let Some(report) = self.fetch_report().await else {
             self.held
                 .contents
@@ -241,9 +241,9 @@
             .borrow_mut()
             .note_report(&report, self.node.now_ms());
         self.publish(if is_first_report {
-            Audience::Users
+            Recipients::Users
         } else {
-            Audience::Affected
+            Recipients::Affected
         });
     }
 
@@ -266,52 +266,52 @@
             let mut contents = self.held.contents.borrow_mut();
             contents.note_poll(report.as_ref(), self.node.now_ms())
         };
-        let mut wants = self.held.wants.borrow_mut();
+        let mut wanted_loads = self.held.wanted_loads.borrow_mut();
         for key in done {
-            wants.forget(key);
+            wanted_loads.forget(key);
         }
-        drop(wants);
-        self.publish(Audience::Affected);
+        drop(wanted_loads);
+        self.publish(Recipients::Affected);
     }
 
     async fn fetch_report(&self) -> Option<Report> {
         let path = self.node.dialect.report_path().to_string();
         let call = self.call(Method::GET, path, Bytes::new(), REPORT_TIMEOUT_MS);
-        let asked_ms = self.node.now_ms();
+        let request_sent_ms = self.node.now_ms();
         match self.caller.call(&call).await {
-            Ok(reply) => self.read_reply(&reply, asked_ms),
+            Ok(reply) => self.read_reply(&reply, request_sent_ms),
             Err(error) => {
-                self.note_unreachable(error);
+                self.report_unreachable(error);
                 None
             }
         }
     }
 
     /// Decodes the answer to a report request and applies the notices in its headers.
-    fn read_reply(&self, reply: &Reply, asked_ms: Millis) -> Option<Report> {
+    fn read_reply(&self, reply: &Reply, request_sent_ms: Millis) -> Option<Report> {
         if reply.status != 200 {
-            self.apply_notices(RequestKind::Report, asked_ms, reply);
+            self.apply_notices(RequestKind::Report, request_sent_ms, reply);
             return None;
         }
         let report = self.read_report(&reply.body)?;
-        self.apply_notices(RequestKind::Report, asked_ms, reply);
+        self.apply_notices(RequestKind::Report, request_sent_ms, reply);
         Some(report)
     }
 
-    fn apply_notices(&self, asked_for: RequestKind<'_>, asked_ms: Millis, reply: &Reply) {
+    fn apply_notices(&self, request_kind: RequestKind<'_>, request_sent_ms: Millis, reply: &Reply) {
         if self.is_from_another_server(reply) {
             return;
         }
         let head = AnswerHead {
-            asked_for,
-            asked_ms,
+            request_kind,
+            request_sent_ms,
             status: reply.status,
             headers: &reply.headers,
             has_run: false,
         };
-        if notices::take(&self.node, &self.server, &head) {
-            // Other boxes stop requesting loads at a server that is leaving or paused.
-            self.publish(Audience::Users);
+        if notices::apply(&self.node, &self.server, &head) {
+            // Other boxes stop requesting loads at a server that is leaving or in a back-off.
+            self.publish(Recipients::Users);
         }
     }
 
@@ -356,7 +356,7 @@
         events::emit(part::ORDERS, Level::Warn, "report_unreadable", &event);
     }
 
-    async fn order(&self, action: &Action, token: u64, wants: &[WantedLoad]) {
+    async fn order(&self, action: &Action, token: u64, wanted_loads: &[WantedLoad]) {
         let Some(order) = self.build_order(action, token) else {
             return;
         };
@@ -367,11 +367,11 @@
         contents.note_answer(action, answer, now_ms);
         drop(contents);
         if let (OrderAction::Load { .. }, OrderAnswer::Done) = (&order.action, answer) {
-            let mut wants = self.held.wants.borrow_mut();
-            wants.forget(adapter_key(&order.adapter));
+            let mut wanted_loads = self.held.wanted_loads.borrow_mut();
+            wanted_loads.forget(adapter_key(&order.adapter));
         }
-        self.log_order(&order, answer, now_ms - began_ms, wants);
-        self.publish(Audience::Affected);
+        self.log_order(&order, answer, now_ms - began_ms, wanted_loads);
+        self.publish(Recipients::Affected);
     }
 
     /// Sends an order until its result is known or the limit of rounds is reached.
@@ -384,8 +384,8 @@
         {
             unanswered += 1;
             if unanswered == ROUNDS_UNTIL_UNRESPONSIVE {
-                self.held.note_unresponsive(self.node.now_ms());
-                self.publish(Audience::Users);
+                self.held.record_unresponsive(self.node.now_ms());
+                self.publish(Recipients::Users);
             }
             answer = self.send_copies(order).await;
         }
@@ -417,13 +417,13 @@
         let body = self.node.dialect.encode_order(order);
         let path = self.node.dialect.order_path().to_string();
         let call = self.call(Method::POST, path, body, ORDER_TIMEOUT_MS);
-        let asked_ms = self.node.now_ms();
+        let request_sent_ms = self.node.now_ms();
         match self.caller.call(&call).await {
             Ok(reply) => {
                 if self.is_from_another_server(&reply) {
-                    self.note_displaced();
+                    self.report_displaced();
                 }
-                self.apply_notices(RequestKind::Order, asked_ms, &reply);
+                self.apply_notices(RequestKind::Order, request_sent_ms, &reply);
                 match reply.status {
                     200 => OrderAnswer::Done,
                     202 => OrderAnswer::Accepted,
@@ -432,7 +432,7 @@
                 }
             }
             Err(error) => {
-                self.note_unreachable(error);
+                self.report_unreachable(error);
                 match error {
                     CallError::NotConnected => OrderAnswer::Refused,
                     CallError::NoAnswer => OrderAnswer::NoAnswer,
@@ -454,20 +454,20 @@
         }
     }
 
-    /// Marks the server as displaced: another one answers at its address and its reports were
-    /// mistaken for this server's.
-    fn note_displaced(&self) {
+    /// Marks the server as displaced and reports that to all its users: another server answers at
+    /// its address, and that one's reports were mistaken for this server's.
+    fn report_displaced(&self) {
         let now_ms = self.node.now_ms();
-        self.server.note_displaced(now_ms);
-        self.held.note_unreachable(now_ms);
-        self.publish(Audience::Users);
+        self.server.mark_displaced(now_ms);
+        self.held.record_unreachable(now_ms);
+        self.publish(Recipients::Users);
     }
 
-    /// Tells all users of the server that it accepts no connections.
-    fn note_unreachable(&self, error: CallError) {
+    /// Reports to all users of the server that it accepts no connections.
+    fn report_unreachable(&self, error: CallError) {
         if error == CallError::NotConnected {
-            self.held.note_unreachable(self.node.now_ms());
-            self.publish(Audience::Users);
+            self.held.record_unreachable(self.node.now_ms());
+            self.publish(Recipients::Users);
         }
     }
 
@@ -508,8 +508,16 @@
         }
     }
 
-    fn log_order(&self, order: &Order, answer: OrderAnswer, took_ms: Millis, wants: &[WantedLoad]) {
-        let want = wants.iter().find(|want| want.adapter == order.adapter);
+    fn log_order(
+        &self,
+        order: &Order,
+        answer: OrderAnswer,
+        took_ms: Millis,
+        wanted_loads: &[WantedLoad],
+    ) {
+        let wanted_load = wanted_loads
+            .iter()
+            .find(|wanted_load| wanted_load.adapter == order.adapter);
         let (action, version) = match order.action {
             OrderAction::Load { version } => ("load", version),
             OrderAction::Unload => ("unload", None),
@@ -535,32 +543,32 @@
             token: order.token,
             outcome,
             took_ms,
-            wanted: wants.len(),
-            is_awaited: want.is_some_and(|want| !want.is_copy),
+            wanted: wanted_loads.len(),
+            is_awaited: wanted_load.is_some_and(|wanted_load| !wanted_load.is_copy),
             loads_at_once: self.held.contents.borrow().loads_at_once(),
             load_wait_ms: self.held.load_wait_ms() as Millis,
         };
         events::emit(part::ORDERS, Level::Info, "order", &event);
     }
 
-    /// Updates this box's view of the server and tells other boxes.
+    /// Updates this box's view of the server and sends its status to other boxes.
     ///
-    /// Most of the time an order only checks whether a load has finished, and few boxes wait for
-    /// the result. Telling all users of a server about each change took 80 to 200 KB/s at the
-    /// holder of one server with 195 boxes during failures.
-    fn publish(&self, audience: Audience) {
+    /// Most calls follow a check whether a load has finished, and few boxes wait for the result.
+    /// Sending each change to all users of a server would take considerable bandwidth in a large
+    /// fleet during failures.
+    fn publish(&self, recipients: Recipients) {
         let Some(status) = self.own_status() else {
             return;
         };
         let now_ms = self.node.now_ms();
-        let change = self.server.view.borrow_mut().note(status, now_ms);
+        let change = self.server.view.borrow_mut().apply_status(status, now_ms);
         self.node.waiters.wake(&change.ready);
-        if change.has_lost || audience == Audience::Users {
+        if change.has_lost || recipients == Recipients::Users {
             self.server.status_received.notify_waiters();
         }
-        let boxes = match audience {
-            Audience::Affected => self.held.affected_boxes(&change, now_ms),
-            Audience::Users => self.held.user_boxes(now_ms),
+        let boxes = match recipients {
+            Recipients::Affected => self.held.affected_boxes(&change, now_ms),
+            Recipients::Users => self.held.user_boxes(now_ms),
         };
         for box_id in boxes {
             self.node.outbox.post_status(self.server.key, &box_id);
@@ -570,7 +578,7 @@
     fn own_status(&self) -> Option<ServerStatus> {
         let now_ms = self.node.now_ms();
         let own_id = self.node.settings.borrow().box_id.clone();
-        let busyness = self.held.busyness(&own_id, now_ms);
+        let load_snapshot = self.held.load_snapshot(&own_id, now_ms);
         let takes_loads = self.held.takes_loads(&self.node, &self.server);
         if !self.held.contents.borrow().was_known() {
             return None;
@@ -582,10 +590,10 @@
         };
         Some(ServerStatus {
             entries,
-            running_elsewhere: busyness.running_elsewhere,
-            delay: busyness.delay,
-            backlog_ms: busyness.backlog_ms,
-            failure_penalty: busyness.failure_penalty,
+            running_elsewhere: load_snapshot.running_elsewhere,
+            delay: load_snapshot.delay,
+            backlog_ms: load_snapshot.backlog_ms,
+            failure_penalty: load_snapshot.failure_penalty,
             takes_loads,
             load_wait_ms: self.held.load_wait_ms(),
             is_scarce: self.held.admission.borrow().is_scarce(),
--- a/crates/tinbay-gateway/src/peers/inbox.rs
+++ b/crates/tinbay-gateway/src/peers/inbox.rs
@@ -103,7 +103,7 @@
             FramePart::LimitRequest(part) => limits::handle_request(node, &frame.box_id, &part),
             FramePart::LimitGrant(part) => limits::handle_grant(node, &part),
             FramePart::ServerLimit(part) => {
-                notices::take(node, LimitKey::Server(part.server), Some(&part.notice));
+                notices::apply(node, LimitKey::Server(part.server), Some(&part.notice));
             }
             FramePart::LoadRequest(request) => {
                 handle_load_request(node, &frame.box_id, request, now_ms)
@@ -113,7 +113,7 @@
             }
             FramePart::ContentsMismatch(server) => handle_contents_mismatch(node, server),
             FramePart::AdmissionRequest(part) => holder::handle_request(node, &frame.box_id, &part),
-            FramePart::AdmissionReply(part) => node.sharing.take_reply(part),
+            FramePart::AdmissionReply(part) => node.sharing.deliver_reply(part),
             FramePart::Usage(usage) => {
                 if advance(seen.usage.entry(usage.server).or_default(), frame.sequence) {
                     handle_usage(node, &frame.box_id, usage);
@@ -189,7 +189,7 @@
         version: request.version,
         is_copy: request.is_copy,
     };
-    held.note_load_request(box_id, want, now_ms);
+    held.record_load_request(box_id, want, now_ms);
     server.order_due.notify_one();
     node.outbox.post_status(server.key, box_id);
 }
@@ -199,7 +199,7 @@
         return;
     };
     if let Some(held) = node.held_server(server.key) {
-        held.note_status_request(box_id, now_ms);
+        held.record_status_request(box_id, now_ms);
         node.outbox.post_status(server.key, box_id);
     }
 }
@@ -222,9 +222,9 @@
         failure_penalty: from_percent(part.failure_penalty_percent),
         delay: part.delay_percent.map(from_percent),
     };
-    held.note_usage(node, &server, box_id, report);
+    held.record_usage(node, &server, box_id, report);
     holder::decide_waiting(node, &server, &held);
-    if held.has_wants() {
+    if held.has_wanted_loads() {
         server.order_due.notify_one();
     }
 }
@@ -233,7 +233,7 @@
     let Some(server) = node.servers.borrow().by_fingerprint(part.server) else {
         return;
     };
-    notices::take(node, LimitKey::Server(part.server), part.limit.as_ref());
+    notices::apply(node, LimitKey::Server(part.server), part.limit.as_ref());
     let status = ServerStatus {
         entries: part.adapters.iter().map(to_entry).collect(),
         running_elsewhere: usize::from(part.running_elsewhere),
@@ -244,7 +244,7 @@
         load_wait_ms: f64::from(part.load_wait_ms),
         is_scarce: part.is_scarce,
     };
-    let change = server.view.borrow_mut().note(status, now_ms);
+    let change = server.view.borrow_mut().apply_status(status, now_ms);
     node.waiters.wake(&change.ready);
     server.status_received.notify_waiters();
 }
--- a/crates/tinbay-gateway/src/servers/notices.rs
+++ b/crates/tinbay-gateway/src/servers/notices.rs
@@ -1,5 +1,5 @@
-//! Notices that servers send about themselves in the headers of any answer: that they are leaving,
-//! want a pause, or have a limit.
+//! Notices that backend servers send about themselves in the headers of any answer: that they are
+//! leaving, ask for a back-off, or have a limit.
 
 use std::rc::Rc;
 
@@ -44,20 +44,20 @@
     }
 }
 
-/// Status and headers of an answer that a server itself gave.
+/// Status and headers of an answer that comes from the server itself.
 #[derive(Debug, Clone, Copy)]
 pub struct AnswerHead<'a> {
     /// Kind of request.
-    pub asked_for: RequestKind<'a>,
+    pub request_kind: RequestKind<'a>,
     /// Time at which the request was sent.
-    pub asked_ms: Millis,
+    pub request_sent_ms: Millis,
     /// HTTP status.
     pub status: u16,
     /// HTTP headers.
     pub headers: &'a HeaderMap,
-    /// Whether this is the answer to a request that was run. Such answers always name the server's
-    /// limit, so a missing header means that there is none. Refusals and answers to orders need not
-    /// name it.
+    /// Whether this is the answer to a request that was run. Such an answer names the server's
+    /// limit if it has one, so a missing header means that there is none. Refusals and answers to
+    /// orders may omit it.
     pub has_run: bool,
 }
 
@@ -96,8 +96,8 @@
 
 /// Applies the notices in the head of a server's own answer. Returns whether they changed anything
 /// that other boxes have to know.
-pub fn take(node: &Node, server: &Rc<Server>, head: &AnswerHead<'_>) -> bool {
-    let notice = read(node, server, head);
+pub fn apply(node: &Node, server: &Rc<Server>, head: &AnswerHead<'_>) -> bool {
+    let notice = decode(node, server, head);
     server.apply_notice(notice, node.now_ms());
     let limit_before = server.take_limit_change();
     if let Some(before_per_s) = limit_before {
@@ -112,7 +112,7 @@
 }
 
 /// Decodes the notices in the head; an unreadable one is logged and ignored.
-fn read(node: &Node, server: &Server, head: &AnswerHead<'_>) -> AnswerNotice {
+fn decode(node: &Node, server: &Server, head: &AnswerHead<'_>) -> AnswerNotice {
     let is_leaving = node.dialect.decode_leaving(head.headers);
     let back_off_ms = node.dialect.decode_back_off(head.status, head.headers);
     let limit = node.dialect.decode_limit(head.headers);
@@ -129,7 +129,7 @@
             .filter(|per_s| per_s.is_some() || head.has_run)
             .map(|per_s| LimitNotice {
                 per_s,
-                request_sent_ms: head.asked_ms,
+                request_sent_ms: head.request_sent_ms,
                 answer_received_ms: node.now_ms(),
             }),
     }
@@ -145,8 +145,8 @@
     }
     let event = NoticeEvent {
         server: &server.record().id,
-        asked_for: head.asked_for.name(),
-        request: head.asked_for.request(),
+        asked_for: head.request_kind.name(),
+        request: head.request_kind.request(),
         status: head.status,
         is_leaving: notice.is_leaving,
         back_off_ms: notice.back_off_ms,
@@ -171,11 +171,11 @@
     notices.with_label_values(&[notice]).inc();
     let event = LimitEvent {
         server: &server.record().id,
-        asked_for: head.asked_for.name(),
-        request: head.asked_for.request(),
+        asked_for: head.request_kind.name(),
+        request: head.request_kind.request(),
         limit_per_s,
         before_per_s,
-        asked_ms_ago: node.now_ms().saturating_sub(head.asked_ms),
+        asked_ms_ago: node.now_ms().saturating_sub(head.request_sent_ms),
     };
     events::emit(part::SERVERS, Level::Info, "server_limit", &event);
 }
--- a/crates/tinbay-gateway/src/servers/view.rs
+++ b/crates/tinbay-gateway/src/servers/view.rs
@@ -1,4 +1,4 @@
-//! What a server's holder reported this box of it.
+//! This box's view of a backend server, as the server's holder reports it.
 
 use std::collections::HashMap;
 
@@ -9,11 +9,12 @@
 use tinbay_core::serving::subscribers::{ContentsChange, FAILURE_PENALTY_HALF_LIFE_MS, FRESH_MS};
 use tinbay_core::units::Millis;
 
-/// Time for which the load and capacity values of a status are used. Its adapters are used for
-/// longer.
+/// Time for which the load and capacity values of a status are used. Its list of adapters is used
+/// until the next status.
 const STATUS_VALID_MS: Millis = 2_000;
 
-/// Time-out of a holder's answer; a datagram and its reply take a few milliseconds.
+/// Time-out of a holder's answer to a status request; a datagram and its reply take a few
+/// milliseconds.
 const ANSWER_TIMEOUT_MS: Millis = 60;
 
 /// Time for which a holder that did not answer is skipped.
@@ -51,18 +52,19 @@
     pub is_scarce: bool,
 }
 
-/// What a server's holder reported this box of it.
+/// This box's view of a server, as the server's holder reports it.
 #[derive(Debug, Default)]
 pub struct View {
     status: Option<ServerStatus>,
     backlog: Backlog,
     received_ms: Millis,
+    /// Time of the first request to the holder that is not answered yet.
     asked_ms: Option<Millis>,
 }
 
 impl View {
     /// Stores a status from the holder and returns what it changes.
-    pub fn note(&mut self, status: ServerStatus, now_ms: Millis) -> ContentsChange {
+    pub fn apply_status(&mut self, status: ServerStatus, now_ms: Millis) -> ContentsChange {
         let change = self.change_to(&status);
         self.backlog = Backlog::new(status.backlog_ms, now_ms);
         self.status = Some(status);
@@ -91,15 +93,15 @@
         }
     }
 
-    /// Records a request to the holder. It counts as late from the first request without an answer.
-    pub fn note_asked(&mut self, now_ms: Millis) {
+    /// Records a request to the holder. The time-out runs from the first unanswered one.
+    pub fn record_request(&mut self, now_ms: Millis) {
         let is_over = |asked_ms| now_ms >= asked_ms + SILENT_HOLDER_PAUSE_MS;
         if self.asked_ms.is_none_or(is_over) {
             self.asked_ms = Some(now_ms);
         }
     }
 
-    /// Whether the holder has failed to answer in time.
+    /// Whether the holder failed to answer in time and is to be skipped for now.
     pub fn is_silent(&self, now_ms: Millis) -> bool {
         self.asked_ms.is_some_and(|asked_ms| {
             let waited_ms = now_ms.saturating_sub(asked_ms);
@@ -119,7 +121,7 @@
     }
 
     /// Removes an adapter after the server refused a request because it doesn't hold it.
-    pub fn note_missing(&mut self, adapter: Fingerprint) {
+    pub fn record_missing(&mut self, adapter: Fingerprint) {
         if let Some(status) = &mut self.status {
             status.entries.remove(&adapter);
         }
@@ -137,7 +139,7 @@
     }
 
     /// Adds the prompt of a request that this box has sent to the backlog.
-    pub fn note_begun(&mut self, prefill_ms: f64, now_ms: Millis) {
+    pub fn add_to_backlog(&mut self, prefill_ms: f64, now_ms: Millis) {
         self.backlog.add(prefill_ms, now_ms);
     }
 
