--- a/crates/tinbay-gateway/src/front/attempt.rs
+++ b/crates/tinbay-gateway/src/front/attempt.rs
@@ -14,7 +14,7 @@
 use super::headers::{self, ServerHeaders};
 use super::inbound::{InboundRequest, text};
 use crate::http::body::RequestBody;
-use crate::http::pool::{ConnectError, Connection, Trust};
+use crate::http::pool::{ConnectError, Connection, ReusableIdle};
 use crate::http::reuse::Reuse;
 use crate::limits::permits::Permit;
 use crate::node::Node;
@@ -99,7 +99,7 @@
     /// Most connections that this box may open to the server.
     pub most_open: usize,
     /// Which pooled connections may be reused.
-    pub trust: Trust,
+    pub reusable: ReusableIdle,
     /// Headers set in addition to the caller's.
     pub headers: ServerHeaders<'a>,
     /// Permit under the server's rate limit.
@@ -125,7 +125,7 @@
     match tokio::time::timeout(terms.head_within, exchange).await {
         Err(_) => {
             if terms.head_within >= terms.silent_after {
-                note_silent(&waiting);
+                record_silent(&waiting);
             }
             AttemptResult::unknown(UnknownCause::Silent)
         }
@@ -137,9 +137,9 @@
 /// A reused connection on which a request was sent and not yet answered.
 type WaitingReuse = Cell<Option<Reuse>>;
 
-fn note_silent(waiting: &WaitingReuse) {
+fn record_silent(waiting: &WaitingReuse) {
     if let Some(reuse) = waiting.take() {
-        reuse.note_silent();
+        reuse.record_silent();
     }
 }
 
@@ -161,7 +161,7 @@
     let headers = headers::for_server(&inbound.parts.headers, names, &terms.headers);
     let mut request = build(inbound, body, headers);
     loop {
-        let connected = terms.server.pool.get(terms.most_open, terms.trust).await;
+        let connected = terms.server.pool.get(terms.most_open, terms.reusable).await;
         let mut connection = connected.map_err(|error| AttemptResult::NotSent { error })?;
         // The server was chosen before the wait for a connection, so its state is checked again.
         let now_ms = node.now_ms();
@@ -210,15 +210,15 @@
     let result = match overdue {
         Ok(result) => result,
         Err(_) => {
-            note_silent(waiting);
+            record_silent(waiting);
             sending.await
         }
     };
     if let Some(reuse) = waiting.take() {
         match &result {
-            Ok(_) => reuse.note_answered(),
-            Err(error) if error.message().is_some() => reuse.note_found_closed(),
-            Err(_) => reuse.note_closed(sent.elapsed().as_millis() as Millis),
+            Ok(_) => reuse.record_answered(),
+            Err(error) if error.message().is_some() => reuse.record_found_closed(),
+            Err(_) => reuse.record_closed(sent.elapsed().as_millis() as Millis),
         }
     }
     result
--- a/crates/tinbay-gateway/src/front/deliver.rs
+++ b/crates/tinbay-gateway/src/front/deliver.rs
@@ -21,7 +21,7 @@
 use super::request_log::{Ending, log_end, log_try};
 use crate::crashes::{self, check, check::CutRequest};
 use crate::http::body::{AnswerBody, BodyError, RequestBody};
-use crate::http::pool::Trust;
+use crate::http::pool::ReusableIdle;
 use crate::http::relay::{EndObserver, Relay, RelayTerms};
 use crate::limits::permits::{self, Permit};
 use crate::node::Node;
@@ -281,7 +281,11 @@
     let terms = AttemptTerms {
         server,
         most_open: most_open(node, inbound),
-        trust: if is_last { Trust::RunsOnce } else { Trust::Any },
+        reusable: if is_last {
+            ReusableIdle::WithinLimit
+        } else {
+            ReusableIdle::Any
+        },
         headers: ServerHeaders {
             deadline_ms: sent.time_up_ms.saturating_sub(now_ms),
             server_id: &record.id,
@@ -449,14 +453,14 @@
     let server = answer.running.server();
     let (mut parts, incoming) = answer.response.into_parts();
     let running = Rc::new(RefCell::new(answer.running));
-    let successor = handover::successor(node, inbound, &parts, &running, body);
+    let handover = handover::for_answer(node, inbound, &parts, &running, body);
     let terms = RelayTerms {
         connection: answer.connection,
         pool: Rc::clone(&server.pool),
-        rest: headers::keep_alive_timeout(&parts.headers),
-        may_keep: headers::keeps_connection(&parts.headers),
-        time_up: node.clock.instant(inbound.time_up_ms),
-        successor,
+        idle_limit: headers::keep_alive_timeout(&parts.headers),
+        may_reuse: headers::keeps_connection(&parts.headers),
+        deadline: node.clock.instant(inbound.time_up_ms),
+        handover,
         clock: node.clock,
         end: observe_end(node, inbound, running, parts.status.as_u16()),
     };
--- a/crates/tinbay-gateway/src/front/handover/actions.rs
+++ b/crates/tinbay-gateway/src/front/handover/actions.rs
@@ -24,7 +24,7 @@
 use crate::handover::drive::{HandoverActions, LocalFuture, Outcome, Resumed};
 use crate::http::body::RequestBody;
 use crate::http::call::{CallError, Reply};
-use crate::http::pool::Trust;
+use crate::http::pool::ReusableIdle;
 use crate::http::pooled::call_pooled;
 use crate::http::relay::ContinuedAnswer;
 use crate::limits::permits;
@@ -174,7 +174,7 @@
         let terms = AttemptTerms {
             server: &server,
             most_open: most_open(&self.node, &self.inbound),
-            trust: Trust::RunsOnce,
+            reusable: ReusableIdle::WithinLimit,
             headers: ServerHeaders {
                 deadline_ms: left_ms,
                 server_id: &record.id,
@@ -199,8 +199,8 @@
                     incoming,
                     connection: answer.connection,
                     pool: Rc::clone(&server.pool),
-                    rest: headers::keep_alive_timeout(&parts.headers),
-                    may_keep: headers::keeps_connection(&parts.headers),
+                    idle_limit: headers::keep_alive_timeout(&parts.headers),
+                    may_reuse: headers::keeps_connection(&parts.headers),
                 })
             }
             AttemptResult::Begun(_) | AttemptResult::Unknown { .. } => Resumed::Unknown,
--- a/crates/tinbay-gateway/src/front/handover/mod.rs
+++ b/crates/tinbay-gateway/src/front/handover/mod.rs
@@ -17,7 +17,7 @@
 use tinbay_core::serving::stream_timing::StreamTiming;
 
 use self::actions::NodeHandover;
-use self::successor::RunSuccessor;
+use self::successor::RunHandover;
 use self::target::Target;
 use super::adapters;
 use super::choice::HolderRequests;
@@ -25,19 +25,19 @@
 use super::inbound::{Handover, InboundRequest};
 use crate::events::{self, part};
 use crate::http::body::{BodyError, RequestBody};
-use crate::http::relay::Successor;
+use crate::http::relay::RelayHandover;
 use crate::node::Node;
 use crate::servers::{RunningRequest, Server};
 
 /// The handover of an answer that has begun; `None` if its run stays where it is. Only a stream
 /// from a prefill engine is handed over, and only if its length is not known in advance.
-pub fn successor(
+pub fn for_answer(
     node: &Rc<Node>,
     inbound: &Rc<InboundRequest>,
     head: &Parts,
     running: &Rc<RefCell<RunningRequest>>,
     body: Option<RequestBody>,
-) -> Option<Box<dyn Successor>> {
+) -> Option<Box<dyn RelayHandover>> {
     let is_stream = inbound.route.kind == RouteKind::Streaming;
     let is_whole_known = head.headers.contains_key(CONTENT_LENGTH);
     if !is_stream || is_whole_known || head.status != StatusCode::OK {
@@ -54,7 +54,7 @@
         return None;
     }
     let actions = NodeHandover::new(node, inbound, running, body?);
-    Some(Box::new(RunSuccessor::new(actions)))
+    Some(Box::new(RunHandover::new(actions)))
 }
 
 /// Has the server that will continue a run load the adapter while the source prefills the prompt.
@@ -97,7 +97,7 @@
     }
     let is_late = sight.has_long_pause(allowed_ms);
     let now_ms = node.now_ms();
-    if node.splits.note_stream(&inbound.service, is_late, now_ms) {
+    if node.splits.record_stream(&inbound.service, is_late, now_ms) {
         log_split(&inbound.service);
     }
 }
@@ -111,7 +111,9 @@
     else {
         return false;
     };
-    let engines = node.splits.engines(&node.servers, service, node.now_ms());
+    let engines = node
+        .splits
+        .engine_count(&node.servers, service, node.now_ms());
     has_places_for_two(engine.adapters(), engines, engine.adapter_slots)
 }
 
--- a/crates/tinbay-gateway/src/front/handover/successor.rs
+++ b/crates/tinbay-gateway/src/front/handover/successor.rs
@@ -1,4 +1,4 @@
-//! A handover that runs while its answer is relayed.
+//! A handover that progresses while its answer is relayed.
 
 use std::pin::Pin;
 use std::rc::Rc;
@@ -9,16 +9,16 @@
 use super::actions::NodeHandover;
 use crate::handover::drive::{Outcome, drive};
 use crate::handover::event_gate::EventGate;
-use crate::http::relay::{ContinuedAnswer, Successor};
+use crate::http::relay::{ContinuedAnswer, RelayHandover};
 
 /// A handover that is polled together with the answer that it concerns. When dropped, it frees the
 /// copies on servers.
-pub struct RunSuccessor {
+pub struct RunHandover {
     gate: Rc<EventGate>,
     handover: Pin<Box<dyn Future<Output = Outcome<ContinuedAnswer>>>>,
 }
 
-impl RunSuccessor {
+impl RunHandover {
     /// Creates a handover; it starts when it is first polled.
     pub fn new(actions: NodeHandover) -> Self {
         let gate = Rc::new(EventGate::default());
@@ -37,7 +37,7 @@
     }
 }
 
-impl Successor for RunSuccessor {
+impl RelayHandover for RunHandover {
     fn pass(&self, bytes: Bytes) -> Bytes {
         self.gate.pass(bytes)
     }
--- a/crates/tinbay-gateway/src/front/inbound.rs
+++ b/crates/tinbay-gateway/src/front/inbound.rs
@@ -17,7 +17,7 @@
 use tinbay_core::units::Millis;
 
 use super::refusal::Refusal;
-use crate::http::pump::Asker;
+use crate::http::pump::AnsweredRequest;
 use crate::limits::AdmittedBy;
 use crate::members::box_fingerprint;
 use crate::node::{InForce, Node};
@@ -256,7 +256,7 @@
     }
 }
 
-impl Asker for InboundRequest {
+impl AnsweredRequest for InboundRequest {
     fn id(&self) -> &str {
         &self.id
     }
--- a/crates/tinbay-gateway/src/front/listener.rs
+++ b/crates/tinbay-gateway/src/front/listener.rs
@@ -155,7 +155,7 @@
     response.map(|body| match body {
         AnswerBody::Relayed(relay) => {
             let terms = AnswerTerms {
-                asker: inbound,
+                request: inbound,
                 reader,
                 connection: caller.number,
                 connection_end: Rc::clone(&caller.end),
--- a/crates/tinbay-gateway/src/front/slow_callers.rs
+++ b/crates/tinbay-gateway/src/front/slow_callers.rs
@@ -32,7 +32,7 @@
 }
 
 impl CutObserver for SlowCallers {
-    fn note_cut(&self, cut: &AnswerCut<'_>) {
+    fn report_cut(&self, cut: &AnswerCut<'_>) {
         self.cuts.with_label_values(&[cut.cause.name()]).inc();
         let event = CutEvent {
             request: cut.request,
--- a/crates/tinbay-gateway/src/handover/drive.rs
+++ b/crates/tinbay-gateway/src/handover/drive.rs
@@ -1,4 +1,5 @@
-//! Drives the handover of one run.
+//! Controls the handover of one run: finds a target server, has the run stopped and copied, and
+//! resumes it.
 
 use std::pin::Pin;
 use std::time::Duration;
@@ -18,11 +19,11 @@
 /// Result of asking a server to resume a run.
 #[derive(Debug)]
 pub enum Resumed<A> {
-    /// The server resumed it and answers.
+    /// The server resumed the run; holds its answer.
     Answering(A),
-    /// The server did not resume it.
+    /// The server did not resume the run.
     Declined,
-    /// The server may have resumed it, but its answer is lost.
+    /// The server may have resumed the run, but its answer is lost.
     Unknown,
 }
 
@@ -65,7 +66,8 @@
     Lost,
 }
 
-/// Frees a copy on drop unless a server resumed from it, as the caller may leave at any time.
+/// Frees a copy on drop unless a server resumed from it. A guard is needed because the handover is
+/// dropped when the caller disconnects.
 struct CopyGuard<'a, A> {
     actions: &'a dyn HandoverActions<Answer = A>,
     handle: Option<String>,
@@ -93,8 +95,8 @@
     };
     let mut step = transitions::after_move(answer);
     if matches!(step, Step::Resume { .. }) {
-        let broken_off = gate.wait_until_broken_off();
-        let _ = tokio::time::timeout(MAX_END_WAIT, broken_off).await;
+        let stream_end = gate.wait_for_stream_end();
+        let _ = tokio::time::timeout(MAX_END_WAIT, stream_end).await;
     }
     loop {
         let Step::Resume { at, handle } = step else {
--- a/crates/tinbay-gateway/src/handover/event_gate.rs
+++ b/crates/tinbay-gateway/src/handover/event_gate.rs
@@ -13,9 +13,11 @@
     scanner: RefCell<EventScanner>,
     /// The bytes received of an incomplete event.
     tail: RefCell<BytesMut>,
+    /// Whether bytes pass without being held back.
     is_open: Cell<bool>,
     is_handing_over: Cell<bool>,
-    has_broken_off: Cell<bool>,
+    /// Whether the answer of the stopped server was cut off during the handover.
+    has_stream_ended: Cell<bool>,
     changed: Notify,
 }
 
@@ -67,24 +69,25 @@
         self.is_handing_over.set(true);
     }
 
-    /// Marks that the run was not moved.
+    /// Marks that the handover is over without a resumed run; from here on, the end of the server's
+    /// answer is a failure again.
     pub fn end_handover(&self) {
         self.is_handing_over.set(false);
     }
 
-    /// Records that the server's answer was cut off; returns whether that is part of a move.
+    /// Records that the server's answer was cut off; returns whether a handover explains that.
     pub fn note_broken_off(&self) -> bool {
         if !self.is_handing_over.get() {
             return false;
         }
-        self.has_broken_off.set(true);
+        self.has_stream_ended.set(true);
         self.changed.notify_waiters();
         true
     }
 
-    /// Waits until the answer of the stopped server has been received to its end.
-    pub async fn wait_until_broken_off(&self) {
-        while !self.has_broken_off.get() {
+    /// Waits until the answer of the stopped server was cut off.
+    pub async fn wait_for_stream_end(&self) {
+        while !self.has_stream_ended.get() {
             self.changed.notified().await;
         }
     }
--- a/crates/tinbay-gateway/src/handover/split.rs
+++ b/crates/tinbay-gateway/src/handover/split.rs
@@ -36,7 +36,7 @@
 pub struct Splits {
     needs: RefCell<HashMap<String, PrefillNeed>>,
     roles: RefCell<HashMap<String, CachedRoles>>,
-    counts: RefCell<HashMap<String, CachedCount>>,
+    engine_counts: RefCell<HashMap<String, CachedCount>>,
 }
 
 #[derive(Debug, Clone, Copy)]
@@ -46,9 +46,9 @@
 }
 
 impl Splits {
-    /// Records a stream that ended where it began; returns whether it caused the engines to be
+    /// Records a stream that was not handed over; returns whether it caused the engines to be
     /// split.
-    pub fn note_stream(&self, service: &str, has_long_pause: bool, now_ms: Millis) -> bool {
+    pub fn record_stream(&self, service: &str, has_long_pause: bool, now_ms: Millis) -> bool {
         let mut needs = self.needs.borrow_mut();
         let need = needs.entry(service.to_string()).or_default();
         let was_needed = need.is_needed(now_ms);
@@ -56,10 +56,18 @@
         need.is_needed(now_ms) && !was_needed
     }
 
-    /// Number of engines of a service that are not leaving, cached for `CACHE_LIFE_MS`.
-    pub fn engines(&self, servers: &RefCell<ServerTable>, service: &str, now_ms: Millis) -> usize {
-        let mut counts = self.counts.borrow_mut();
-        if let Some(counted) = counts.get(service).filter(|kept| now_ms < kept.until_ms) {
+    /// Number of engines of a service that are not leaving; may be `CACHE_LIFE_MS` old.
+    pub fn engine_count(
+        &self,
+        servers: &RefCell<ServerTable>,
+        service: &str,
+        now_ms: Millis,
+    ) -> usize {
+        let mut counts = self.engine_counts.borrow_mut();
+        if let Some(counted) = counts
+            .get(service)
+            .filter(|counted| now_ms < counted.until_ms)
+        {
             return counted.engines;
         }
         let engines = servers.borrow().staying(service).len();
@@ -91,17 +99,17 @@
         let roles = self.roles(servers, service, now_ms);
         let mut split = Split::default();
         for server in among {
-            let part = match roles.get(&server.key) {
+            let engines = match roles.get(&server.key) {
                 Some(Role::Prefill) => &mut split.prefill_engines,
                 Some(Role::Decode) | None => &mut split.decode_engines,
             };
-            part.push(Rc::clone(server));
+            engines.push(Rc::clone(server));
         }
-        let is_parted = !split.prefill_engines.is_empty() && !split.decode_engines.is_empty();
-        is_parted.then_some(split)
+        let has_both_roles = !split.prefill_engines.is_empty() && !split.decode_engines.is_empty();
+        has_both_roles.then_some(split)
     }
 
-    /// Whether a server prefills prompts for others.
+    /// Whether a server prefills prompts for others now.
     pub fn is_prefill_engine(
         &self,
         servers: &RefCell<ServerTable>,
@@ -127,11 +135,11 @@
             return Rc::clone(&cached.roles);
         }
         let roles = Rc::new(assign_server_roles(&servers.borrow().staying(service)));
-        let kept = CachedRoles {
+        let cached = CachedRoles {
             roles: Rc::clone(&roles),
             until_ms: now_ms + CACHE_LIFE_MS,
         };
-        cache.insert(service.to_string(), kept);
+        cache.insert(service.to_string(), cached);
         roles
     }
 }
--- a/crates/tinbay-gateway/src/http/body.rs
+++ b/crates/tinbay-gateway/src/http/body.rs
@@ -28,13 +28,13 @@
     #[error("the caller did not read its answer")]
     CallerDidNotRead,
     /// The response was ended to free memory: the box is short of it and this caller reads slowly.
-    #[error("the box is short of memory and the caller reads slowly")]
+    #[error("aborted to free memory: the box is short of it and the caller reads slowly")]
     MemoryShort,
     /// The request body exceeds the size limit.
-    #[error("the body is too long")]
+    #[error("the request body exceeds the size limit")]
     TooLong,
-    /// The server stopped generating to hand the request over, and no other server continued it.
-    #[error("no server went on with a run that was handed over")]
+    /// The server stopped generating for a handover, and no server resumed the stream.
+    #[error("the server stopped for a handover, and no server resumed the stream")]
     NotHandedOver,
 }
 
@@ -43,7 +43,7 @@
 pub struct RequestBody {
     first: Bytes,
     rest: Option<Incoming>,
-    /// Accounts for the memory of `first`; shared with the copies made for retries.
+    /// Accounts for the memory of `first` until the last copy made for a retry is dropped.
     held: Option<Rc<Hold>>,
 }
 
@@ -98,21 +98,21 @@
     }
 }
 
-/// Buffers a caller's body until it exceeds `most_kept` bytes; the rest of a longer one is
-/// streamed. `held` grows with the bytes read.
+/// Buffers a caller's body until it exceeds `max_buffered_bytes`; the rest of a longer one is
+/// streamed. `held` accounts for the bytes read.
 ///
 /// # Errors
-/// When the caller's connection failed, or the body is longer than `most` bytes.
+/// When the caller's connection failed, or the body is longer than `max_bytes`.
 pub async fn read_request_body(
     mut body: Incoming,
-    most_kept: usize,
-    most: usize,
+    max_buffered_bytes: usize,
+    max_bytes: usize,
     mut held: Option<&mut Hold>,
 ) -> Result<RequestBody, BodyError> {
-    if body.size_hint().lower() > most as u64 {
+    if body.size_hint().lower() > max_bytes as u64 {
         return Err(BodyError::TooLong);
     }
-    let mut kept: Vec<Bytes> = Vec::new();
+    let mut buffered: Vec<Bytes> = Vec::new();
     let mut length = 0;
     while let Some(frame) = body.frame().await {
         let frame = frame.map_err(|_| BodyError::CallerBrokeOff)?;
@@ -120,18 +120,18 @@
             continue;
         };
         length += data.len();
-        kept.push(data);
+        buffered.push(data);
         if let Some(held) = held.as_deref_mut() {
             held.grow_to(length as u64);
         }
-        if length > most {
+        if length > max_bytes {
             return Err(BodyError::TooLong);
         }
-        if length > most_kept {
-            return Ok(RequestBody::streamed(join(kept, length), body));
+        if length > max_buffered_bytes {
+            return Ok(RequestBody::streamed(join(buffered, length), body));
         }
     }
-    Ok(RequestBody::whole(join(kept, length)))
+    Ok(RequestBody::whole(join(buffered, length)))
 }
 
 fn join(mut parts: Vec<Bytes>, length: usize) -> Bytes {
--- a/crates/tinbay-gateway/src/http/buffers.rs
+++ b/crates/tinbay-gateway/src/http/buffers.rs
@@ -28,7 +28,9 @@
         .set_recv_buffer_size(RECEIVE_BUFFER_BYTES)
         .and_then(|()| socket.set_tcp_notsent_lowat(UNSENT_BYTES));
     if let Err(error) = result {
-        log::debug!("could not limit the socket buffers of a server connection: {error}");
+        log::debug!(
+            "could not limit a server connection's socket buffers; keeping the defaults: {error}"
+        );
     }
 }
 
@@ -36,6 +38,8 @@
 pub fn limit_unsent_bytes(listener: &impl AsFd) {
     let socket = SockRef::from(listener);
     if let Err(error) = socket.set_tcp_notsent_lowat(UNSENT_BYTES) {
-        log::debug!("could not limit the socket buffers of caller connections: {error}");
+        log::debug!(
+            "could not limit unsent bytes of caller connections; keeping the default: {error}"
+        );
     }
 }
--- a/crates/tinbay-gateway/src/http/call.rs
+++ b/crates/tinbay-gateway/src/http/call.rs
@@ -49,11 +49,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum CallError {
     /// No connection was available, so the request was not sent.
-    #[error("not connected")]
+    #[error("could not connect; the request was not sent")]
     NotConnected,
     /// The call failed or timed out before a complete response arrived; the server may have
     /// received it.
-    #[error("no answer")]
+    #[error("no complete response before the connection failed or the call timed out")]
     NoAnswer,
 }
 
@@ -134,8 +134,8 @@
 
     async fn sender(&self) -> Result<SendRequest<Full<Bytes>>, CallError> {
         loop {
-            let kept = self.idle.borrow_mut().pop();
-            match kept {
+            let idle = self.idle.borrow_mut().pop();
+            match idle {
                 Some(mut sender) if !sender.is_closed() => {
                     if sender.ready().await.is_ok() {
                         return Ok(sender);
--- a/crates/tinbay-gateway/src/http/connect.rs
+++ b/crates/tinbay-gateway/src/http/connect.rs
@@ -41,19 +41,19 @@
 }
 
 /// Opens a TCP connection to `address` and closes it at once.
-pub async fn probe(address: SocketAddr, within: Duration) -> ProbeOutcome {
-    match tokio::time::timeout(within, TcpStream::connect(address)).await {
+pub async fn probe(address: SocketAddr, timeout: Duration) -> ProbeOutcome {
+    match tokio::time::timeout(timeout, TcpStream::connect(address)).await {
         Ok(Ok(_)) => ProbeOutcome::Takes,
         Ok(Err(error)) if error.kind() == ErrorKind::ConnectionRefused => ProbeOutcome::Refuses,
         Ok(Err(_)) | Err(_) => ProbeOutcome::Silent,
     }
 }
 
-/// Opens a connection; `None` if that fails or takes longer than `within`. A task drives it until
+/// Opens a connection; `None` if that fails or takes longer than `timeout`. A task drives it until
 /// it ends or the returned handle aborts the task.
 pub async fn connect<B>(
     address: SocketAddr,
-    within: Duration,
+    timeout: Duration,
 ) -> Option<(SendRequest<B>, AbortHandle)>
 where
     B: Body + 'static,
@@ -61,7 +61,7 @@
     B::Error: Into<Box<dyn Error + Send + Sync>>,
 {
     let connecting = TcpStream::connect(address);
-    let stream = tokio::time::timeout(within, connecting).await.ok()?.ok()?;
+    let stream = tokio::time::timeout(timeout, connecting).await.ok()?.ok()?;
     let _ = stream.set_nodelay(true);
     end_when_silent(&stream, KEEPALIVE_IDLE);
     limit_server_buffers(&stream);
--- a/crates/tinbay-gateway/src/http/mod.rs
+++ b/crates/tinbay-gateway/src/http/mod.rs
@@ -1,4 +1,5 @@
-//! HTTP on hyper: buffered calls, connection pools for servers, streamed bodies.
+//! HTTP/1 client and body types on hyper: buffered calls, connection pools for backend servers, and
+//! bodies streamed between callers and servers.
 
 pub mod body;
 pub mod buffers;
--- a/crates/tinbay-gateway/src/http/pool.rs
+++ b/crates/tinbay-gateway/src/http/pool.rs
@@ -33,10 +33,10 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum ConnectError {
     /// This box's connection limit for the server is reached, with all connections in use.
-    #[error("all connections to the server are in use")]
+    #[error("this box's connections to the server are at their limit and all in use")]
     AllInUse,
     /// A new connection was refused, failed or timed out.
-    #[error("the server took no connection")]
+    #[error("could not connect to the server: refused, failed or timed out")]
     Refused,
 }
 
@@ -45,10 +45,11 @@
 pub struct Pool {
     server: ServerKey,
     address: SocketAddr,
-    /// Tracks for the whole service after which idle time connections are still safe to reuse.
+    /// Idle reuse limit and reuse outcomes of the whole service.
     ledger: Rc<ReuseLedger>,
-    /// When a reused connection last gave no response; those idle since before are not trusted.
-    silent_ms: Rc<Cell<Millis>>,
+    /// When a reused connection last gave no response; those idle since before are not reused for
+    /// requests that must not run twice.
+    last_silent_ms: Rc<Cell<Millis>>,
     /// Includes the time for which the machine is suspended, as connections are idle then, too.
     clock: Clock,
     idle: RefCell<Vec<Idle>>,
@@ -64,11 +65,11 @@
 
 /// Which idle connections a request may use.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Trust {
+pub enum ReusableIdle {
     /// Any, as the request may be retried if there is no response.
     Any,
-    /// Only those idle no longer than is trusted, as the request must not run twice.
-    RunsOnce,
+    /// Only those within the service's idle reuse limit, as the request must not run twice.
+    WithinLimit,
 }
 
 /// A connection taken from the pool; it is closed at once when dropped.
@@ -104,25 +105,30 @@
             server,
             address,
             ledger,
-            silent_ms: Rc::default(),
+            last_silent_ms: Rc::default(),
             clock,
             idle: RefCell::default(),
             open: Rc::default(),
         }
     }
 
-    /// Returns an idle connection that `trust` permits, or opens one while fewer than `most_open`
-    /// are open. Closes the longest idle connection if that makes room.
+    /// Returns an idle connection that `reusable` permits, or opens one while fewer than
+    /// `most_open` are open. At the limit, closes the connection that has been idle longest, if
+    /// there is one.
     ///
     /// # Errors
     /// When the limit is reached or the server accepts no connection.
-    pub async fn get(&self, most_open: usize, trust: Trust) -> Result<Connection, ConnectError> {
-        if self.has_rested() {
+    pub async fn get(
+        &self,
+        most_open: usize,
+        reusable: ReusableIdle,
+    ) -> Result<Connection, ConnectError> {
+        if self.may_all_be_stale() {
             // Lets the drivers process a close that has already arrived before a connection is
             // used.
             tokio::task::yield_now().await;
         }
-        if let Some(connection) = self.take_idle(trust) {
+        if let Some(connection) = self.take_idle(reusable) {
             return Ok(connection);
         }
         if self.open.get() >= most_open {
@@ -134,25 +140,27 @@
         self.connect().await
     }
 
-    /// Whether the most recently used connection has been idle for more than `LEAST_MS`.
-    fn has_rested(&self) -> bool {
+    /// Whether even the most recently used connection has been idle for more than `LEAST_MS`, so
+    /// that its server may have closed it.
+    fn may_all_be_stale(&self) -> bool {
         let now_ms = self.clock.now_ms();
         let idle = self.idle.borrow();
         idle.last()
             .is_some_and(|last| last.since_ms + LEAST_MS < now_ms)
     }
 
-    fn is_trusted(&self, idle: &Idle) -> bool {
-        let is_short = idle.since_ms + self.ledger.trusted_ms() >= self.clock.now_ms();
-        is_short && idle.since_ms >= self.silent_ms.get()
+    /// Whether a connection may carry a request that must not run twice.
+    fn is_within_limit(&self, idle: &Idle) -> bool {
+        let is_short = idle.since_ms + self.ledger.limit_ms() >= self.clock.now_ms();
+        is_short && idle.since_ms >= self.last_silent_ms.get()
     }
 
-    /// Takes the connection that has been idle shortest, as servers drop it last.
-    fn take_idle(&self, trust: Trust) -> Option<Connection> {
+    /// Takes the connection with the shortest idle time, as servers close that one last.
+    fn take_idle(&self, reusable: ReusableIdle) -> Option<Connection> {
         let now_ms = self.clock.now_ms();
         let mut idle = self.idle.borrow_mut();
         while let Some(last) = idle.last() {
-            if trust == Trust::RunsOnce && !self.is_trusted(last) {
+            if reusable == ReusableIdle::WithinLimit && !self.is_within_limit(last) {
                 return None;
             }
             let kept = idle.pop()?;
@@ -161,28 +169,33 @@
                 continue;
             }
             if kept.connection.sender.is_ready() {
-                return Some(self.reused(kept.connection, rested_ms, trust));
+                return Some(self.reused(kept.connection, rested_ms, reusable));
             }
-            self.ledger.note_found_closed(self.server, rested_ms);
+            self.ledger.record_found_closed(self.server, rested_ms);
         }
         None
     }
 
-    fn reused(&self, connection: Connection, rested_ms: Millis, trust: Trust) -> Connection {
-        let runs_once = trust == Trust::RunsOnce;
+    fn reused(
+        &self,
+        connection: Connection,
+        rested_ms: Millis,
+        reusable: ReusableIdle,
+    ) -> Connection {
+        let runs_once = reusable == ReusableIdle::WithinLimit;
         let reuse = Reuse::begin(
             &self.ledger,
             self.server,
             rested_ms,
             runs_once,
-            &self.silent_ms,
+            &self.last_silent_ms,
         );
         let mut connection = connection;
         connection.reuse = Some(reuse);
         connection
     }
 
-    /// Closes the connection that has been idle longest, to make room for a new one.
+    /// Closes the connection that has been idle longest, so that a new one may be opened.
     fn close_oldest(&self) {
         let mut idle = self.idle.borrow_mut();
         if !idle.is_empty() {
@@ -204,13 +217,14 @@
         })
     }
 
-    /// Returns a connection to the pool after a complete response; `rest` is the server's idle time
-    /// limit, if it stated one.
-    pub fn give_back(self: &Rc<Self>, mut connection: Connection, rest: Option<Duration>) {
+    /// Returns a connection to the pool after a complete response; `idle_limit` is the
+    /// server's, if it stated one.
+    pub fn give_back(self: &Rc<Self>, mut connection: Connection, idle_limit: Option<Duration>) {
         let pool = Rc::clone(self);
         let since_ms = self.clock.now_ms();
-        let rest_ms = rest.map_or(DEFAULT_IDLE_LIMIT_MS, |rest| rest.as_millis() as Millis);
-        let until_ms = since_ms + (rest_ms as f64 * KEPT_FRACTION) as Millis;
+        let limit_ms =
+            idle_limit.map_or(DEFAULT_IDLE_LIMIT_MS, |limit| limit.as_millis() as Millis);
+        let until_ms = since_ms + (limit_ms as f64 * KEPT_FRACTION) as Millis;
         tokio::task::spawn_local(async move {
             let ready = tokio::time::timeout(READY_TIMEOUT, connection.sender.ready()).await;
             if matches!(ready, Ok(Ok(()))) {
--- a/crates/tinbay-gateway/src/http/pooled.rs
+++ b/crates/tinbay-gateway/src/http/pooled.rs
@@ -8,7 +8,7 @@
 
 use super::body::RequestBody;
 use super::call::{CallError, Reply};
-use super::pool::{Pool, Trust};
+use super::pool::{Pool, ReusableIdle};
 
 /// Sends one request and buffers the response; the connection returns to the pool if it is
 /// complete.
@@ -19,10 +19,10 @@
     pool: &Rc<Pool>,
     most_open: usize,
     request: Request<RequestBody>,
-    within: Duration,
+    timeout: Duration,
 ) -> Result<Reply, CallError> {
     let exchange = exchange(pool, most_open, request);
-    let result = tokio::time::timeout(within, exchange).await;
+    let result = tokio::time::timeout(timeout, exchange).await;
     result.unwrap_or(Err(CallError::NoAnswer))
 }
 
@@ -32,7 +32,7 @@
     mut request: Request<RequestBody>,
 ) -> Result<Reply, CallError> {
     loop {
-        let connected = pool.get(most_open, Trust::RunsOnce).await;
+        let connected = pool.get(most_open, ReusableIdle::WithinLimit).await;
         let mut connection = connected.map_err(|_| CallError::NotConnected)?;
         let response = match connection.sender.try_send_request(request).await {
             Ok(response) => response,
--- a/crates/tinbay-gateway/src/http/pump/answer.rs
+++ b/crates/tinbay-gateway/src/http/pump/answer.rs
@@ -17,22 +17,25 @@
 use crate::http::body::BodyError;
 use crate::http::relay::Relay;
 
-type Piece = Option<Result<Frame<Bytes>, BodyError>>;
+/// Result of polling a body: a frame, an error, or the end.
+type NextFrame = Option<Result<Frame<Bytes>, BodyError>>;
 
 /// Body of a monitored response; the server's connection is closed at once when it is dropped.
 #[derive(Debug)]
 pub struct WatchedAnswer {
-    shared: Rc<Shared>,
+    state: Rc<AnswerState>,
 }
 
 /// State of one response, shared by the body, the periodic check and the read-ahead task.
 #[derive(Debug)]
-pub struct Shared {
+pub struct AnswerState {
     relay: RefCell<Option<Box<Relay>>>,
     pub(super) ahead: RefCell<Option<ReadAhead>>,
-    broken: Cell<Option<BodyError>>,
+    /// Why the relay ended early, if it did.
+    error: Cell<Option<BodyError>>,
     taken_bytes: Cell<u64>,
-    waits: Cell<bool>,
+    /// Whether the caller has taken everything and waits for more.
+    is_waiting: Cell<bool>,
     tracker: Cell<ReadTracker>,
     terms: AnswerTerms,
     watch: Rc<AnswerWatch>,
@@ -41,24 +44,24 @@
 impl WatchedAnswer {
     /// Monitors a response until it is complete or the caller disconnects.
     pub fn new(relay: Box<Relay>, terms: AnswerTerms, watch: &Rc<AnswerWatch>) -> Self {
-        let shared = Rc::new(Shared {
+        let state = Rc::new(AnswerState {
             relay: RefCell::new(Some(relay)),
             ahead: RefCell::default(),
-            broken: Cell::default(),
+            error: Cell::default(),
             taken_bytes: Cell::default(),
-            waits: Cell::default(),
+            is_waiting: Cell::default(),
             tracker: Cell::new(ReadTracker::begin(watch.now_ms())),
             terms,
             watch: Rc::clone(watch),
         });
-        watch.enter(&shared);
-        Self { shared }
+        watch.register(&state);
+        Self { state }
     }
 }
 
 impl Drop for WatchedAnswer {
     fn drop(&mut self) {
-        self.shared.close();
+        self.state.close();
     }
 }
 
@@ -66,17 +69,17 @@
     type Data = Bytes;
     type Error = BodyError;
 
-    fn poll_frame(self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<Piece> {
-        self.shared.poll_piece(context)
+    fn poll_frame(self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<NextFrame> {
+        self.state.poll_next(context)
     }
 
     fn is_end_stream(&self) -> bool {
-        self.shared.is_at_end()
+        self.state.is_at_end()
     }
 
     fn size_hint(&self) -> SizeHint {
-        let relay = self.shared.relay.borrow();
-        let is_ahead = self.shared.ahead.borrow().is_some();
+        let relay = self.state.relay.borrow();
+        let is_ahead = self.state.ahead.borrow().is_some();
         match relay.as_ref() {
             Some(relay) if !is_ahead => relay.size_hint(),
             _ => SizeHint::default(),
@@ -84,42 +87,42 @@
     }
 }
 
-impl Shared {
-    fn poll_piece(&self, context: &mut Context<'_>) -> Poll<Piece> {
-        if let Some(piece) = self.take_ahead() {
-            return Poll::Ready(piece);
+impl AnswerState {
+    fn poll_next(&self, context: &mut Context<'_>) -> Poll<NextFrame> {
+        if let Some(frame) = self.pop_ahead() {
+            return Poll::Ready(frame);
         }
         let polled = self.poll_relay(context);
-        self.waits.set(polled.is_pending());
+        self.is_waiting.set(polled.is_pending());
         if let Poll::Ready(Some(Ok(frame))) = &polled {
-            self.note_taken(frame);
+            self.record_taken(frame);
         }
         polled
     }
 
     /// Takes the next frame that was read ahead. Ends the read-ahead when the caller has caught up,
     /// so that the rest is relayed directly again.
-    fn take_ahead(&self) -> Option<Piece> {
+    fn pop_ahead(&self) -> Option<NextFrame> {
         let mut ahead = self.ahead.borrow_mut();
         let Some(frame) = ahead.as_mut()?.pop() else {
             *ahead = None;
             return None;
         };
-        self.note_taken(&frame);
+        self.record_taken(&frame);
         Some(Some(Ok(frame)))
     }
 
-    fn note_taken(&self, frame: &Frame<Bytes>) {
-        self.waits.set(false);
+    fn record_taken(&self, frame: &Frame<Bytes>) {
+        self.is_waiting.set(false);
         self.taken_bytes.set(self.taken_bytes.get() + length(frame));
     }
 
     /// Polls the server's connection for the next frame.
-    pub(super) fn poll_relay(&self, context: &mut Context<'_>) -> Poll<Piece> {
+    pub(super) fn poll_relay(&self, context: &mut Context<'_>) -> Poll<NextFrame> {
         match self.relay.borrow_mut().as_mut() {
             Some(relay) => relay.poll_data(context),
             None => {
-                let error = self.broken.get().unwrap_or(BodyError::CallerBrokeOff);
+                let error = self.error.get().unwrap_or(BodyError::CallerBrokeOff);
                 Poll::Ready(Some(Err(error)))
             }
         }
@@ -138,10 +141,10 @@
 
     /// Updates the caller's reading progress; returns whether it is behind, overdue or still served
     /// from the read-ahead buffer.
-    pub(super) fn look(self: &Rc<Self>, now_ms: Millis) -> bool {
+    pub(super) fn update_progress(self: &Rc<Self>, now_ms: Millis) -> bool {
         let taken = Taken {
             bytes: self.taken_bytes.get(),
-            waits: self.waits.get(),
+            waits: self.is_waiting.get(),
         };
         let mut tracker = self.tracker.get();
         tracker.look(taken, now_ms);
@@ -162,20 +165,21 @@
 
     fn holder(&self) -> Holder {
         Holder {
-            account: self.terms.asker.account(),
+            account: self.terms.request.account(),
             connection: self.terms.connection,
         }
     }
 
     /// Returns the reason for which the response must be cut now, if there is one.
-    pub(super) fn judge(&self, now_ms: Millis) -> Option<CutCause> {
+    pub(super) fn cut_cause(&self, now_ms: Millis) -> Option<CutCause> {
         let is_whole = self.is_whole();
         self.tracker
             .get()
             .judge(&self.terms.reader, is_whole, now_ms)
     }
 
-    /// Describes the response for the choice of those to cut when memory is short.
+    /// Describes the unread part of the response, for the choice of those to cut when memory is
+    /// short.
     pub(super) fn unread(&self, now_ms: Millis) -> UnreadAnswer {
         let tracker = self.tracker.get();
         UnreadAnswer {
@@ -199,27 +203,27 @@
             CutCause::Memory => BodyError::MemoryShort,
         };
         let is_whole = self.is_whole();
-        self.tell(cause, is_whole, now_ms);
+        self.report_cut(cause, is_whole, now_ms);
         let relay = self.relay.borrow_mut().take();
         if let Some(mut relay) = relay {
             relay.cut(error);
         }
-        self.broken.set(Some(error));
+        self.error.set(Some(error));
         self.close();
         self.terms.connection_end.set();
     }
 
     /// Records that the relay failed during read-ahead: the caller gets the buffered frames first
     /// and then the error.
-    pub(super) fn note_broken(&self, error: BodyError) {
-        self.broken.set(Some(error));
+    pub(super) fn record_failure(&self, error: BodyError) {
+        self.error.set(Some(error));
         self.drop_relay();
     }
 
-    fn tell(&self, cause: CutCause, is_whole: bool, now_ms: Millis) {
+    fn report_cut(&self, cause: CutCause, is_whole: bool, now_ms: Millis) {
         let tracker = self.tracker.get();
-        self.watch.note_cut(&AnswerCut {
-            request: self.terms.asker.id(),
+        self.watch.report_cut(&AnswerCut {
+            request: self.terms.request.id(),
             cause,
             is_whole,
             taken_bytes: self.taken_bytes.get(),
--- a/crates/tinbay-gateway/src/http/pump/mod.rs
+++ b/crates/tinbay-gateway/src/http/pump/mod.rs
@@ -1,4 +1,4 @@
-//! Responses to callers that read slowly.
+//! Buffers or aborts responses whose callers read slowly.
 //!
 //! A response is relayed directly while its caller reads. A periodic check of all responses, ten
 //! times a second while there are any, finds those whose callers have stopped reading. A separate
@@ -11,4 +11,4 @@
 mod watch;
 
 pub use answer::WatchedAnswer;
-pub use watch::{AnswerCut, AnswerTerms, AnswerWatch, Asker, CutObserver, run};
+pub use watch::{AnswerCut, AnswerTerms, AnswerWatch, AnsweredRequest, CutObserver, run};
--- a/crates/tinbay-gateway/src/http/pump/readahead.rs
+++ b/crates/tinbay-gateway/src/http/pump/readahead.rs
@@ -9,7 +9,7 @@
 use hyper::body::Frame;
 use tokio::task::AbortHandle;
 
-use super::answer::Shared;
+use super::answer::AnswerState;
 use crate::http::buffers::UNREAD_BUFFER_BYTES;
 use crate::memory::Hold;
 
@@ -22,21 +22,22 @@
     frames: VecDeque<Frame<Bytes>>,
     bytes: u64,
     hold: Hold,
-    room: Option<Waker>,
+    /// Wakes the task when the buffer has space again.
+    space_waker: Option<Waker>,
     task: AbortHandle,
 }
 
 impl ReadAhead {
     /// Starts the read-ahead task; `hold` accounts for the buffered memory.
-    pub fn begin(shared: &Rc<Shared>, mut hold: Hold) -> Self {
+    pub fn begin(state: &Rc<AnswerState>, mut hold: Hold) -> Self {
         hold.resize(UNREAD_BUFFER_BYTES);
-        let reading = Rc::clone(shared);
-        let task = tokio::task::spawn_local(poll_fn(move |context| read(&reading, context)));
+        let state = Rc::clone(state);
+        let task = tokio::task::spawn_local(poll_fn(move |context| read(&state, context)));
         Self {
             frames: VecDeque::new(),
             bytes: 0,
             hold,
-            room: None,
+            space_waker: None,
             task: task.abort_handle(),
         }
     }
@@ -46,13 +47,13 @@
         self.hold.bytes()
     }
 
-    /// Takes the oldest buffered frame and wakes the task if it was waiting for room.
+    /// Takes the oldest buffered frame and wakes the task if it was waiting for space.
     pub fn pop(&mut self) -> Option<Frame<Bytes>> {
         let frame = self.frames.pop_front()?;
         self.bytes -= held_length(&frame);
-        self.count();
-        if let Some(room) = self.room.take() {
-            room.wake();
+        self.resize_hold();
+        if let Some(waker) = self.space_waker.take() {
+            waker.wake();
         }
         Some(frame)
     }
@@ -65,20 +66,20 @@
     fn push(&mut self, frame: Frame<Bytes>) {
         self.bytes += held_length(&frame);
         self.frames.push_back(frame);
-        self.count();
+        self.resize_hold();
     }
 
-    fn count(&mut self) {
+    fn resize_hold(&mut self) {
         self.hold.resize(UNREAD_BUFFER_BYTES + self.bytes);
     }
 
-    /// Whether the buffer has room; if not, registers the task to be woken when it has.
-    fn has_room(&mut self, context: &Context<'_>) -> bool {
-        let has_room = self.bytes < MAX_READ_AHEAD_BYTES;
-        if !has_room {
-            self.room = Some(context.waker().clone());
+    /// Whether the buffer has space; if not, registers the task to be woken when it has.
+    fn has_space(&mut self, context: &Context<'_>) -> bool {
+        let has_space = self.bytes < MAX_READ_AHEAD_BYTES;
+        if !has_space {
+            self.space_waker = Some(context.waker().clone());
         }
-        has_room
+        has_space
     }
 }
 
@@ -99,23 +100,24 @@
     frame.data_ref().map_or(0, |data| data.len() as u64)
 }
 
-fn read(shared: &Rc<Shared>, context: &mut Context<'_>) -> Poll<()> {
+/// Reads frames into the buffer until it is full or the response ends.
+fn read(state: &Rc<AnswerState>, context: &mut Context<'_>) -> Poll<()> {
     loop {
-        let has_room = match shared.ahead.borrow_mut().as_mut() {
-            Some(ahead) => ahead.has_room(context),
+        let has_space = match state.ahead.borrow_mut().as_mut() {
+            Some(ahead) => ahead.has_space(context),
             None => return Poll::Ready(()),
         };
-        if !has_room {
+        if !has_space {
             return Poll::Pending;
         }
-        match std::task::ready!(shared.poll_relay(context)) {
+        match std::task::ready!(state.poll_relay(context)) {
             Some(Ok(frame)) => {
-                if let Some(ahead) = shared.ahead.borrow_mut().as_mut() {
+                if let Some(ahead) = state.ahead.borrow_mut().as_mut() {
                     ahead.push(frame);
                 }
             }
             Some(Err(error)) => {
-                shared.note_broken(error);
+                state.record_failure(error);
                 return Poll::Ready(());
             }
             None => return Poll::Ready(()),
--- a/crates/tinbay-gateway/src/http/pump/watch.rs
+++ b/crates/tinbay-gateway/src/http/pump/watch.rs
@@ -11,7 +11,7 @@
 use tinbay_core::units::Millis;
 use tokio::sync::Notify;
 
-use super::answer::Shared;
+use super::answer::AnswerState;
 use crate::clock::Clock;
 use crate::latch::Latch;
 use crate::memory::BoxMemory;
@@ -20,7 +20,7 @@
 const CHECK_INTERVAL: Duration = Duration::from_millis(BEHIND_AFTER_MS);
 
 /// The request that a response belongs to.
-pub trait Asker: fmt::Debug {
+pub trait AnsweredRequest: fmt::Debug {
     /// Id of the request.
     fn id(&self) -> &str;
 
@@ -28,11 +28,11 @@
     fn account(&self) -> Option<AccountHash>;
 }
 
-/// Origin of one response and the limits that apply to it.
+/// The request of one response, its caller's connection and the limits that apply to it.
 #[derive(Debug)]
 pub struct AnswerTerms {
     /// The request that is answered.
-    pub asker: Rc<dyn Asker>,
+    pub request: Rc<dyn AnsweredRequest>,
     /// Limits on how slowly the caller may read.
     pub reader: ReaderTerms,
     /// Number of the caller's connection, for memory accounting.
@@ -61,7 +61,7 @@
 /// Receives reports of responses that were cut.
 pub trait CutObserver: fmt::Debug {
     /// Called once for each response that is cut.
-    fn note_cut(&self, cut: &AnswerCut<'_>);
+    fn report_cut(&self, cut: &AnswerCut<'_>);
 }
 
 /// All responses being sent to callers.
@@ -71,8 +71,8 @@
     memory: Rc<BoxMemory>,
     observer: Box<dyn CutObserver>,
     /// Entries of ended responses remain until the next check.
-    answers: RefCell<Vec<Weak<Shared>>>,
-    first_entered: Notify,
+    answers: RefCell<Vec<Weak<AnswerState>>>,
+    first_registered: Notify,
 }
 
 impl AnswerWatch {
@@ -83,7 +83,7 @@
             memory,
             observer,
             answers: RefCell::default(),
-            first_entered: Notify::new(),
+            first_registered: Notify::new(),
         }
     }
 
@@ -95,40 +95,42 @@
         &self.memory
     }
 
-    pub(super) fn enter(&self, answer: &Rc<Shared>) {
+    pub(super) fn register(&self, answer: &Rc<AnswerState>) {
         let mut answers = self.answers.borrow_mut();
         if answers.is_empty() {
-            self.first_entered.notify_one();
+            self.first_registered.notify_one();
         }
         answers.push(Rc::downgrade(answer));
     }
 
-    pub(super) fn note_cut(&self, cut: &AnswerCut<'_>) {
-        self.observer.note_cut(cut);
+    pub(super) fn report_cut(&self, cut: &AnswerCut<'_>) {
+        self.observer.report_cut(cut);
     }
 
     /// Checks all responses once: those whose callers are behind are read ahead or cut.
-    fn look(&self) {
+    fn check(&self) {
         let now_ms = self.now_ms();
         let mut behind = Vec::new();
         for answer in self.behind(now_ms) {
-            if let Some(cause) = answer.judge(now_ms) {
+            if let Some(cause) = answer.cut_cause(now_ms) {
                 answer.cut(cause, now_ms);
                 continue;
             }
             answer.read_ahead();
             behind.push(answer);
         }
-        self.make_room(&behind, now_ms);
+        self.free_memory(&behind, now_ms);
     }
 
-    fn behind(&self, now_ms: Millis) -> Vec<Rc<Shared>> {
+    /// Updates the progress of all callers; returns the responses that are behind, overdue or read
+    /// ahead.
+    fn behind(&self, now_ms: Millis) -> Vec<Rc<AnswerState>> {
         let mut behind = Vec::new();
         self.answers.borrow_mut().retain(|answer| {
             let Some(answer) = answer.upgrade() else {
                 return false;
             };
-            if answer.look(now_ms) {
+            if answer.update_progress(now_ms) {
                 behind.push(answer);
             }
             true
@@ -136,7 +138,8 @@
         behind
     }
 
-    fn make_room(&self, behind: &[Rc<Shared>], now_ms: Millis) {
+    /// Cuts responses until the box is no longer short of memory.
+    fn free_memory(&self, behind: &[Rc<AnswerState>], now_ms: Millis) {
         let excess_bytes = self.memory.excess_bytes();
         if excess_bytes == 0 {
             return;
@@ -147,9 +150,9 @@
         }
     }
 
-    async fn wait_for_entry(&self) {
+    async fn wait_for_answer(&self) {
         while self.answers.borrow().is_empty() {
-            self.first_entered.notified().await;
+            self.first_registered.notified().await;
         }
     }
 }
@@ -157,8 +160,8 @@
 /// Checks all responses periodically; sleeps while there are none.
 pub async fn run(watch: Rc<AnswerWatch>) {
     loop {
-        watch.wait_for_entry().await;
+        watch.wait_for_answer().await;
         tokio::time::sleep(CHECK_INTERVAL).await;
-        watch.look();
+        watch.check();
     }
 }
--- a/crates/tinbay-gateway/src/http/relay.rs
+++ b/crates/tinbay-gateway/src/http/relay.rs
@@ -1,4 +1,5 @@
-//! Relays a server's response body to the caller unchanged.
+//! Relays a server's response body to the caller unchanged, also across a handover to another
+//! server.
 
 use std::future::Future;
 use std::pin::Pin;
@@ -37,17 +38,17 @@
     }
 
     /// Records that a frame arrived from the server.
-    pub fn note_piece(&mut self, now_ms: Millis) {
+    pub fn record_frame(&mut self, now_ms: Millis) {
         self.timing.note_piece(now_ms);
     }
 
     /// Records that the caller's side polled for the next frame.
-    pub fn note_asked(&mut self, now_ms: Millis) {
+    pub fn record_poll(&mut self, now_ms: Millis) {
         self.timing.note_asked(now_ms);
     }
 
     /// Calls the observer, unless it has been called already.
-    pub fn tell(&mut self, end: Result<(), BodyError>) {
+    pub fn notify(&mut self, end: Result<(), BodyError>) {
         if let Some(observer) = self.observer.take() {
             observer(end, self.timing);
         }
@@ -56,7 +57,7 @@
 
 impl Drop for EndNotice {
     fn drop(&mut self) {
-        self.tell(Err(BodyError::CallerBrokeOff));
+        self.notify(Err(BodyError::CallerBrokeOff));
     }
 }
 
@@ -76,13 +77,13 @@
     /// Pool that the connection returns to.
     pub pool: Rc<Pool>,
     /// Idle time limit of the connection, if the server stated one.
-    pub rest: Option<Duration>,
+    pub idle_limit: Option<Duration>,
     /// Whether the connection may be reused after the response.
-    pub may_keep: bool,
+    pub may_reuse: bool,
 }
 
 /// Handover of a relayed response to another server, driven by polls of the relay.
-pub trait Successor {
+pub trait RelayHandover {
     /// Takes bytes from the server and returns those that may be sent to the caller now.
     fn pass(&self, bytes: Bytes) -> Bytes;
 
@@ -99,14 +100,14 @@
 /// A server's response body being relayed to the caller.
 pub struct Relay {
     incoming: Incoming,
-    successor: Option<Box<dyn Successor>>,
-    /// Whether the server ended its response early as part of a handover.
+    handover: Option<Box<dyn RelayHandover>>,
+    /// Whether the server ended its response early because of the handover.
     has_stopped: bool,
     connection: Option<Connection>,
     pool: Rc<Pool>,
-    rest: Option<Duration>,
-    may_keep: bool,
-    time_up: Pin<Box<Sleep>>,
+    idle_limit: Option<Duration>,
+    may_reuse: bool,
+    deadline: Pin<Box<Sleep>>,
     is_done: bool,
     clock: Clock,
     end: EndNotice,
@@ -119,13 +120,13 @@
     /// Pool that the connection returns to.
     pub pool: Rc<Pool>,
     /// Idle time limit of the connection, if the server stated one.
-    pub rest: Option<Duration>,
+    pub idle_limit: Option<Duration>,
     /// Whether the connection may be reused after the response.
-    pub may_keep: bool,
+    pub may_reuse: bool,
     /// Deadline of the request; the response is cut then.
-    pub time_up: Instant,
-    /// Hand-over to another server, if the request can be handed over.
-    pub successor: Option<Box<dyn Successor>>,
+    pub deadline: Instant,
+    /// Handover to another server, if the request can be handed over.
+    pub handover: Option<Box<dyn RelayHandover>>,
     /// Clock for the arrival times of frames.
     pub clock: Clock,
     /// Called once when the response ends.
@@ -138,13 +139,13 @@
         let is_empty = incoming.is_end_stream();
         let mut relay = Self {
             incoming,
-            successor: terms.successor,
+            handover: terms.handover,
             has_stopped: false,
             connection: Some(terms.connection),
             pool: terms.pool,
-            rest: terms.rest,
-            may_keep: terms.may_keep,
-            time_up: Box::pin(tokio::time::sleep_until(terms.time_up.into())),
+            idle_limit: terms.idle_limit,
+            may_reuse: terms.may_reuse,
+            deadline: Box::pin(tokio::time::sleep_until(terms.deadline.into())),
             is_done: false,
             clock: terms.clock,
             end: EndNotice::new(terms.end),
@@ -164,14 +165,14 @@
             return Poll::Ready(None);
         }
         loop {
-            // Recorded after held-back bytes, too, as the caller's side is still waiting for a
-            // frame.
-            self.end.note_asked(self.clock.now_ms());
-            if let Some(next) = self.poll_successor(context) {
+            // Recorded also when the previous frame was held back, as the caller's side is still
+            // waiting for one.
+            self.end.record_poll(self.clock.now_ms());
+            if let Some(next) = self.poll_handover(context) {
                 return Poll::Ready(Some(next));
             }
             if self.has_stopped {
-                return self.poll_time_up(context);
+                return self.poll_deadline(context);
             }
             match Pin::new(&mut self.incoming).poll_frame(context) {
                 Poll::Ready(Some(Ok(frame))) => {
@@ -179,28 +180,28 @@
                         return Poll::Ready(Some(Ok(passed)));
                     }
                 }
-                Poll::Ready(Some(Err(_))) if self.is_handed_over() => self.has_stopped = true,
+                Poll::Ready(Some(Err(_))) if self.is_cut_by_handover() => self.has_stopped = true,
                 Poll::Ready(Some(Err(_))) => {
                     return Poll::Ready(Some(Err(self.cut(BodyError::ServerBrokeOff))));
                 }
                 Poll::Ready(None) => {
-                    let kept = self.release();
+                    let held = self.release();
                     self.finish();
-                    return Poll::Ready(kept.map(Ok));
+                    return Poll::Ready(held.map(Ok));
                 }
-                Poll::Pending => return self.poll_time_up(context),
+                Poll::Pending => return self.poll_deadline(context),
             }
         }
     }
 
     /// Applies the outcome of the handover once it has ended: returns held-back bytes or an error,
     /// or switches to the continuing server.
-    fn poll_successor(
+    fn poll_handover(
         &mut self,
         context: &mut Context<'_>,
     ) -> Option<Result<Frame<Bytes>, BodyError>> {
-        let successor = self.successor.as_mut()?;
-        let Poll::Ready(outcome) = successor.poll_outcome(context) else {
+        let handover = self.handover.as_mut()?;
+        let Poll::Ready(outcome) = handover.poll_outcome(context) else {
             return None;
         };
         match outcome {
@@ -208,41 +209,42 @@
             Outcome::Stays => self.release().map(Ok),
             Outcome::Lost => Some(Err(self.cut(BodyError::NotHandedOver))),
             Outcome::GoesOn { answer, .. } => {
-                self.go_on(answer);
+                self.continue_with(answer);
                 None
             }
         }
     }
 
     /// Continues with the response of another server.
-    fn go_on(&mut self, answer: ContinuedAnswer) {
-        self.successor = None;
+    fn continue_with(&mut self, answer: ContinuedAnswer) {
+        self.handover = None;
         self.has_stopped = false;
         self.incoming = answer.incoming;
         self.connection = Some(answer.connection);
         self.pool = answer.pool;
-        self.rest = answer.rest;
-        self.may_keep = answer.may_keep;
+        self.idle_limit = answer.idle_limit;
+        self.may_reuse = answer.may_reuse;
     }
 
-    fn is_handed_over(&self) -> bool {
-        let successor = self.successor.as_ref();
-        successor.is_some_and(|successor| successor.note_broken_off())
+    /// Records that the server's response ended early; returns whether the handover caused that.
+    fn is_cut_by_handover(&self) -> bool {
+        let handover = self.handover.as_ref();
+        handover.is_some_and(|handover| handover.note_broken_off())
     }
 
     /// Returns the part of a frame that goes to the caller; `None` if all of it is held back.
     fn pass(&mut self, frame: Frame<Bytes>) -> Option<Frame<Bytes>> {
-        self.end.note_piece(self.clock.now_ms());
+        self.end.record_frame(self.clock.now_ms());
         let is_end = self.incoming.is_end_stream();
-        let Some(successor) = &self.successor else {
+        let Some(handover) = &self.handover else {
             return self.pass_on(frame, is_end);
         };
         let mut passed = match frame.into_data() {
-            Ok(bytes) => successor.pass(bytes),
+            Ok(bytes) => handover.pass(bytes),
             Err(other) => return self.pass_on(other, is_end),
         };
         if is_end {
-            passed = join(passed, successor.open());
+            passed = join(passed, handover.open());
         }
         if passed.is_empty() && !is_end {
             return None;
@@ -257,17 +259,17 @@
         Some(frame)
     }
 
-    /// Ends the holding back and returns the bytes held so far, if any.
+    /// Stops holding bytes back, and returns those held so far, if any.
     fn release(&mut self) -> Option<Frame<Bytes>> {
-        let kept = self.successor.take()?.open();
-        (!kept.is_empty()).then(|| Frame::data(kept))
+        let held = self.handover.take()?.open();
+        (!held.is_empty()).then(|| Frame::data(held))
     }
 
-    fn poll_time_up(
+    fn poll_deadline(
         &mut self,
         context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
-        if self.time_up.as_mut().poll(context).is_ready() {
+        if self.deadline.as_mut().poll(context).is_ready() {
             return Poll::Ready(Some(Err(self.cut(BodyError::TimeUp))));
         }
         Poll::Pending
@@ -276,24 +278,24 @@
     fn finish(&mut self) {
         self.is_done = true;
         if let Some(connection) = self.connection.take()
-            && self.may_keep
+            && self.may_reuse
         {
-            self.pool.give_back(connection, self.rest);
+            self.pool.give_back(connection, self.idle_limit);
         }
-        self.end.tell(Ok(()));
+        self.end.notify(Ok(()));
     }
 
     /// Ends the response early: closes the server's connection and reports `error` to the observer.
     pub fn cut(&mut self, error: BodyError) -> BodyError {
         self.is_done = true;
         self.connection = None;
-        self.end.tell(Err(error));
+        self.end.notify(Err(error));
         error
     }
 
     /// Whether no frame is left to relay.
     pub fn is_at_end(&self) -> bool {
-        self.is_done || (self.successor.is_none() && self.incoming.is_end_stream())
+        self.is_done || (self.handover.is_none() && self.incoming.is_end_stream())
     }
 
     /// Remaining length, as far as the server stated it.
--- a/crates/tinbay-gateway/src/http/reuse.rs
+++ b/crates/tinbay-gateway/src/http/reuse.rs
@@ -14,22 +14,22 @@
 use crate::clock::Clock;
 use crate::events::{self, part};
 
-/// A close within this time after a request was sent means that the server had already dropped the
-/// idle connection: a round trip plus the delay of a busy box in noticing it. A server that closes
-/// later had begun to process the request.
-const FORGOTTEN_WITHIN_MS: Millis = 50;
+/// A close within this time after a request was sent means that the server had already closed the
+/// idle connection: a round trip plus the time that a busy box takes to notice it. A server that
+/// closes later had begun to process the request.
+const STALE_CLOSE_MS: Millis = 50;
 
 /// Outcomes of connection reuse for one service, shared by the pools of its servers.
 #[derive(Debug)]
 pub struct ReuseLedger {
     service: String,
     clock: Clock,
-    trusted: RefCell<IdleReuseLimit>,
-    measure: Option<IntCounterVec>,
+    limit: RefCell<IdleReuseLimit>,
+    connections: Option<IntCounterVec>,
 }
 
 #[derive(Serialize)]
-struct TrustedRestEvent<'a> {
+struct LimitReducedEvent<'a> {
     service: &'a str,
     cause: &'static str,
     rested_ms: Millis,
@@ -37,19 +37,19 @@
 }
 
 impl ReuseLedger {
-    /// Creates an empty ledger; `measure` counts connections by outcome, if given.
-    pub fn new(service: &str, clock: Clock, measure: Option<IntCounterVec>) -> Self {
+    /// Creates an empty ledger; `connections` counts connections by outcome, if given.
+    pub fn new(service: &str, clock: Clock, connections: Option<IntCounterVec>) -> Self {
         Self {
             service: service.to_string(),
             clock,
-            trusted: RefCell::default(),
-            measure,
+            limit: RefCell::default(),
+            connections,
         }
     }
 
     /// Longest idle time after which a connection may carry a request that must not run twice.
-    pub fn trusted_ms(&self) -> Millis {
-        self.trusted.borrow().trusted_ms()
+    pub fn limit_ms(&self) -> Millis {
+        self.limit.borrow().trusted_ms()
     }
 
     /// Counts a newly opened connection.
@@ -58,30 +58,30 @@
     }
 
     /// Records that an idle connection was found closed by its server.
-    pub fn note_found_closed(&self, server: ServerKey, rested_ms: Millis) {
-        self.note(server, rested_ms, ReuseOutcome::FoundClosed);
+    pub fn record_found_closed(&self, server: ServerKey, rested_ms: Millis) {
+        self.record(server, rested_ms, ReuseOutcome::FoundClosed);
     }
 
     fn count(&self, outcome: &str) {
-        if let Some(measure) = &self.measure {
-            measure.with_label_values(&[outcome]).inc();
+        if let Some(connections) = &self.connections {
+            connections.with_label_values(&[outcome]).inc();
         }
     }
 
-    fn note(&self, server: ServerKey, rested_ms: Millis, end: ReuseOutcome) {
+    fn record(&self, server: ServerKey, rested_ms: Millis, end: ReuseOutcome) {
         self.count(end.name());
         let reuse = idle_reuse::Reuse {
             server,
             rested_ms,
             end,
         };
-        let is_less = self.trusted.borrow_mut().note(&reuse, self.clock.now_ms());
-        if is_less {
-            let event = TrustedRestEvent {
+        let is_reduced = self.limit.borrow_mut().note(&reuse, self.clock.now_ms());
+        if is_reduced {
+            let event = LimitReducedEvent {
                 service: &self.service,
                 cause: end.name(),
                 rested_ms,
-                trusted_ms: self.trusted_ms(),
+                trusted_ms: self.limit_ms(),
             };
             events::emit(part::SERVERS, Level::Warn, "trusted_rest", &event);
         }
@@ -97,8 +97,8 @@
     rested_ms: Millis,
     is_at_risk: bool,
     /// When a connection of the server last gave no response; those idle since before are not
-    /// trusted.
-    silent_ms: Rc<Cell<Millis>>,
+    /// reused for requests that must not run twice.
+    last_silent_ms: Rc<Cell<Millis>>,
 }
 
 impl Reuse {
@@ -109,52 +109,52 @@
         server: ServerKey,
         rested_ms: Millis,
         runs_once: bool,
-        silent_ms: &Rc<Cell<Millis>>,
+        last_silent_ms: &Rc<Cell<Millis>>,
     ) -> Self {
-        let is_at_risk = runs_once && ledger.trusted.borrow_mut().note_at_risk(rested_ms);
+        let is_at_risk = runs_once && ledger.limit.borrow_mut().note_at_risk(rested_ms);
         Self {
             ledger: Rc::clone(ledger),
             server,
             rested_ms,
             is_at_risk,
-            silent_ms: Rc::clone(silent_ms),
+            last_silent_ms: Rc::clone(last_silent_ms),
         }
     }
 
     /// Records that the response head arrived.
-    pub fn note_answered(self) {
-        self.note(ReuseOutcome::Answered);
+    pub fn record_answered(self) {
+        self.record(ReuseOutcome::Answered);
     }
 
     /// Records that the connection was found closed before the request was sent.
-    pub fn note_found_closed(self) {
-        self.note(ReuseOutcome::FoundClosed);
+    pub fn record_found_closed(self) {
+        self.record(ReuseOutcome::FoundClosed);
     }
 
     /// Records a close `after_ms` after the request was sent; only an early one counts against
     /// reuse.
-    pub fn note_closed(self, after_ms: Millis) {
-        if after_ms <= FORGOTTEN_WITHIN_MS {
-            self.note(ReuseOutcome::Broken);
+    pub fn record_closed(self, after_ms: Millis) {
+        if after_ms <= STALE_CLOSE_MS {
+            self.record(ReuseOutcome::Broken);
         }
     }
 
-    /// Records that no response came in time. The server's connections that are idle now are no
-    /// longer trusted.
-    pub fn note_silent(self) {
-        self.silent_ms.set(self.ledger.clock.now_ms());
-        self.note(ReuseOutcome::Silent);
+    /// Records that no response came in time. The server's connections that are idle now carry no
+    /// more requests that must not run twice.
+    pub fn record_silent(self) {
+        self.last_silent_ms.set(self.ledger.clock.now_ms());
+        self.record(ReuseOutcome::Silent);
     }
 
-    fn note(&self, end: ReuseOutcome) {
-        self.ledger.note(self.server, self.rested_ms, end);
+    fn record(&self, end: ReuseOutcome) {
+        self.ledger.record(self.server, self.rested_ms, end);
     }
 }
 
 impl Drop for Reuse {
     fn drop(&mut self) {
         if self.is_at_risk {
-            self.ledger.trusted.borrow_mut().release();
+            self.ledger.limit.borrow_mut().release();
         }
     }
 }
--- a/crates/tinbay-gateway/src/http/silence.rs
+++ b/crates/tinbay-gateway/src/http/silence.rs
@@ -1,4 +1,4 @@
-//! Detects connections whose peer no longer responds.
+//! Makes the kernel end TCP connections whose peer no longer responds.
 //!
 //! A network may silently drop all packets of one connection while new connections work. TCP
 //! keepalive and the user timeout make the kernel end such a connection with an error.
@@ -16,17 +16,19 @@
 /// outages, so that a response can still arrive after one.
 const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(4_000);
 
-/// Makes the kernel end a connection whose peer acknowledges nothing, with probes after `rest` of
-/// idle time.
-pub fn end_when_silent(stream: &TcpStream, rest: Duration) {
+/// Makes the kernel end a connection whose peer acknowledges nothing, with probes after `idle`
+/// without traffic.
+pub fn end_when_silent(stream: &TcpStream, idle: Duration) {
     let keepalive = TcpKeepalive::new()
-        .with_time(rest)
+        .with_time(idle)
         .with_interval(PROBE_INTERVAL);
     let socket = SockRef::from(stream);
     let result = socket
         .set_tcp_keepalive(&keepalive)
         .and_then(|()| socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT)));
     if let Err(error) = result {
-        log::debug!("could not set keepalive probes on a connection: {error}");
+        log::debug!(
+            "could not set keepalive and user timeout; using the connection without: {error}"
+        );
     }
 }
