--- a/crates/tinbay-gateway/src/front/admission.rs
+++ b/crates/tinbay-gateway/src/front/admission.rs
@@ -1,4 +1,5 @@
-//! Asks for admission of a request to an overloaded server, which client accounts share.
+//! Asks for admission of a request to an overloaded server. Its holder, the box that manages it,
+//! shares the server's slots between client accounts.
 
 use std::rc::Rc;
 
@@ -18,13 +19,13 @@
 /// admitted in time by a third.
 const MAX_ASKED: usize = 2;
 
-/// Where a request is admitted.
+/// Whether a request is admitted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Admission {
-    /// On the chosen server.
-    Here,
-    /// Possibly on another server, which has to be chosen.
-    Elsewhere,
+    /// On the chosen server, or that server needs no admission.
+    Admitted,
+    /// Not on the chosen server; another one may admit it.
+    TryAnother,
 }
 
 /// Asks for admission of a request to the chosen server if that server is overloaded.
@@ -32,37 +33,37 @@
 /// # Errors
 /// When no server admits it in time. The request has not run, and the refusal tells the caller when
 /// to retry.
-pub async fn take(
+pub async fn request(
     node: &Rc<Node>,
     inbound: &InboundRequest,
     server: &Rc<Server>,
     tried: &[String],
 ) -> Result<Admission, Refusal> {
-    let Some(wish) = wish(node, inbound) else {
-        return Ok(Admission::Here);
+    let Some(params) = admission_params(node, inbound) else {
+        return Ok(Admission::Admitted);
     };
-    let began_ms = node.now_ms();
-    let Some(answered) = asking::ask(&**node, server, wish).await else {
-        return Ok(Admission::Here);
+    let asked_ms = node.now_ms();
+    let Some(answer) = asking::ask(&**node, server, params).await else {
+        return Ok(Admission::Admitted);
     };
     inbound
         .admission
-        .note(answered.outcome, node.now_ms() - began_ms);
-    count(node, inbound, answered.outcome.name());
-    let Some(retry_after_ms) = answered.retry_after_ms else {
-        return Ok(Admission::Here);
+        .note(answer.outcome, node.now_ms() - asked_ms);
+    count_outcome(node, inbound, answer.outcome.name());
+    let Some(retry_after_ms) = answer.retry_after_ms else {
+        return Ok(Admission::Admitted);
     };
     inbound.admission.note_full(server.key);
     let may_ask_more = inbound.admission.full_count() < MAX_ASKED;
     if may_ask_more && has_other_server(node, inbound, tried) {
-        return Ok(Admission::Elsewhere);
+        return Ok(Admission::TryAnother);
     }
     Err(Refusal::NotAdmitted { retry_after_ms })
 }
 
-/// The admission that a request needs. `None` for a request without client account or model: servers
-/// without models are not shared between accounts.
-fn wish(node: &Node, inbound: &InboundRequest) -> Option<AdmissionParams> {
+/// Parameters of the admission that a request needs. `None` for a request without client account or
+/// model: servers without models are not shared between accounts.
+fn admission_params(node: &Node, inbound: &InboundRequest) -> Option<AdmissionParams> {
     let account = inbound.client_account()?;
     inbound.model_key?;
     let units = match inbound.prompt.count {
@@ -96,7 +97,7 @@
     }
 }
 
-fn count(node: &Node, inbound: &InboundRequest, outcome: &str) {
+fn count_outcome(node: &Node, inbound: &InboundRequest, outcome: &str) {
     if let Some(account) = inbound.client_account() {
         node.metrics.count_admission(&account.name, outcome);
     }
--- a/crates/tinbay-gateway/src/front/answer_timing.rs
+++ b/crates/tinbay-gateway/src/front/answer_timing.rs
@@ -65,10 +65,10 @@
 impl AnswerTiming {
     /// Evaluates the chunk times of an answer that ended at `ended_ms`.
     pub fn new(inbound: &InboundRequest, end: AnswerEnd, ended_ms: Millis) -> Self {
-        let sight = inbound.sight.get();
-        let stream = Some(sight).filter(|sight| sight.pieces() > 1);
+        let stream_timing = inbound.stream_timing.get();
+        let stream = Some(stream_timing).filter(|stream_timing| stream_timing.pieces() > 1);
         let objective = AnswerObjective::of_route(&inbound.route);
-        let times = AnswerTimes::of_sight(&sight, inbound.arrived_ms, ended_ms);
+        let times = AnswerTimes::of_sight(&stream_timing, inbound.arrived_ms, ended_ms);
         let judged = (end == AnswerEnd::Served).then(|| Lateness::judge(&times, &objective));
         let is_cut = end == AnswerEnd::Cut;
         Self {
@@ -78,13 +78,14 @@
             lateness: judged.map(Lateness::name),
             first_piece_ms: times.first_piece_ms,
             at_server_ms: at_server_ms(inbound, &times),
-            pauses_ms: stream.map(|sight| sight.pauses_ms()),
-            longest_pause_ms: stream.map(|sight| sight.longest_pause_ms()),
-            longest_pause_untaken_ms: stream.map(|sight| sight.longest_pause_untaken_ms()),
-            longest_pause_at: stream.map(|sight| sight.longest_pause_at()),
-            untaken_ms: untaken_ms(&sight, ended_ms),
-            silence_ms: sight.silence_ms(ended_ms).filter(|_| is_cut),
-            pieces: stream.map(|sight| sight.pieces()),
+            pauses_ms: stream.map(|stream_timing| stream_timing.pauses_ms()),
+            longest_pause_ms: stream.map(|stream_timing| stream_timing.longest_pause_ms()),
+            longest_pause_untaken_ms: stream
+                .map(|stream_timing| stream_timing.longest_pause_untaken_ms()),
+            longest_pause_at: stream.map(|stream_timing| stream_timing.longest_pause_at()),
+            untaken_ms: untaken_ms(&stream_timing, ended_ms),
+            silence_ms: stream_timing.silence_ms(ended_ms).filter(|_| is_cut),
+            pieces: stream.map(|stream_timing| stream_timing.pieces()),
             judged,
         }
     }
@@ -109,7 +110,7 @@
     Some(first_piece_ms.saturating_sub(sent.after_ms))
 }
 
-fn untaken_ms(sight: &StreamTiming, ended_ms: Millis) -> Option<Millis> {
-    sight.first_ms()?;
-    Some(sight.untaken_ms(ended_ms))
+fn untaken_ms(stream_timing: &StreamTiming, ended_ms: Millis) -> Option<Millis> {
+    stream_timing.first_ms()?;
+    Some(stream_timing.untaken_ms(ended_ms))
 }
--- a/crates/tinbay-gateway/src/front/attempt.rs
+++ b/crates/tinbay-gateway/src/front/attempt.rs
@@ -24,8 +24,8 @@
 
 /// How an attempt ended.
 pub enum AttemptResult {
-    /// The server began its answer.
-    Begun(Box<BegunAnswer>),
+    /// The head of the server's answer has arrived.
+    Answering(Box<StartedAnswer>),
     /// The server confirms that it did not run the request.
     Declined {
         /// Status of the response, which tells a missing adapter from a full server.
@@ -33,8 +33,8 @@
     },
     /// Another server now listens at the address of the intended one.
     Displaced,
-    /// Not sent: while waiting for a connection, the server was found to be leaving, paused, at its
-    /// rate limit or to have enough requests waiting.
+    /// Not sent: after the wait for a connection, the server was not ready, in back-off, at its
+    /// rate limit, or had too many bytes of requests waiting.
     Withdrawn {
         /// The unsent body, for another attempt.
         body: RequestBody,
@@ -83,7 +83,7 @@
 }
 
 /// A response whose head has arrived.
-pub struct BegunAnswer {
+pub struct StartedAnswer {
     /// The head, with the body still being received.
     pub response: Response<Incoming>,
     /// Connection it arrives on.
@@ -97,7 +97,7 @@
     /// The server to send to.
     pub server: &'a Rc<Server>,
     /// Most connections that this box may open to the server.
-    pub most_open: usize,
+    pub max_connections: usize,
     /// Which pooled connections may be reused.
     pub reusable: ReusableIdle,
     /// Headers set in addition to the caller's.
@@ -107,7 +107,7 @@
     /// Prompt tokens that the server has to prefill.
     pub prefill_tokens: u32,
     /// Time-out for the response head.
-    pub head_within: Duration,
+    pub head_timeout: Duration,
     /// Time after which the head is overdue: a reused connection without one may be dead.
     pub silent_after: Duration,
 }
@@ -120,31 +120,31 @@
     terms: AttemptTerms<'_>,
 ) -> AttemptResult {
     let running = node.begin_request(terms.server, inbound, terms.prefill_tokens);
-    let waiting = Cell::default();
-    let exchange = exchange(node, inbound, body, &terms, &waiting);
-    match tokio::time::timeout(terms.head_within, exchange).await {
+    let pending = Cell::default();
+    let exchange = exchange(node, inbound, body, &terms, &pending);
+    match tokio::time::timeout(terms.head_timeout, exchange).await {
         Err(_) => {
-            if terms.head_within >= terms.silent_after {
-                record_silent(&waiting);
+            if terms.head_timeout >= terms.silent_after {
+                record_silent(&pending);
             }
             AttemptResult::unknown(UnknownCause::Silent)
         }
         Ok(Err(result)) => result,
-        Ok(Ok(exchanged)) => classify(node, inbound, &terms, exchanged, running),
+        Ok(Ok(received)) => classify(node, inbound, &terms, received, running),
     }
 }
 
 /// A reused connection on which a request was sent and not yet answered.
-type WaitingReuse = Cell<Option<Reuse>>;
+type PendingReuse = Cell<Option<Reuse>>;
 
-fn record_silent(waiting: &WaitingReuse) {
-    if let Some(reuse) = waiting.take() {
+fn record_silent(pending: &PendingReuse) {
+    if let Some(reuse) = pending.take() {
         reuse.record_silent();
     }
 }
 
-/// A response, not yet classified, and the connection it arrives on.
-struct Exchanged {
+/// A response whose meaning has not been classified yet, and the connection it arrives on.
+struct UnclassifiedResponse {
     response: Response<Incoming>,
     connection: Connection,
     sent_ms: Millis,
@@ -155,13 +155,17 @@
     inbound: &InboundRequest,
     body: RequestBody,
     terms: &AttemptTerms<'_>,
-    waiting: &WaitingReuse,
-) -> Result<Exchanged, AttemptResult> {
+    pending: &PendingReuse,
+) -> Result<UnclassifiedResponse, AttemptResult> {
     let names = node.dialect.headers();
     let headers = headers::for_server(&inbound.parts.headers, names, &terms.headers);
-    let mut request = build(inbound, body, headers);
+    let mut request = build_request(inbound, body, headers);
     loop {
-        let connected = terms.server.pool.get(terms.most_open, terms.reusable).await;
+        let connected = terms
+            .server
+            .pool
+            .get(terms.max_connections, terms.reusable)
+            .await;
         let mut connection = connected.map_err(|error| AttemptResult::NotSent { error })?;
         // The server was chosen before the wait for a connection, so its state is checked again.
         let now_ms = node.now_ms();
@@ -173,9 +177,9 @@
         let known_bytes = request.body().known_bytes();
         let boxes = node.box_count.get();
         let _unread = terms.server.waiting.begin(known_bytes, boxes);
-        match send(&mut connection, request, terms, waiting).await {
+        match send(&mut connection, request, terms, pending).await {
             Ok(response) => {
-                return Ok(Exchanged {
+                return Ok(UnclassifiedResponse {
                     response,
                     connection,
                     sent_ms,
@@ -198,23 +202,23 @@
     connection: &mut Connection,
     request: Request<RequestBody>,
     terms: &AttemptTerms<'_>,
-    waiting: &WaitingReuse,
+    pending: &PendingReuse,
 ) -> Result<Response<Incoming>, TrySendError<Request<RequestBody>>> {
     if connection.reuse.is_none() {
         return connection.sender.try_send_request(request).await;
     }
-    waiting.set(connection.reuse.take());
+    pending.set(connection.reuse.take());
     let sent = Instant::now();
     let mut sending = pin!(connection.sender.try_send_request(request));
     let overdue = tokio::time::timeout(terms.silent_after, &mut sending).await;
     let result = match overdue {
         Ok(result) => result,
         Err(_) => {
-            record_silent(waiting);
+            record_silent(pending);
             sending.await
         }
     };
-    if let Some(reuse) = waiting.take() {
+    if let Some(reuse) = pending.take() {
         match &result {
             Ok(_) => reuse.record_answered(),
             Err(error) if error.message().is_some() => reuse.record_found_closed(),
@@ -224,7 +228,11 @@
     result
 }
 
-fn build(inbound: &InboundRequest, body: RequestBody, headers: HeaderMap) -> Request<RequestBody> {
+fn build_request(
+    inbound: &InboundRequest,
+    body: RequestBody,
+    headers: HeaderMap,
+) -> Request<RequestBody> {
     let mut request = Request::new(body);
     *request.method_mut() = inbound.parts.method.clone();
     *request.uri_mut() = inbound.parts.uri.clone();
@@ -236,14 +244,14 @@
     node: &Node,
     inbound: &InboundRequest,
     terms: &AttemptTerms<'_>,
-    exchanged: Exchanged,
+    received: UnclassifiedResponse,
     running: RunningRequest,
 ) -> AttemptResult {
-    let Exchanged {
+    let UnclassifiedResponse {
         response,
         connection,
         sent_ms,
-    } = exchanged;
+    } = received;
     let names = node.dialect.headers();
     let status = response.status();
     if is_displaced(&response, names, terms) {
@@ -277,7 +285,7 @@
     if suggests_not_run(status) {
         return AttemptResult::unknown(UnknownCause::UnconfirmedNotRun);
     }
-    AttemptResult::Begun(Box::new(BegunAnswer {
+    AttemptResult::Answering(Box::new(StartedAnswer {
         response,
         connection,
         running,
--- a/crates/tinbay-gateway/src/front/choice.rs
+++ b/crates/tinbay-gateway/src/front/choice.rs
@@ -24,14 +24,14 @@
 const MAX_CANDIDATES: usize = 48;
 
 /// Servers of an adapter's order that are checked before the adapter is loaded once more. It may
-/// have been loaded on the second or third while the first had no free place. Asking a holder takes
-/// about 1 ms, a load some hundred.
-const MIN_LOOKED_AT: usize = 3;
+/// have been loaded on the second or third while the first had no free adapter slot. Asking a
+/// holder takes about 1 ms, a load some hundred.
+const MIN_CHECKED: usize = 3;
 
 /// Servers that are checked in addition to the adapter's copies when some do not count as such.
-/// Without this limit, while all servers were crowded, a request asked 14 holders in turn, and
-/// their answers were half of all bytes between zones.
-const MAX_PASSED_OVER: usize = 4;
+/// Without this limit, a request asks the holders of many servers in turn while all of them are
+/// crowded, and the answers make up much of the traffic between zones.
+const MAX_EXTRA_CHECKED: usize = 4;
 
 /// Load at which a server no longer counts as one of the adapter's copies: other adapters may have
 /// crowded it, so the next server of the order is considered as well.
@@ -46,13 +46,13 @@
 
 /// Number of servers found at their rate limit after which a request considers only servers without
 /// one, as asking for a permit takes some milliseconds each time.
-const MAX_AT_LIMITS: u32 = 3;
+const MAX_SERVERS_AT_LIMIT: u32 = 3;
 
 /// Interval after which a load request is repeated, as messages may be lost.
-const ASK_AGAIN_MS: Millis = 200;
+const LOAD_REQUEST_INTERVAL_MS: Millis = 200;
 
 /// Grace period after twice the expected load time, after which a load is overdue.
-const OVERDUE_MS: Millis = 300;
+const OVERDUE_GRACE_MS: Millis = 300;
 
 /// Range of the random load that breaks ties between about equally loaded servers.
 const TIE_LOAD: f64 = 0.02;
@@ -68,7 +68,7 @@
     },
     /// Have the server load the adapter, and wait.
     Load(Rc<Server>),
-    /// No untried server takes work.
+    /// No untried server accepts requests.
     Nowhere,
 }
 
@@ -96,9 +96,9 @@
     /// Records how long a load takes on a server, if one was requested. The first estimate counts:
     /// later ones are for loads requested then.
     pub fn note_wait(&mut self, server: ServerKey, wait_ms: f64) {
-        if let Some(asked) = self.loads.get_mut(&server) {
-            let expected_ms = asked.first_ms + wait_ms as Millis;
-            asked.expected_ms.get_or_insert(expected_ms);
+        if let Some(times) = self.loads.get_mut(&server) {
+            let expected_ms = times.first_ms + wait_ms as Millis;
+            times.expected_ms.get_or_insert(expected_ms);
         }
     }
 
@@ -110,29 +110,29 @@
     /// Whether a requested load is still expected. Once it is long overdue, the server may not be
     /// taking orders, and another one may load the adapter instead.
     pub fn is_coming(&self, server: ServerKey, now_ms: Millis) -> bool {
-        let Some(asked) = self.loads.get(&server) else {
+        let Some(times) = self.loads.get(&server) else {
             return false;
         };
-        let expected_ms = asked.expected_ms.unwrap_or(asked.first_ms);
-        now_ms < expected_ms + (expected_ms - asked.first_ms) + OVERDUE_MS
+        let expected_ms = times.expected_ms.unwrap_or(times.first_ms);
+        now_ms < expected_ms + (expected_ms - times.first_ms) + OVERDUE_GRACE_MS
     }
 
     /// Whether to request a load now, for the first time or again; if so, records the request.
     pub fn takes_load_request(&mut self, server: ServerKey, now_ms: Millis) -> bool {
-        let Some(asked) = self.loads.get_mut(&server) else {
-            let asked = LoadRequestTimes {
+        let Some(times) = self.loads.get_mut(&server) else {
+            let times = LoadRequestTimes {
                 first_ms: now_ms,
                 last_ms: now_ms,
                 expected_ms: None,
             };
-            self.loads.insert(server, asked);
+            self.loads.insert(server, times);
             return true;
         };
-        let is_over = now_ms >= asked.last_ms + ASK_AGAIN_MS;
-        if is_over {
-            asked.last_ms = now_ms;
+        let is_due = now_ms >= times.last_ms + LOAD_REQUEST_INTERVAL_MS;
+        if is_due {
+            times.last_ms = now_ms;
         }
-        is_over
+        is_due
     }
 }
 
@@ -141,12 +141,12 @@
     node: &Node,
     inbound: &InboundRequest,
     tried: &[String],
-    asked: &HolderRequests,
+    holder_requests: &HolderRequests,
 ) -> Choice {
     let mut ready = node.servers.borrow().ready(&inbound.service);
-    let is_asked_enough = inbound.at_limits.get() >= MAX_AT_LIMITS;
+    let skips_limited = inbound.at_limits.get() >= MAX_SERVERS_AT_LIMIT;
     ready.retain(|server| {
-        let is_passed_over = is_asked_enough && server.limit_per_s().is_some();
+        let is_passed_over = skips_limited && server.limit_per_s().is_some();
         let may_be_admitted = !inbound.admission.is_full(server.key);
         !is_passed_over && may_be_admitted && !tried.contains(&server.record().id)
     });
@@ -158,18 +158,26 @@
     };
     match inbound.model.as_deref() {
         Some(model) if model.contains('/') => match split() {
-            Some(split) => prefill_choice::choose_for_adapter(node, inbound, &split, asked),
+            Some(split) => {
+                prefill_choice::choose_for_adapter(node, inbound, &split, holder_requests)
+            }
             None => {
-                let survey = Survey::make(node, inbound, &ready, asked);
-                survey.to_choice(survey.pick())
+                let candidates = CandidateSet::collect(node, inbound, &ready, holder_requests);
+                candidates.to_choice(candidates.pick())
             }
         },
         Some(model) => match split() {
             Some(split) => {
-                let decode_engine =
-                    least_loaded(node, &holding(model, &split.decode_engines), objective_ms);
-                let prefill_engine =
-                    least_loaded(node, &holding(model, &split.prefill_engines), objective_ms);
+                let decode_engine = least_loaded(
+                    node,
+                    &servers_with_model(model, &split.decode_engines),
+                    objective_ms,
+                );
+                let prefill_engine = least_loaded(
+                    node,
+                    &servers_with_model(model, &split.prefill_engines),
+                    objective_ms,
+                );
                 match prefill_choice::choose_for_model(node, inbound, decode_engine, prefill_engine)
                 {
                     Some(server) => send(server),
@@ -192,15 +200,15 @@
     ready: &[Rc<Server>],
     objective_ms: Millis,
 ) -> Choice {
-    if let Some(server) = least_loaded(node, &holding(model, ready), objective_ms) {
+    if let Some(server) = least_loaded(node, &servers_with_model(model, ready), objective_ms) {
         return send(server);
     }
-    let decode_engine = rendezvous_order(model, ready).into_iter().next();
-    decode_engine.map_or(Choice::Nowhere, Choice::Load)
+    let first = rendezvous_order(model, ready).into_iter().next();
+    first.map_or(Choice::Nowhere, Choice::Load)
 }
 
 /// The servers that hold a base model.
-pub(super) fn holding(model: &str, servers: &[Rc<Server>]) -> Vec<Rc<Server>> {
+pub(super) fn servers_with_model(model: &str, servers: &[Rc<Server>]) -> Vec<Rc<Server>> {
     let holds = |server: &&Rc<Server>| server.record().models.iter().any(|held| held == model);
     servers.iter().filter(holds).cloned().collect()
 }
@@ -229,8 +237,9 @@
     servers.collect()
 }
 
-/// The servers that should hold the adapter of a request, with what the choice depends on.
-pub(super) struct Survey {
+/// The servers considered for a request's adapter, the first ones of its rendezvous order, and the
+/// data on which the choice among them depends.
+pub(super) struct CandidateSet {
     servers: Vec<Rc<Server>>,
     candidates: Vec<Candidate>,
     /// By candidate, whether it serves an older version than the current one.
@@ -241,51 +250,52 @@
     has_unlimited: bool,
 }
 
-impl Survey {
+impl CandidateSet {
     /// Collects the candidates for a request's adapter from `ready`.
-    pub fn make(
+    pub fn collect(
         node: &Node,
         inbound: &InboundRequest,
         ready: &[Rc<Server>],
-        asked: &HolderRequests,
+        holder_requests: &HolderRequests,
     ) -> Self {
         let adapter = inbound.model.as_deref().unwrap_or_default();
-        let mut survey = Self {
+        let mut set = Self {
             servers: Vec::new(),
             candidates: Vec::new(),
             is_older: Vec::new(),
             copies: 1,
             has_unlimited: ready.iter().any(|server| server.limit_per_s().is_none()),
         };
-        let mut counted = 0;
-        let mut is_home_found = false;
+        let mut counted_copies = 0;
+        let mut is_first_found = false;
         for server in rendezvous_order(adapter, ready) {
-            let is_looked_for = survey.servers.len() < MIN_LOOKED_AT && !survey.has_adapter();
-            let is_done = counted >= survey.copies && !is_looked_for;
-            if is_done || survey.servers.len() >= survey.copies + MAX_PASSED_OVER {
+            let must_check_more = set.servers.len() < MIN_CHECKED && !set.has_adapter();
+            let is_complete = counted_copies >= set.copies && !must_check_more;
+            if is_complete || set.servers.len() >= set.copies + MAX_EXTRA_CHECKED {
                 break;
             }
             let entry = node.entry(&server, adapter_key(adapter));
-            survey.add(node, inbound, &server, entry, asked);
-            let Some(added) = survey.candidates.last() else {
+            set.add(node, inbound, &server, entry, holder_requests);
+            let Some(added) = set.candidates.last() else {
                 continue;
             };
-            let is_home = node.is_answered_for(&server) && (entry.is_some() || added.takes_loads);
-            if is_home && !is_home_found {
-                is_home_found = true;
-                survey.copies = entry.map_or(1, |entry| entry.copies.max(1));
+            let is_eligible =
+                node.is_answered_for(&server) && (entry.is_some() || added.takes_loads);
+            if is_eligible && !is_first_found {
+                is_first_found = true;
+                set.copies = entry.map_or(1, |entry| entry.copies.max(1));
             }
-            let is_outdated = added.presence == Presence::Outdated || survey.is_last_older();
+            let is_outdated = added.presence == Presence::Outdated || set.is_last_older();
             let is_crowded = added.load >= CROWDED_LOAD;
             let is_penalized = node.failure_penalty(&server) >= EXCLUDING_PENALTY;
             let loads_late = entry.is_none() && added.load_wait >= SLOW_LOAD_RATIO;
-            if is_home && !is_outdated && !is_crowded && !is_penalized && !loads_late {
-                counted += 1;
+            if is_eligible && !is_outdated && !is_crowded && !is_penalized && !loads_late {
+                counted_copies += 1;
             }
         }
-        survey.restrict_loads_to_asked(asked, node.now_ms());
-        survey.prefer_prefix_cache(node, inbound);
-        survey
+        set.restrict_loads_to_requested(holder_requests, node.now_ms());
+        set.prefer_prefix_cache(node, inbound);
+        set
     }
 
     /// Steers requests with a common prompt prefix to the same one of the servers that hold the
@@ -308,20 +318,22 @@
 
     /// While a load that the request asked for is expected, lets no other server load the adapter
     /// for the same request.
-    fn restrict_loads_to_asked(&mut self, asked: &HolderRequests, now_ms: Millis) {
-        let is_asked = |server: &Rc<Server>| asked.is_coming(server.key, now_ms);
-        let is_coming = self
+    fn restrict_loads_to_requested(&mut self, holder_requests: &HolderRequests, now_ms: Millis) {
+        let is_requested = |server: &Rc<Server>| holder_requests.is_coming(server.key, now_ms);
+        let is_loading = self
             .servers
             .iter()
             .zip(&self.candidates)
             .any(|(server, candidate)| {
-                is_asked(server) && candidate.presence == Presence::Loading && candidate.takes_loads
+                is_requested(server)
+                    && candidate.presence == Presence::Loading
+                    && candidate.takes_loads
             });
-        if !is_coming {
+        if !is_loading {
             return;
         }
         for (server, candidate) in self.servers.iter().zip(&mut self.candidates) {
-            candidate.takes_loads &= is_asked(server);
+            candidate.takes_loads &= is_requested(server);
         }
     }
 
@@ -331,7 +343,7 @@
         inbound: &InboundRequest,
         server: &Rc<Server>,
         entry: Option<ViewEntry>,
-        asked: &HolderRequests,
+        holder_requests: &HolderRequests,
     ) {
         let adapter = inbound.model.as_deref().unwrap_or_default();
         let version = node.named_version(adapter).unwrap_or(0);
@@ -343,7 +355,7 @@
             presence = Presence::Ready;
         }
         if presence == Presence::Absent {
-            presence = self.presumed_presence(node, server, asked);
+            presence = self.presumed_presence(node, server, holder_requests);
         }
         self.candidates.push(Candidate {
             presence,
@@ -365,12 +377,17 @@
     /// The presumed state of the adapter on a server not known to hold it. A server that was asked
     /// to load it will do so. A server other than the first of the order whose status is unknown is
     /// presumed to hold it, as its holder is asked before anything is sent.
-    fn presumed_presence(&self, node: &Node, server: &Server, asked: &HolderRequests) -> Presence {
-        if asked.is_coming(server.key, node.now_ms()) {
+    fn presumed_presence(
+        &self,
+        node: &Node,
+        server: &Server,
+        holder_requests: &HolderRequests,
+    ) -> Presence {
+        if holder_requests.is_coming(server.key, node.now_ms()) {
             return Presence::Loading;
         }
         let is_first = self.servers.is_empty();
-        let is_refreshed = asked.status_requests.contains_key(&server.key);
+        let is_refreshed = holder_requests.status_requests.contains_key(&server.key);
         if !is_first && !is_refreshed && node.should_ask(server) {
             return Presence::Ready;
         }
@@ -379,10 +396,10 @@
 
     /// Whether a candidate holds the adapter or is loading it.
     fn has_adapter(&self) -> bool {
-        let is_there = |candidate: &Candidate| {
+        let has_it = |candidate: &Candidate| {
             matches!(candidate.presence, Presence::Ready | Presence::Loading)
         };
-        self.candidates.iter().any(is_there)
+        self.candidates.iter().any(has_it)
     }
 
     fn is_last_older(&self) -> bool {
@@ -391,8 +408,8 @@
 
     /// The candidate that should load the current version while an older one is served; `None` if
     /// the current version is held or being loaded already.
-    fn place_for_newer(&self) -> Option<usize> {
-        let is_newer_there =
+    fn candidate_for_newer(&self) -> Option<usize> {
+        let is_newer_held =
             self.candidates
                 .iter()
                 .zip(&self.is_older)
@@ -401,12 +418,12 @@
                     Presence::Loading => true,
                     Presence::Absent | Presence::Outdated => false,
                 });
-        if is_newer_there {
+        if is_newer_held {
             return None;
         }
-        let takes_it =
+        let may_load =
             |candidate: &Candidate| candidate.presence == Presence::Absent && candidate.takes_loads;
-        self.candidates.iter().position(takes_it)
+        self.candidates.iter().position(may_load)
     }
 
     /// The server of a candidate, by its position.
@@ -423,7 +440,7 @@
     pub fn to_choice(&self, pick: Pick) -> Choice {
         match pick {
             Pick::Send { to, copy } => {
-                let newer = || self.place_for_newer();
+                let newer = || self.candidate_for_newer();
                 let copy = if self.is_older[to] { newer() } else { copy };
                 Choice::Send {
                     server: self.server(to),
@@ -431,7 +448,7 @@
                 }
             }
             Pick::Load { at } => Choice::Load(self.server(at)),
-            // Adapter places soon become free, so the first server's holder is asked again.
+            // Adapter slots soon become free, so the first server's holder is asked again.
             Pick::Nowhere => match self.servers.first() {
                 Some(first) => Choice::Load(Rc::clone(first)),
                 None => Choice::Nowhere,
@@ -451,11 +468,11 @@
 
 /// The load of a server with penalties for failures and another zone, and a random tie-breaker.
 fn load(node: &Node, server: &Server, objective_ms: Millis) -> f64 {
-    let distance = if server.record().zone == node.settings.borrow().zone {
+    let zone_load = if server.record().zone == node.settings.borrow().zone {
         0.0
     } else {
         OTHER_ZONE_LOAD
     };
     let tie: f64 = rand::rng().random_range(0.0..TIE_LOAD);
-    node.load(server, objective_ms) + node.failure_penalty(server) + distance + tie
+    node.load(server, objective_ms) + node.failure_penalty(server) + zone_load + tie
 }
--- a/crates/tinbay-gateway/src/front/deliver.rs
+++ b/crates/tinbay-gateway/src/front/deliver.rs
@@ -11,14 +11,14 @@
 
 use super::adapters;
 use super::admission::{self, Admission};
-use super::attempt::{AttemptResult, AttemptTerms, BegunAnswer, UnknownCause, attempt};
+use super::attempt::{AttemptResult, AttemptTerms, StartedAnswer, UnknownCause, attempt};
 use super::choice::{self, Choice, HolderRequests};
 use super::handover;
 use super::headers::{self, ServerHeaders};
 use super::hedge::{self, HedgeTerms, Outgoing};
 use super::inbound::{InboundRequest, LastSend};
 use super::refusal::{NotRunReason, Refusal};
-use super::request_log::{Ending, log_end, log_try};
+use super::request_log::{Ending, log_attempt, log_end};
 use crate::crashes::{self, check, check::CutRequest};
 use crate::http::body::{AnswerBody, BodyError, RequestBody};
 use crate::http::pool::ReusableIdle;
@@ -65,7 +65,7 @@
 }
 
 impl AttemptHistory {
-    fn note(&mut self, server: &Server, end: AttemptEnd) {
+    fn record(&mut self, server: &Server, end: AttemptEnd) {
         self.ends.note(end);
         self.tried.push(server.record().id.clone());
         if end == AttemptEnd::Unknown {
@@ -83,31 +83,31 @@
     inbound: &Rc<InboundRequest>,
     body: RequestBody,
 ) -> Result<Response<AnswerBody>, Refusal> {
-    let mut tries = AttemptHistory::default();
+    let mut history = AttemptHistory::default();
     let mut body = Some(body);
     loop {
-        let server = match adapters::find_server(node, inbound, &tries.tried).await {
+        let server = match adapters::find_server(node, inbound, &history.tried).await {
             Ok(server) => server,
-            Err(refusal) if tries.tried.is_empty() => return Err(refusal),
-            Err(_) => return Err(give_up(node, inbound, &tries)),
+            Err(refusal) if history.tried.is_empty() => return Err(refusal),
+            Err(_) => return Err(final_refusal(node, inbound, &history)),
         };
         // Checked again before each attempt: the previous server may have crashed under the
         // request, or other boxes may have reported crashes while it waited for its adapter.
         if is_quarantined(node, inbound).await {
-            return Err(give_up_crashing(node, inbound, &tries));
+            return Err(crash_refusal(node, inbound, &history));
         }
-        match admission::take(node, inbound, &server, &tries.tried).await {
-            Ok(Admission::Here) => {}
-            Ok(Admission::Elsewhere) => continue,
-            Err(refusal) if tries.tried.is_empty() => return Err(refusal),
-            Err(_) => return Err(give_up(node, inbound, &tries)),
+        match admission::request(node, inbound, &server, &history.tried).await {
+            Ok(Admission::Admitted) => {}
+            Ok(Admission::TryAnother) => continue,
+            Err(refusal) if history.tried.is_empty() => return Err(refusal),
+            Err(_) => return Err(final_refusal(node, inbound, &history)),
         }
         let Some(permit) = permits::take(node, &server).await else {
-            inbound.note_at_limit();
+            inbound.count_server_at_limit();
             continue;
         };
         let Some(sent) = body.take() else {
-            return Err(give_up(node, inbound, &tries));
+            return Err(final_refusal(node, inbound, &history));
         };
         body = sent.repeat();
         let before_ms = node.backlog_ms(&server);
@@ -117,20 +117,22 @@
             body: sent,
             permit,
         };
-        let sent = send_hedged(node, inbound, &mut tries, outgoing).await;
+        let sent = send_hedged(node, inbound, &mut history, outgoing).await;
         let (server, sent_ms, result) = (sent.server, sent.sent_ms, sent.result);
-        if matches!(result, AttemptResult::Begun(_)) {
+        if matches!(result, AttemptResult::Answering(_)) {
             node.note_prefill(inbound, before_ms, node.now_ms() - sent_ms);
-            note_answer_time(node, inbound, &server, sent_ms);
+            record_response_time(node, inbound, &server, sent_ms);
         }
-        note_delay(node, inbound, &server, sent_ms);
-        log_try(node, inbound, &server, &result);
+        record_relative_delay(node, inbound, &server, sent_ms);
+        log_attempt(node, inbound, &server, &result);
         let end = match result {
-            AttemptResult::Begun(answer) => {
-                if body.is_none() || !retries_failure(node, inbound, &tries, &server, &answer) {
+            AttemptResult::Answering(answer) => {
+                if body.is_none()
+                    || !retries_error_response(node, inbound, &history, &server, &answer)
+                {
                     return Ok(relay(node, inbound, *answer, body));
                 }
-                tries.note(&server, AttemptEnd::Unknown);
+                history.record(&server, AttemptEnd::Unknown);
                 continue;
             }
             AttemptResult::Withdrawn { body: unsent } => {
@@ -139,7 +141,7 @@
                 continue;
             }
             AttemptResult::Declined { status } => {
-                note_declined(node, inbound, &server, status);
+                record_declined(node, inbound, &server, status);
                 AttemptEnd::NotRun
             }
             AttemptResult::Displaced => {
@@ -149,24 +151,24 @@
             AttemptResult::NotSent { .. } => {
                 permit.give_back(node, &server);
                 server.add_failure_penalty(CONNECT_FAILURE_PENALTY, node.now_ms());
-                tries.note(&server, AttemptEnd::NotRun);
+                history.record(&server, AttemptEnd::NotRun);
                 // Nothing reached a server, so the next send needs no retry budget.
-                if !may_try_another(node, inbound, &tries, AttemptEnd::NotRun) {
-                    return Err(give_up(node, inbound, &tries));
+                if !may_try_another(node, inbound, &history, AttemptEnd::NotRun) {
+                    return Err(final_refusal(node, inbound, &history));
                 }
                 continue;
             }
             AttemptResult::Unknown { cause } => {
                 if cause == UnknownCause::Closed {
-                    note_cut(node, inbound, &server);
+                    check_after_cut(node, inbound, &server);
                 }
                 server.add_failure_penalty(UNKNOWN_OUTCOME_PENALTY, node.now_ms());
                 AttemptEnd::Unknown
             }
         };
-        tries.note(&server, end);
-        if !may_try_another(node, inbound, &tries, end) || !take_retry_budget(node, inbound) {
-            return Err(give_up(node, inbound, &tries));
+        history.record(&server, end);
+        if !may_try_another(node, inbound, &history, end) || !take_retry_budget(node, inbound) {
+            return Err(final_refusal(node, inbound, &history));
         }
     }
 }
@@ -175,40 +177,40 @@
 async fn send_hedged(
     node: &Node,
     inbound: &InboundRequest,
-    tries: &mut AttemptHistory,
+    history: &mut AttemptHistory,
     outgoing: Outgoing,
 ) -> hedge::Sent {
-    let most_sends = inbound.route.most_attempts.saturating_sub(tries.runs);
+    let max_sends = inbound.route.most_attempts.saturating_sub(history.runs);
     let terms = HedgeTerms {
-        tried: &tries.tried,
-        sends_left: most_sends.saturating_sub(1),
+        tried: &history.tried,
+        sends_left: max_sends.saturating_sub(1),
     };
-    let send_to = async |outgoing: Outgoing, sends_under_way: u32| {
-        let runs = tries.runs + sends_under_way;
-        let tries = AttemptHistory {
+    let send_to = async |outgoing: Outgoing, sends_in_flight: u32| {
+        let runs = history.runs + sends_in_flight;
+        let history = AttemptHistory {
             runs,
-            ..tries.clone()
+            ..history.clone()
         };
         let Outgoing {
             server,
             body,
             permit,
         } = outgoing;
-        try_server(node, inbound, &tries, body, &server, permit).await
+        try_server(node, inbound, &history, body, &server, permit).await
     };
     let sent = hedge::send(node, inbound, terms, outgoing, send_to).await;
     if let Some(failed) = &sent.failed {
         failed
             .server
             .add_failure_penalty(UNKNOWN_OUTCOME_PENALTY, node.now_ms());
-        tries.note(&failed.server, failed.end);
+        history.record(&failed.server, failed.end);
     }
     sent
 }
 
 /// Records that a server declined: either it does not hold the adapter, or it is avoided for a
 /// while.
-fn note_declined(node: &Node, inbound: &InboundRequest, server: &Server, status: StatusCode) {
+fn record_declined(node: &Node, inbound: &InboundRequest, server: &Server, status: StatusCode) {
     match inbound.model_key {
         Some(key) if status == StatusCode::MISDIRECTED_REQUEST => {
             server.note_missing(key);
@@ -218,8 +220,9 @@
     }
 }
 
-/// Starts a health check of a server that closed the connection during a request.
-fn note_cut(node: &Rc<Node>, inbound: &InboundRequest, server: &Rc<Server>) {
+/// Starts a health check of a server that closed the connection during a request, as it may have
+/// crashed.
+fn check_after_cut(node: &Rc<Node>, inbound: &InboundRequest, server: &Rc<Server>) {
     if let Some(digest) = inbound.digest.get() {
         let request = CutRequest {
             id: inbound.id.clone(),
@@ -229,7 +232,7 @@
     }
 }
 
-/// Whether servers crash under the request, once running checks of servers have ended.
+/// Whether servers crash under the request; waits first for health checks that concern it.
 async fn is_quarantined(node: &Node, inbound: &InboundRequest) -> bool {
     let Some(digest) = inbound.digest.get() else {
         return false;
@@ -239,16 +242,16 @@
 }
 
 /// The refusal of a request under which servers crash.
-fn give_up_crashing(node: &Node, inbound: &InboundRequest, tries: &AttemptHistory) -> Refusal {
-    if tries.ends.are_all_not_run() {
+fn crash_refusal(node: &Node, inbound: &InboundRequest, history: &AttemptHistory) -> Refusal {
+    if history.ends.are_all_not_run() {
         return Refusal::CrashesServers;
     }
-    give_up(node, inbound, tries)
+    final_refusal(node, inbound, history)
 }
 
 /// Records the response time of a server. Only requests without a model are comparable between the
 /// servers of a service.
-fn note_answer_time(node: &Node, inbound: &InboundRequest, server: &Server, sent_ms: Millis) {
+fn record_response_time(node: &Node, inbound: &InboundRequest, server: &Server, sent_ms: Millis) {
     if inbound.model.is_none() {
         let now_ms = node.now_ms();
         server.note_answer_time((now_ms - sent_ms) as f64, now_ms);
@@ -256,7 +259,7 @@
 }
 
 /// Records the response time of a server relative to the objective.
-fn note_delay(node: &Node, inbound: &InboundRequest, server: &Server, sent_ms: Millis) {
+fn record_relative_delay(node: &Node, inbound: &InboundRequest, server: &Server, sent_ms: Millis) {
     let now_ms = node.now_ms();
     let objective_ms = inbound.route.objective_ms.max(1) as f64;
     server.note_delay((now_ms - sent_ms) as f64 / objective_ms, now_ms);
@@ -265,7 +268,7 @@
 async fn try_server(
     node: &Node,
     inbound: &InboundRequest,
-    tries: &AttemptHistory,
+    history: &AttemptHistory,
     body: RequestBody,
     server: &Rc<Server>,
     permit: Permit,
@@ -275,12 +278,12 @@
     inbound.last_send.set(Some(sent));
     let head_by_ms = inbound.time_up_ms.min(sent.time_up_ms + BEGIN_MARGIN_MS);
     let left_ms = head_by_ms.saturating_sub(now_ms);
-    let is_last = !may_run_again(inbound, tries);
+    let is_last = !may_run_again(inbound, history);
     let silent_after_ms = silent_after_ms(node, inbound, server);
     let record = server.record();
     let terms = AttemptTerms {
         server,
-        most_open: most_open(node, inbound),
+        max_connections: max_connections(node, inbound),
         reusable: if is_last {
             ReusableIdle::WithinLimit
         } else {
@@ -296,7 +299,7 @@
         },
         permit,
         prefill_tokens: inbound.prompt.tokens,
-        head_within: if is_last {
+        head_timeout: if is_last {
             Duration::from_millis(left_ms)
         } else {
             Duration::from_millis(left_ms.min(silent_after_ms))
@@ -310,8 +313,8 @@
 ///
 /// If the server holds a replaced version, the deadline sent is capped at the time that this
 /// version has left, so that the server declines a request still queued by then. A limit on the
-/// send time alone let a request begin 6.2 s after its version was replaced, with 5 s allowed, on a
-/// server that had been stopped for a while.
+/// send time alone is not enough: a server that is suspended for a while may begin the request
+/// after the replaced version's time is over.
 fn last_send(node: &Node, inbound: &InboundRequest, server: &Server, now_ms: Millis) -> LastSend {
     let model = inbound.model.as_deref().unwrap_or_default();
     let named_version = inbound.named_version(node);
@@ -347,8 +350,8 @@
 }
 
 /// Whether the request may be sent to another server if the next attempt gets no response.
-fn may_run_again(inbound: &InboundRequest, tries: &AttemptHistory) -> bool {
-    inbound.is_repeatable() && tries.runs + 1 < inbound.route.most_attempts
+fn may_run_again(inbound: &InboundRequest, history: &AttemptHistory) -> bool {
+    inbound.is_repeatable() && history.runs + 1 < inbound.route.most_attempts
 }
 
 /// Time without a response after which a server counts as silent.
@@ -361,7 +364,7 @@
 }
 
 /// Most connections of this box to one server: its share of those the server accepts.
-pub(super) fn most_open(node: &Node, inbound: &InboundRequest) -> usize {
+pub(super) fn max_connections(node: &Node, inbound: &InboundRequest) -> usize {
     let accepted = node
         .in_force()
         .and_then(|in_force| {
@@ -374,41 +377,41 @@
 
 /// Whether to discard a server's error response and retry. That needs another server that can take
 /// the request now, and retry budget; otherwise the error is passed on to the caller.
-fn retries_failure(
+fn retries_error_response(
     node: &Node,
     inbound: &InboundRequest,
-    tries: &AttemptHistory,
+    history: &AttemptHistory,
     server: &Server,
-    answer: &BegunAnswer,
+    answer: &StartedAnswer,
 ) -> bool {
     let is_failure = answer.response.status().is_server_error();
-    if !is_failure || !may_run_again(inbound, tries) {
+    if !is_failure || !may_run_again(inbound, history) {
         return false;
     }
-    let mut tried = tries.tried.clone();
+    let mut tried = history.tried.clone();
     tried.push(server.record().id.clone());
-    let is_another = matches!(
+    let has_alternative = matches!(
         choice::choose(node, inbound, &tried, &HolderRequests::default()),
         Choice::Send { .. }
     );
-    is_another && take_retry_budget(node, inbound)
+    has_alternative && take_retry_budget(node, inbound)
 }
 
 /// Whether another server may be tried, apart from the retry budget.
 fn may_try_another(
     node: &Node,
     inbound: &InboundRequest,
-    tries: &AttemptHistory,
+    history: &AttemptHistory,
     end: AttemptEnd,
 ) -> bool {
     let case = RetryCase {
         end,
-        repeatable: inbound.is_repeatable() && tries.runs < inbound.route.most_attempts,
+        repeatable: inbound.is_repeatable() && history.runs < inbound.route.most_attempts,
         answer_begun: false,
         now_ms: node.now_ms(),
         deadline_ms: inbound.time_up_ms,
     };
-    may_retry(&case) && tries.tried.len() < MAX_ATTEMPTS
+    may_retry(&case) && history.tried.len() < MAX_ATTEMPTS
 }
 
 /// Takes a retry from the service's budget, if it has one left.
@@ -428,8 +431,8 @@
 }
 
 /// The refusal after the last attempt: whether the request may have run, or certainly has not.
-fn give_up(node: &Node, inbound: &InboundRequest, tries: &AttemptHistory) -> Refusal {
-    if !tries.ends.are_all_not_run() {
+fn final_refusal(node: &Node, inbound: &InboundRequest, history: &AttemptHistory) -> Refusal {
+    if !history.ends.are_all_not_run() {
         return if node.now_ms() >= inbound.time_up_ms {
             Refusal::TimeUp
         } else {
@@ -447,7 +450,7 @@
 fn relay(
     node: &Rc<Node>,
     inbound: &Rc<InboundRequest>,
-    answer: BegunAnswer,
+    answer: StartedAnswer,
     body: Option<RequestBody>,
 ) -> Response<AnswerBody> {
     let server = answer.running.server();
@@ -469,7 +472,7 @@
     Response::from_parts(parts, AnswerBody::Relayed(Box::new(relay)))
 }
 
-/// What to record when the relayed answer ends.
+/// The observer that logs a relayed answer at its end and records its outcome and timing.
 fn observe_end(
     node: &Rc<Node>,
     inbound: &Rc<InboundRequest>,
@@ -479,16 +482,16 @@
     let node = Rc::clone(node);
     let inbound = Rc::clone(inbound);
     let head_ms = node.now_ms() - inbound.arrived_ms;
-    Box::new(move |end, sight| {
-        inbound.sight.set(sight);
+    Box::new(move |end, stream_timing| {
+        inbound.stream_timing.set(stream_timing);
         let ending = match end {
-            Ok(()) => Ending::Whole,
+            Ok(()) => Ending::Complete,
             Err(error) => Ending::Cut(error),
         };
         let server = running.borrow().server();
-        handover::note_stream(&node, &inbound, sight, end);
+        handover::record_stream(&node, &inbound, stream_timing, end);
         match (end, inbound.digest.get()) {
-            (Err(BodyError::ServerBrokeOff), _) => note_cut(&node, &inbound, &server),
+            (Err(BodyError::ServerBrokeOff), _) => check_after_cut(&node, &inbound, &server),
             (Ok(()), Some(digest)) if is_success(status) => crashes::note_proven(&node, *digest),
             _ => {}
         }
--- a/crates/tinbay-gateway/src/front/filters/account_key.rs
+++ b/crates/tinbay-gateway/src/front/filters/account_key.rs
@@ -5,7 +5,7 @@
 use tinbay_core::accounts::key_check::{KeyDecision, check};
 
 use super::{Exchange, Filter, FilterFuture, Step};
-use crate::front::inbound::{InboundRequest, ShownAccount};
+use crate::front::inbound::{CheckedAccount, InboundRequest};
 use crate::front::refusal::Refusal;
 use crate::node::Node;
 
@@ -37,10 +37,10 @@
         KeyDecision::Unknown => (None, Err(Refusal::UnknownKey)),
         KeyDecision::CopyTooOld => (None, Err(Refusal::KeyNotProved)),
     };
-    let shown = ShownAccount {
+    let checked = CheckedAccount {
         account,
         proof_age_ms,
     };
-    let _ = inbound.account.set(shown);
+    let _ = inbound.account.set(checked);
     result
 }
--- a/crates/tinbay-gateway/src/front/filters/account_limit.rs
+++ b/crates/tinbay-gateway/src/front/filters/account_limit.rs
@@ -42,11 +42,11 @@
         return Ok(());
     };
     let units = units(account, inbound.prompt.count)?;
-    let of = inbound.digest.get().map(|digest| CallerTry {
+    let caller_try = inbound.digest.get().map(|digest| CallerTry {
         digest: digest.short(),
         objective_ms: inbound.route.objective_ms,
     });
-    let admitted = limits::admit(node, &limited, units, of).await;
+    let admitted = limits::admit(node, &limited, units, caller_try).await;
     let by = admitted.map_or("refused", |by| by.name());
     node.metrics.count_limit(&account.name, by);
     let by = admitted.map_err(|retry_after_ms| Refusal::LimitReached { retry_after_ms })?;
--- a/crates/tinbay-gateway/src/front/filters/body.rs
+++ b/crates/tinbay-gateway/src/front/filters/body.rs
@@ -1,4 +1,4 @@
-//! Buffers request bodies for retries.
+//! Reads request bodies, buffering them for retries up to a size limit.
 
 use std::rc::Rc;
 
@@ -19,14 +19,14 @@
             let Some(incoming) = exchange.incoming.take() else {
                 return Ok(Step::Next);
             };
-            let most_bytes = node.limits().body_bytes;
+            let max_bytes = node.limits().body_bytes;
             let held = exchange.held.as_mut();
-            let read = read_request_body(incoming, MAX_BUFFERED_BYTES, most_bytes, held).await;
+            let read = read_request_body(incoming, MAX_BUFFERED_BYTES, max_bytes, held).await;
             let body = read.map_err(|error| match error {
                 BodyError::TooLong => Refusal::BodyTooLong,
                 _ => Refusal::CallerBrokeOff,
             })?;
-            exchange.inbound.note_body(body.first());
+            exchange.inbound.set_digest(body.first());
             exchange.body = Some(body.held_by(exchange.held.take()));
             Ok(Step::Next)
         })
--- a/crates/tinbay-gateway/src/front/filters/delivery.rs
+++ b/crates/tinbay-gateway/src/front/filters/delivery.rs
@@ -15,7 +15,7 @@
     fn apply<'a>(&'a self, node: &'a Rc<Node>, exchange: &'a mut Exchange) -> FilterFuture<'a> {
         Box::pin(async move {
             let body = exchange.body.take().ok_or(Refusal::CallerBrokeOff)?;
-            note_first_send(node, &exchange.inbound);
+            record_first_send(node, &exchange.inbound);
             let answer = deliver::deliver(node, &exchange.inbound, body).await?;
             Ok(Step::Answer(answer))
         })
@@ -23,7 +23,7 @@
 }
 
 /// Adds to the retry budget, which is proportional to the number of first sends.
-fn note_first_send(node: &Node, inbound: &InboundRequest) {
+fn record_first_send(node: &Node, inbound: &InboundRequest) {
     let now_ms = node.now_ms();
     let mut budgets = node.budgets.borrow_mut();
     let budget = budgets.entry(inbound.service.clone()).or_default();
--- a/crates/tinbay-gateway/src/front/filters/memory.rs
+++ b/crates/tinbay-gateway/src/front/filters/memory.rs
@@ -23,7 +23,7 @@
 }
 
 fn admit(node: &Node, exchange: &mut Exchange) -> Result<Step, Refusal> {
-    let bytes = exchange.incoming.as_ref().map_or(0, kept_bytes);
+    let bytes = exchange.incoming.as_ref().map_or(0, buffered_bytes);
     match node.memory.admit(exchange.inbound.holder(), bytes) {
         Ok(held) => {
             exchange.held = Some(held);
@@ -38,8 +38,8 @@
 }
 
 /// Bytes of a body that will be buffered, by its content length if there is one.
-fn kept_bytes(incoming: &Incoming) -> u64 {
-    let told_bytes = incoming.size_hint().upper();
-    let bytes = told_bytes.unwrap_or(PRESUMED_BODY_BYTES);
+fn buffered_bytes(incoming: &Incoming) -> u64 {
+    let declared_bytes = incoming.size_hint().upper();
+    let bytes = declared_bytes.unwrap_or(PRESUMED_BODY_BYTES);
     bytes.min(MAX_BUFFERED_BYTES as u64)
 }
--- a/crates/tinbay-gateway/src/front/filters/mod.rs
+++ b/crates/tinbay-gateway/src/front/filters/mod.rs
@@ -1,4 +1,4 @@
-//! The filter chain of routed requests.
+//! The chain of filters that check, admit and deliver a routed request.
 
 mod account_key;
 mod account_limit;
@@ -48,7 +48,7 @@
     fn apply<'a>(&'a self, node: &'a Rc<Node>, exchange: &'a mut Exchange) -> FilterFuture<'a>;
 
     /// Undoes what the filter counted for a request that was not run.
-    fn roll_back(&self, _node: &Rc<Node>, _question: &InboundRequest) {}
+    fn roll_back(&self, _node: &Rc<Node>, _inbound: &InboundRequest) {}
 }
 
 /// All filters, in the order of execution. The key is checked before the body is read, so that an
@@ -66,7 +66,7 @@
 ///
 /// # Errors
 /// When a filter refuses the request or delivery fails.
-pub async fn pass(
+pub async fn run(
     node: &Rc<Node>,
     inbound: &Rc<InboundRequest>,
     incoming: Incoming,
--- a/crates/tinbay-gateway/src/front/filters/quarantine.rs
+++ b/crates/tinbay-gateway/src/front/filters/quarantine.rs
@@ -1,4 +1,4 @@
-//! Quarantine for requests that crash servers.
+//! Refuses requests under which servers crash.
 
 use std::rc::Rc;
 
--- a/crates/tinbay-gateway/src/front/handover/actions.rs
+++ b/crates/tinbay-gateway/src/front/handover/actions.rs
@@ -1,4 +1,4 @@
-//! Performs the calls to servers that hand over one run.
+//! The calls to servers that hand over one run.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -18,7 +18,7 @@
 use crate::front::adapters;
 use crate::front::attempt::{AttemptResult, AttemptTerms, attempt};
 use crate::front::choice::HolderRequests;
-use crate::front::deliver::{held_version, most_open};
+use crate::front::deliver::{held_version, max_connections};
 use crate::front::headers::{self, Resumption, ServerHeaders};
 use crate::front::inbound::{Handover, InboundRequest};
 use crate::handover::drive::{HandoverActions, LocalFuture, Outcome, Resumed};
@@ -34,17 +34,17 @@
 /// Longest search for a server that can continue a run.
 const MAX_SEARCH_MS: Millis = 1_500;
 
-/// Longest interval between two attempts to choose that server.
-const LOOK_PAUSE: Duration = Duration::from_millis(100);
+/// Longest interval between two choices of that server.
+const MAX_CHOICE_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Time-out of the call that copies a run; most copies take some tens of milliseconds.
-const MOVE_WITHIN: Duration = Duration::from_millis(1_000);
+const COPY_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 /// Time-out until a server resumes the stream.
-const RESUME_WITHIN: Duration = Duration::from_millis(1_500);
+const RESUME_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 /// Time-out of the call that frees a copy.
-const FREE_WITHIN: Duration = Duration::from_millis(500);
+const FREE_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Hands over one run by calls to its servers.
 pub struct NodeHandover {
@@ -56,7 +56,8 @@
     target: RefCell<Option<Rc<Server>>>,
     /// Version of the adapter on the source; 0 if unknown.
     version: u64,
-    begun_ms: Cell<Millis>,
+    /// When the source was asked to stop and copy the run.
+    requested_ms: Cell<Millis>,
 }
 
 impl NodeHandover {
@@ -77,66 +78,66 @@
             source,
             target: RefCell::default(),
             version,
-            begun_ms: Cell::default(),
+            requested_ms: Cell::default(),
         }
     }
 
     async fn search(&self) -> bool {
         let end_ms = self.node.now_ms() + MAX_SEARCH_MS;
-        let mut asked = HolderRequests::default();
+        let mut holder_requests = HolderRequests::default();
         while self.node.now_ms() < end_ms {
-            match target::choose(&self.node, &self.inbound, &asked, self.version) {
-                Target::At { server, .. }
-                    if adapters::needs_status(&self.node, &server, &asked) =>
+            match target::choose(&self.node, &self.inbound, &holder_requests, self.version) {
+                Target::Ready { server, .. }
+                    if adapters::needs_status(&self.node, &server, &holder_requests) =>
                 {
-                    adapters::refresh_status(&self.node, &server, &mut asked).await;
+                    adapters::refresh_status(&self.node, &server, &mut holder_requests).await;
                 }
-                Target::At { server, .. } => {
+                Target::Ready { server, .. } => {
                     *self.target.borrow_mut() = Some(server);
                     return true;
                 }
-                Target::Later(server) => {
+                Target::AfterLoad(server) => {
                     adapters::wait_for_load(
                         &self.node,
                         &self.inbound,
                         &server,
-                        LOOK_PAUSE,
-                        &mut asked,
+                        MAX_CHOICE_INTERVAL,
+                        &mut holder_requests,
                     )
                     .await;
                 }
-                Target::Nowhere => tokio::time::sleep(LOOK_PAUSE).await,
+                Target::Nowhere => tokio::time::sleep(MAX_CHOICE_INTERVAL).await,
             }
         }
         false
     }
 
-    async fn move_run(&self) -> MoveAnswer {
+    async fn request_copy(&self) -> MoveAnswer {
         let Some(target) = self.target.borrow().clone() else {
             return MoveAnswer::NotStopped;
         };
-        self.begun_ms.set(self.node.now_ms());
-        self.inbound.handover.set(Some(Handover::Begun));
+        self.requested_ms.set(self.node.now_ms());
+        self.inbound.handover.set(Some(Handover::Requested));
         let dialect = &self.node.dialect;
         let body = dialect.encode_move(&self.inbound.id, target.record().address);
-        let request = call_to(
+        let request = request_to(
             &self.node,
             &self.source,
             Method::POST,
             dialect.move_path(),
             body,
         );
-        let most_open = most_open(&self.node, &self.inbound);
+        let max_connections = max_connections(&self.node, &self.inbound);
         let pool = Rc::clone(&self.source.pool);
         let node = Rc::clone(&self.node);
         let copies = self.source_copies();
         let (sender, receiver) = oneshot::channel();
-        // The caller may leave before the reply arrives, so the call runs in a task of its own.
-        // `CopiedRun` frees the copy if nobody takes the reply.
+        // The caller may disconnect before the reply arrives, so the call runs in a task of its
+        // own. `CopiedRun` frees the copy if the reply is not taken.
         tokio::task::spawn_local(async move {
-            let reply = call_pooled(&pool, most_open, request, MOVE_WITHIN).await;
+            let reply = call_pooled(&pool, max_connections, request, COPY_TIMEOUT).await;
             let copied = CopiedRun {
-                answer: Some(read_move(&node, reply)),
+                answer: Some(parse_copy_reply(&node, reply)),
                 copies,
             };
             let _ = sender.send(copied);
@@ -173,7 +174,7 @@
         let left_ms = self.inbound.time_up_ms.saturating_sub(now_ms);
         let terms = AttemptTerms {
             server: &server,
-            most_open: most_open(&self.node, &self.inbound),
+            max_connections: max_connections(&self.node, &self.inbound),
             reusable: ReusableIdle::WithinLimit,
             headers: ServerHeaders {
                 deadline_ms: left_ms,
@@ -188,11 +189,11 @@
             },
             permit,
             prefill_tokens: 0,
-            head_within: RESUME_WITHIN.min(Duration::from_millis(left_ms)),
-            silent_after: RESUME_WITHIN,
+            head_timeout: RESUME_TIMEOUT.min(Duration::from_millis(left_ms)),
+            silent_after: RESUME_TIMEOUT,
         };
         match attempt(&self.node, &self.inbound, body, terms).await {
-            AttemptResult::Begun(answer) if answer.response.status() == StatusCode::OK => {
+            AttemptResult::Answering(answer) if answer.response.status() == StatusCode::OK => {
                 *self.running.borrow_mut() = answer.running;
                 let (parts, incoming) = answer.response.into_parts();
                 Resumed::Answering(ContinuedAnswer {
@@ -203,7 +204,7 @@
                     may_reuse: headers::keeps_connection(&parts.headers),
                 })
             }
-            AttemptResult::Begun(_) | AttemptResult::Unknown { .. } => Resumed::Unknown,
+            AttemptResult::Answering(_) | AttemptResult::Unknown { .. } => Resumed::Unknown,
             AttemptResult::Declined { .. }
             | AttemptResult::Displaced
             | AttemptResult::Withdrawn { .. }
@@ -212,7 +213,7 @@
     }
 
     /// Records the outcome on the request, in the metrics and in the log.
-    pub fn note_outcome(&self, outcome: &Outcome<ContinuedAnswer>) {
+    pub fn record_outcome(&self, outcome: &Outcome<ContinuedAnswer>) {
         let handover = match outcome {
             Outcome::Stays => Handover::Stayed,
             Outcome::GoesOn { at, .. } => match at {
@@ -233,7 +234,7 @@
             source: &self.source.record().id,
             target: target.as_ref().map(|record| record.id.as_str()),
             outcome,
-            took_ms: target.as_ref().map(|_| now_ms - self.begun_ms.get()),
+            took_ms: target.as_ref().map(|_| now_ms - self.requested_ms.get()),
             age_ms: now_ms - self.inbound.arrived_ms,
         };
         let level = match handover {
@@ -262,7 +263,7 @@
     }
 
     fn request_handover(&self) -> LocalFuture<'_, MoveAnswer> {
-        Box::pin(self.move_run())
+        Box::pin(self.request_copy())
     }
 
     fn resume<'a>(
@@ -289,7 +290,7 @@
 impl SourceCopies {
     fn free(&self, handle: &str) {
         let path = self.node.dialect.copy_path(handle);
-        let request = call_to(
+        let request = request_to(
             &self.node,
             &self.source,
             Method::DELETE,
@@ -297,15 +298,16 @@
             Bytes::new(),
         );
         let pool = Rc::clone(&self.source.pool);
-        let most_open = most_open(&self.node, &self.inbound);
+        let max_connections = max_connections(&self.node, &self.inbound);
         // If this call fails, the server frees the copy by itself after a while.
         tokio::task::spawn_local(async move {
-            let _ = call_pooled(&pool, most_open, request, FREE_WITHIN).await;
+            let _ = call_pooled(&pool, max_connections, request, FREE_TIMEOUT).await;
         });
     }
 }
 
-/// The answer to a move request. If it is dropped before it is taken, the copy is freed.
+/// The source's answer to the request to stop and copy a run. If it is dropped before it is taken,
+/// the copy is freed.
 struct CopiedRun {
     answer: Option<MoveAnswer>,
     copies: SourceCopies,
@@ -326,7 +328,8 @@
     }
 }
 
-fn read_move(node: &Node, reply: Result<Reply, CallError>) -> MoveAnswer {
+/// Interprets the source's reply to the request to stop and copy a run.
+fn parse_copy_reply(node: &Node, reply: Result<Reply, CallError>) -> MoveAnswer {
     let reply = match reply {
         Ok(reply) => reply,
         Err(CallError::NotConnected) => return MoveAnswer::NotStopped,
@@ -340,8 +343,8 @@
     }
 }
 
-/// Builds a call to a server about a run.
-fn call_to(
+/// Builds a request to a server about a run.
+fn request_to(
     node: &Node,
     server: &Server,
     method: Method,
--- a/crates/tinbay-gateway/src/front/handover/mod.rs
+++ b/crates/tinbay-gateway/src/front/handover/mod.rs
@@ -1,4 +1,4 @@
-//! Hands over the runs of this box's requests from one server to another.
+//! Hands over the runs of this box's requests from prefill engines to decode engines.
 
 mod actions;
 mod successor;
@@ -39,8 +39,8 @@
     body: Option<RequestBody>,
 ) -> Option<Box<dyn RelayHandover>> {
     let is_stream = inbound.route.kind == RouteKind::Streaming;
-    let is_whole_known = head.headers.contains_key(CONTENT_LENGTH);
-    if !is_stream || is_whole_known || head.status != StatusCode::OK {
+    let has_known_length = head.headers.contains_key(CONTENT_LENGTH);
+    if !is_stream || has_known_length || head.status != StatusCode::OK {
         return None;
     }
     if !supports_handover(node, &inbound.service) {
@@ -67,43 +67,46 @@
     }
     let version = held_version(node, inbound, prefill_engine).unwrap_or_default();
     match target::choose(node, inbound, &HolderRequests::default(), version) {
-        Target::Later(decode_engine) => {
-            node.request_load(&decode_engine, adapters::want(node, inbound, false));
+        Target::AfterLoad(decode_engine) => {
+            node.request_load(&decode_engine, adapters::wanted_load(node, inbound, false));
         }
-        Target::At {
+        Target::Ready {
             copy: Some(copy), ..
         } => {
-            node.request_load(&copy, adapters::want(node, inbound, true));
+            node.request_load(&copy, adapters::wanted_load(node, inbound, true));
         }
-        Target::At { .. } | Target::Nowhere => {}
+        Target::Ready { .. } | Target::Nowhere => {}
     }
 }
 
-/// Records a stream that ended where it began. Whether the engines of its service are split into
-/// prefill engines and decode engines depends on how many streams paused for too long.
-pub fn note_stream(
+/// Records a stream that ended on the server where it began. Whether the engines of its service are
+/// split into prefill engines and decode engines depends on how many streams paused for too long.
+pub fn record_stream(
     node: &Node,
     inbound: &InboundRequest,
-    sight: StreamTiming,
+    stream_timing: StreamTiming,
     end: Result<(), BodyError>,
 ) {
     let was_handed_over = inbound.handover.get() == Some(Handover::Moved);
-    let allowed_ms = inbound.route.objective_gap_ms;
-    if end.is_err() || was_handed_over || sight.pieces() < 2 || allowed_ms.is_none() {
+    let max_pause_ms = inbound.route.objective_gap_ms;
+    if end.is_err() || was_handed_over || stream_timing.pieces() < 2 || max_pause_ms.is_none() {
         return;
     }
     if !supports_handover(node, &inbound.service) {
         return;
     }
-    let is_late = sight.has_long_pause(allowed_ms);
+    let has_long_pause = stream_timing.has_long_pause(max_pause_ms);
     let now_ms = node.now_ms();
-    if node.splits.record_stream(&inbound.service, is_late, now_ms) {
+    if node
+        .splits
+        .record_stream(&inbound.service, has_long_pause, now_ms)
+    {
         log_split(&inbound.service);
     }
 }
 
-/// Whether runs of a service may be handed over: its engines support it, and have enough places to
-/// hold each adapter on two of them.
+/// Whether runs of a service may be handed over: its engines support it, and have enough adapter
+/// slots to hold each adapter on two of them.
 fn supports_handover(node: &Node, service: &str) -> bool {
     let Some(engine) = node
         .engine_properties(service)
--- a/crates/tinbay-gateway/src/front/handover/successor.rs
+++ b/crates/tinbay-gateway/src/front/handover/successor.rs
@@ -26,7 +26,7 @@
             let gate = Rc::clone(&gate);
             async move {
                 let outcome = drive(&actions, &gate).await;
-                actions.note_outcome(&outcome);
+                actions.record_outcome(&outcome);
                 outcome
             }
         };
--- a/crates/tinbay-gateway/src/front/handover/target.rs
+++ b/crates/tinbay-gateway/src/front/handover/target.rs
@@ -4,7 +4,7 @@
 
 use tinbay_core::serving::contents::{AdapterKey, HeldState};
 
-use crate::front::choice::{self, Choice, HolderRequests, Survey};
+use crate::front::choice::{self, CandidateSet, Choice, HolderRequests};
 use crate::front::inbound::InboundRequest;
 use crate::node::Node;
 use crate::servers::Server;
@@ -12,14 +12,14 @@
 /// Where a run should be continued.
 pub enum Target {
     /// On a server that can take it now.
-    At {
+    Ready {
         /// The server that can take it.
         server: Rc<Server>,
         /// Another server that should load the adapter too.
         copy: Option<Rc<Server>>,
     },
     /// On a server that first has to load the adapter.
-    Later(Rc<Server>),
+    AfterLoad(Rc<Server>),
     /// On no server for now.
     Nowhere,
 }
@@ -29,7 +29,7 @@
 pub fn choose(
     node: &Node,
     inbound: &InboundRequest,
-    asked: &HolderRequests,
+    holder_requests: &HolderRequests,
     version: u64,
 ) -> Target {
     let now_ms = node.now_ms();
@@ -43,17 +43,19 @@
     if adapter_of(inbound).is_none() {
         return choose_for_model(node, inbound, &split.decode_engines);
     }
-    let decode_engines = Survey::make(node, inbound, &split.decode_engines, asked);
+    let decode_engines =
+        CandidateSet::collect(node, inbound, &split.decode_engines, holder_requests);
     match decode_engines.to_choice(decode_engines.pick()) {
         Choice::Send { server, copy } => {
-            let is_there = is_fit(node, &server) && holds(node, inbound, &server, version);
+            let can_take_now =
+                can_take_run(node, &server) && holds(node, inbound, &server, version);
             match copy {
-                _ if is_there => Target::At { server, copy },
-                Some(copy) => Target::Later(copy),
+                _ if can_take_now => Target::Ready { server, copy },
+                Some(copy) => Target::AfterLoad(copy),
                 None => Target::Nowhere,
             }
         }
-        Choice::Load(server) => Target::Later(server),
+        Choice::Load(server) => Target::AfterLoad(server),
         Choice::Nowhere => Target::Nowhere,
     }
 }
@@ -64,16 +66,16 @@
     decode_engines: &[Rc<Server>],
 ) -> Target {
     let model = inbound.model.as_deref().unwrap_or_default();
-    let holding = choice::holding(model, decode_engines);
-    let server = choice::least_loaded(node, &holding, inbound.route.objective_ms);
-    match server.filter(|server| is_fit(node, server)) {
-        Some(server) => Target::At { server, copy: None },
+    let holders = choice::servers_with_model(model, decode_engines);
+    let server = choice::least_loaded(node, &holders, inbound.route.objective_ms);
+    match server.filter(|server| can_take_run(node, server)) {
+        Some(server) => Target::Ready { server, copy: None },
         None => Target::Nowhere,
     }
 }
 
 /// Whether a server has a free slot for a run and requires no permit.
-fn is_fit(node: &Node, server: &Server) -> bool {
+fn can_take_run(node: &Node, server: &Server) -> bool {
     server.limit_per_s().is_none() && node.running(server) < server.record().slots
 }
 
--- a/crates/tinbay-gateway/src/front/headers.rs
+++ b/crates/tinbay-gateway/src/front/headers.rs
@@ -41,7 +41,11 @@
 }
 
 /// Builds the headers of a request to a server from those of the caller.
-pub fn for_server(caller: &HeaderMap, names: &HeaderNames, set: &ServerHeaders<'_>) -> HeaderMap {
+pub fn for_server(
+    caller: &HeaderMap,
+    names: &HeaderNames,
+    values: &ServerHeaders<'_>,
+) -> HeaderMap {
     let mut headers = caller.clone();
     drop_hop_headers(&mut headers);
     for name in &names.reserved {
@@ -51,16 +55,16 @@
     headers.remove(&names.account);
     headers.remove(&names.priority);
     headers.remove(&names.expect_version);
-    headers.insert(names.deadline_ms.clone(), set.deadline_ms.into());
-    insert_text(&mut headers, &names.expect_server, set.server_id);
-    if let Some(account) = set.account {
+    headers.insert(names.deadline_ms.clone(), values.deadline_ms.into());
+    insert_text(&mut headers, &names.expect_server, values.server_id);
+    if let Some(account) = values.account {
         insert_text(&mut headers, &names.account, account);
     }
-    headers.insert(names.priority.clone(), u64::from(set.priority).into());
-    if let Some(version) = set.version {
+    headers.insert(names.priority.clone(), u64::from(values.priority).into());
+    if let Some(version) = values.version {
         headers.insert(names.expect_version.clone(), version.into());
     }
-    if let Some(resumption) = &set.resumption {
+    if let Some(resumption) = &values.resumption {
         insert_text(&mut headers, &names.copy_source, resumption.copy_source);
         headers.insert(names.last_event_id.clone(), resumption.last_event_id.into());
     }
--- a/crates/tinbay-gateway/src/front/hedge.rs
+++ b/crates/tinbay-gateway/src/front/hedge.rs
@@ -1,5 +1,5 @@
 //! Hedged requests: sends a repeatable request to a second server when the first is slow, and uses
-//! the answer that begins first. The other send is cancelled by closing its connection.
+//! the answer whose head arrives first. The other send is cancelled by closing its connection.
 
 use std::pin::{Pin, pin};
 use std::rc::Rc;
@@ -39,7 +39,7 @@
     pub sent_ms: Millis,
     /// The result of the decisive send.
     pub result: AttemptResult,
-    /// The other send, if it failed before.
+    /// The other send, if it failed earlier.
     pub failed: Option<FailedSend>,
 }
 
@@ -100,14 +100,14 @@
 }
 
 /// A finished send.
-struct Ended {
+struct FinishedSend {
     server: Rc<Server>,
     sent_ms: Millis,
     result: AttemptResult,
 }
 
-impl Ended {
-    fn alone(self) -> Sent {
+impl FinishedSend {
+    fn into_sent(self) -> Sent {
         Sent {
             server: self.server,
             sent_ms: self.sent_ms,
@@ -116,24 +116,24 @@
         }
     }
 
-    fn after(self, failed: FailedSend) -> Sent {
+    fn into_sent_after(self, failed: FailedSend) -> Sent {
         Sent {
             failed: Some(failed),
-            ..self.alone()
+            ..self.into_sent()
         }
     }
 
     /// Whether the result can be passed to the caller without waiting for the other send.
     fn is_answer(&self) -> bool {
         match &self.result {
-            AttemptResult::Begun(answer) => !answer.response.status().is_server_error(),
+            AttemptResult::Answering(answer) => !answer.response.status().is_server_error(),
             _ => false,
         }
     }
 
     fn failure(&self) -> FailedSend {
         let end = match &self.result {
-            AttemptResult::Begun(_) | AttemptResult::Unknown { .. } => AttemptEnd::Unknown,
+            AttemptResult::Answering(_) | AttemptResult::Unknown { .. } => AttemptEnd::Unknown,
             AttemptResult::Declined { .. }
             | AttemptResult::Displaced
             | AttemptResult::Withdrawn { .. }
@@ -155,33 +155,33 @@
     first: Outgoing,
     send_to: impl AsyncFn(Outgoing, u32) -> AttemptResult,
 ) -> Sent {
-    let spare = first.body.repeat();
-    let after_ms = after_ms(node, inbound, &terms, &first.server);
+    let second_body = first.body.repeat();
+    let after_ms = hedge_delay_ms(node, inbound, &terms, &first.server);
     let server = Rc::clone(&first.server);
-    let mut sending = pin!(end_of(node, first, 0, &send_to));
-    let Some((after_ms, body)) = after_ms.zip(spare) else {
-        return sending.await.alone();
+    let mut sending = pin!(run_send(node, first, 0, &send_to));
+    let Some((after_ms, body)) = after_ms.zip(second_body) else {
+        return sending.await.into_sent();
     };
     let wait = Duration::from_millis(after_ms);
     if let Ok(ended) = tokio::time::timeout(wait, &mut sending).await {
-        return ended.alone();
+        return ended.into_sent();
     }
     let second = match second_send(node, inbound, &terms, &server, body).await {
         Ok(second) => second,
         Err(outcome) => {
-            count(node, outcome);
-            return sending.await.alone();
+            count_outcome(node, outcome);
+            return sending.await.into_sent();
         }
     };
     let second_server = Rc::clone(&second.server);
-    let second_sending = pin!(end_of(node, second, 1, &send_to));
+    let second_sending = pin!(run_send(node, second, 1, &send_to));
     let (sent, outcome) = race(sending, second_sending).await;
     if outcome == HedgeOutcome::SecondWon && sent.failed.is_none() {
         // The first send is cancelled, so its elapsed time is recorded instead: otherwise slow
         // answers would be missing from the recorded times.
         server.note_answer_time(after_ms as f64, node.now_ms());
     }
-    count(node, outcome);
+    count_outcome(node, outcome);
     let event = HedgeEvent {
         request: &inbound.id,
         first: &server.record().id,
@@ -193,16 +193,16 @@
     sent
 }
 
-async fn end_of(
+async fn run_send(
     node: &Node,
     outgoing: Outgoing,
-    sends_under_way: u32,
+    sends_in_flight: u32,
     send_to: &impl AsyncFn(Outgoing, u32) -> AttemptResult,
-) -> Ended {
+) -> FinishedSend {
     let server = Rc::clone(&outgoing.server);
     let sent_ms = node.now_ms();
-    let result = send_to(outgoing, sends_under_way).await;
-    Ended {
+    let result = send_to(outgoing, sends_in_flight).await;
+    FinishedSend {
         server,
         sent_ms,
         result,
@@ -211,8 +211,8 @@
 
 /// Returns the first of two sends with an answer, or the last to fail.
 async fn race(
-    mut first: Pin<&mut impl Future<Output = Ended>>,
-    mut second: Pin<&mut impl Future<Output = Ended>>,
+    mut first: Pin<&mut impl Future<Output = FinishedSend>>,
+    mut second: Pin<&mut impl Future<Output = FinishedSend>>,
 ) -> (Sent, HedgeOutcome) {
     let (ended, is_first) = tokio::select! {
         biased;
@@ -220,7 +220,7 @@
         ended = &mut second => (ended, false),
     };
     if ended.is_answer() {
-        return (ended.alone(), HedgeOutcome::won_by(is_first));
+        return (ended.into_sent(), HedgeOutcome::won_by(is_first));
     }
     let failed = ended.failure();
     let other = if is_first { second.await } else { first.await };
@@ -229,13 +229,13 @@
     } else {
         HedgeOutcome::Failed
     };
-    (other.after(failed), outcome)
+    (other.into_sent_after(failed), outcome)
 }
 
 /// Time after which the request is sent to a second server; `None` if it is not hedged. A server
 /// that announces a rate limit is overloaded, and the others may be too, so its requests are not
 /// hedged.
-fn after_ms(
+fn hedge_delay_ms(
     node: &Node,
     inbound: &InboundRequest,
     terms: &HedgeTerms<'_>,
@@ -270,7 +270,7 @@
     };
     let permit = permits::take(node, &server).await;
     let permit = permit.ok_or(HedgeOutcome::NoServer)?;
-    if !takes_budget(node, inbound) {
+    if !take_hedge_budget(node, inbound) {
         return Err(HedgeOutcome::NoBudget);
     }
     Ok(Outgoing {
@@ -280,14 +280,14 @@
     })
 }
 
-fn takes_budget(node: &Node, inbound: &InboundRequest) -> bool {
+fn take_hedge_budget(node: &Node, inbound: &InboundRequest) -> bool {
     let terms = node.settings.borrow().bounds.second_sends;
     let mut budgets = node.budgets.borrow_mut();
     let budget = budgets.entry(inbound.service.clone()).or_default();
     budget.take_hedge(&terms, node.box_count.get(), node.now_ms())
 }
 
-fn count(node: &Node, outcome: HedgeOutcome) {
-    let measure = &node.metrics.hedged_sends;
-    measure.with_label_values(&[outcome.name()]).inc();
+fn count_outcome(node: &Node, outcome: HedgeOutcome) {
+    let hedged_sends = &node.metrics.hedged_sends;
+    hedged_sends.with_label_values(&[outcome.name()]).inc();
 }
--- a/crates/tinbay-gateway/src/front/inbound.rs
+++ b/crates/tinbay-gateway/src/front/inbound.rs
@@ -43,7 +43,7 @@
 
 /// The client account of a request, and how old the data was that it was determined from.
 #[derive(Debug, Clone)]
-pub struct ShownAccount {
+pub struct CheckedAccount {
     /// The account; absent if the request needs none or was refused.
     pub account: Option<Rc<Account>>,
     /// Time since this box's list of accounts was last certain to be current.
@@ -63,8 +63,8 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Handover {
     /// The source was asked to stop the run and copy it.
-    Begun,
-    /// The run stayed on the source.
+    Requested,
+    /// The run stays on the source.
     Stayed,
     /// Another server continues the run.
     Moved,
@@ -78,7 +78,7 @@
     /// Name for logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
-            Handover::Begun => "begun",
+            Handover::Requested => "begun",
             Handover::Stayed => "stayed",
             Handover::Moved => "moved",
             Handover::TakenBack => "taken_back",
@@ -99,11 +99,11 @@
     /// Digest of the API key.
     pub key: PresentedKey,
     /// The client account; set once the key is checked.
-    pub account: OnceCell<ShownAccount>,
+    pub account: OnceCell<CheckedAccount>,
     /// Units consumed of the account's limit; absent if no limit applies.
     pub admitted: Cell<Option<AdmittedUnits>>,
     /// Times of the answer's chunks; empty until the answer has ended.
-    pub sight: Cell<StreamTiming>,
+    pub stream_timing: Cell<StreamTiming>,
     /// State of the run's handover; absent if none was started.
     pub handover: Cell<Option<Handover>>,
     /// Number of servers passed over because they were at their rate limit.
@@ -131,11 +131,12 @@
     /// The earlier of the caller's deadline and the route's time-out.
     pub time_up_ms: Millis,
     /// When the caller is expected to give up if no chunk of the answer has arrived.
-    pub first_piece_by_ms: Millis,
+    pub first_chunk_by_ms: Millis,
 }
 
 impl InboundRequest {
-    /// Parses a request's head and finds its route. `draw`, from 0 to 1, selects the service.
+    /// Parses a request's head and finds its route. `draw`, a random number from 0 to 1, selects
+    /// the service by the weights of the route.
     ///
     /// # Errors
     /// When there is no configuration, route or request id.
@@ -168,7 +169,7 @@
             .map_or(DEFAULT_DEADLINE_MS, |value| value as Millis);
         let model = text(&parts.headers, &names.model).map(str::to_string);
         let time_up_ms = arrived_ms + deadline_ms.min(route.timeout_ms);
-        let first_piece_by_ms = match route.stream_patience_ms() {
+        let first_chunk_by_ms = match route.stream_patience_ms() {
             Some(patience_ms) => time_up_ms.min(arrived_ms + patience_ms),
             None => time_up_ms,
         };
@@ -181,7 +182,7 @@
             key,
             account: OnceCell::new(),
             admitted: Cell::default(),
-            sight: Cell::default(),
+            stream_timing: Cell::default(),
             handover: Cell::default(),
             at_limits: Cell::default(),
             admission: AdmissionOutcomes::default(),
@@ -192,7 +193,7 @@
             arrived_ms,
             last_send: Cell::default(),
             time_up_ms,
-            first_piece_by_ms,
+            first_chunk_by_ms,
             parts,
         })
     }
@@ -216,8 +217,8 @@
         }
     }
 
-    /// Computes the digest of the request from its body, or from the first part of a long one.
-    pub fn note_body(&self, body: &[u8]) {
+    /// Sets the digest of the request from its body, or from the first part of a long one.
+    pub fn set_digest(&self, body: &[u8]) {
         let account = self.client_account().map(|account| &*account.name);
         let path = self.parts.uri.path_and_query();
         let path = path.map_or("", |path| path.as_str());
@@ -232,7 +233,7 @@
     }
 
     /// Counts a server that was passed over because it was at its rate limit.
-    pub fn note_at_limit(&self) {
+    pub fn count_server_at_limit(&self) {
         self.at_limits.set(self.at_limits.get() + 1);
     }
 
@@ -269,12 +270,12 @@
 /// Removes the API key from the headers, so that it is neither kept nor forwarded, and returns its
 /// digest. A key that is given twice counts as none.
 fn take_key(headers: &mut HeaderMap, name: &HeaderName) -> PresentedKey {
-    let given = headers.get_all(name).iter().count();
+    let key_count = headers.get_all(name).iter().count();
     let Some(key) = headers.remove(name) else {
         return PresentedKey::None;
     };
     match KeyDigest::of(key.as_bytes()) {
-        Some(digest) if given == 1 => PresentedKey::Digest(digest),
+        Some(digest) if key_count == 1 => PresentedKey::Digest(digest),
         _ => PresentedKey::None,
     }
 }
--- a/crates/tinbay-gateway/src/front/listener.rs
+++ b/crates/tinbay-gateway/src/front/listener.rs
@@ -69,7 +69,7 @@
     loop {
         // `closing` is polled first, and an accepted connection is counted at once, because the box
         // exits when it counts no open connection. Otherwise a connection accepted after that count
-        // loses its request although a server runs it.
+        // would be closed although a server runs its request.
         let accepted = tokio::select! {
             biased;
             () = node.closing.wait() => return,
@@ -127,10 +127,10 @@
         Ok(inbound) => {
             let inbound = Rc::new(inbound);
             let response = process(&node, Rc::clone(&inbound), body).await;
-            watch_reading(&node, inbound, &caller, response)
+            monitor_reading(&node, inbound, &caller, response)
         }
         Err(refusal) => {
-            log_refusal(refusal);
+            log_unrouted(refusal);
             refusal.to_response()
         }
     };
@@ -142,7 +142,7 @@
 }
 
 /// Wraps a relayed answer so that it is cut off if its caller reads too slowly.
-fn watch_reading(
+fn monitor_reading(
     node: &Node,
     inbound: Rc<InboundRequest>,
     caller: &CallerConnection,
@@ -172,9 +172,9 @@
     inbound: Rc<InboundRequest>,
     body: Incoming,
 ) -> Response<AnswerBody> {
-    let left = Duration::from_millis(inbound.time_up_ms - inbound.arrived_ms);
-    let passing = filters::pass(node, &inbound, body);
-    let result = match tokio::time::timeout(left, passing).await {
+    let remaining = Duration::from_millis(inbound.time_up_ms - inbound.arrived_ms);
+    let handling = filters::run(node, &inbound, body);
+    let result = match tokio::time::timeout(remaining, handling).await {
         Ok(result) => result,
         Err(_) if inbound.last_send.get().is_none() => Err(Refusal::NotRun {
             reason: NotRunReason::TimeUp,
@@ -201,7 +201,7 @@
 }
 
 /// Logs the refusal of a request that has no route.
-fn log_refusal(refusal: Refusal) {
+fn log_unrouted(refusal: Refusal) {
     #[derive(serde::Serialize)]
     struct RefusedEvent {
         outcome: &'static str,
--- a/crates/tinbay-gateway/src/front/mod.rs
+++ b/crates/tinbay-gateway/src/front/mod.rs
@@ -1,4 +1,4 @@
-//! Accepts callers' requests, proxies them to servers and relays the answers.
+//! Accepts callers' requests, sends them to backend servers and relays the answers.
 
 pub mod adapters;
 pub mod admission;
--- a/crates/tinbay-gateway/src/front/prefill_choice.rs
+++ b/crates/tinbay-gateway/src/front/prefill_choice.rs
@@ -11,7 +11,7 @@
 use tinbay_core::serving::placement::Pick;
 
 use super::adapters::needs_status;
-use super::choice::{Choice, HolderRequests, Survey};
+use super::choice::{CandidateSet, Choice, HolderRequests};
 use super::inbound::InboundRequest;
 use crate::handover::split::Split;
 use crate::node::Node;
@@ -22,45 +22,49 @@
     node: &Node,
     inbound: &InboundRequest,
     split: &Split,
-    asked: &HolderRequests,
+    holder_requests: &HolderRequests,
 ) -> Choice {
-    if let Some(choice) = choose_decode_engine(node, inbound, split, asked) {
+    if let Some(choice) = choose_decode_engine(node, inbound, split, holder_requests) {
         return choice;
     }
-    let prefill_engines = Survey::make(node, inbound, &split.prefill_engines, asked);
+    let prefill_engines =
+        CandidateSet::collect(node, inbound, &split.prefill_engines, holder_requests);
     match prefill_engines.pick() {
         Pick::Nowhere => {
-            let decode_engines = Survey::make(node, inbound, &split.decode_engines, asked);
+            let decode_engines =
+                CandidateSet::collect(node, inbound, &split.decode_engines, holder_requests);
             decode_engines.to_choice(decode_engines.pick())
         }
         pick => prefill_engines.to_choice(pick),
     }
 }
 
-/// The decode engine for a request, if its prefill stalls no stream there.
+/// The choice of a decode engine for a request; `None` if its prefill would stall streams there.
 fn choose_decode_engine(
     node: &Node,
     inbound: &InboundRequest,
     split: &Split,
-    asked: &HolderRequests,
+    holder_requests: &HolderRequests,
 ) -> Option<Choice> {
     if !prefills_beside_streams(node, inbound, 0.0) {
         return None;
     }
-    let decode_engines = Survey::make(node, inbound, &split.decode_engines, asked);
+    let decode_engines =
+        CandidateSet::collect(node, inbound, &split.decode_engines, holder_requests);
     let choice = decode_engines.to_choice(decode_engines.pick());
-    let is_fine = match &choice {
+    let is_acceptable = match &choice {
         Choice::Send { server, .. } => {
-            needs_status(node, server, asked)
+            needs_status(node, server, holder_requests)
                 || prefills_beside_streams(node, inbound, node.backlog_ms(server))
         }
         Choice::Load(_) => true,
         Choice::Nowhere => false,
     };
-    is_fine.then_some(choice)
+    is_acceptable.then_some(choice)
 }
 
-/// Chooses between the least loaded decode engine and prefill engine for a request that names only a base model.
+/// Chooses between the least loaded decode engine and prefill engine for a request that names only
+/// a base model.
 pub fn choose_for_model(
     node: &Node,
     inbound: &InboundRequest,
@@ -69,8 +73,9 @@
 ) -> Option<Rc<Server>> {
     match (decode_engine, prefill_engine) {
         (Some(decode_engine), Some(prefill_engine)) => {
-            let is_fine = prefills_beside_streams(node, inbound, node.backlog_ms(&decode_engine));
-            Some(if is_fine {
+            let stalls_no_stream =
+                prefills_beside_streams(node, inbound, node.backlog_ms(&decode_engine));
+            Some(if stalls_no_stream {
                 decode_engine
             } else {
                 prefill_engine
@@ -83,7 +88,9 @@
 /// Whether an engine with a prefill queue of `backlog_ms` can prefill the prompt as well without
 /// pausing its streams for too long.
 fn prefills_beside_streams(node: &Node, inbound: &InboundRequest, backlog_ms: f64) -> bool {
-    let own_ms = node.prefill_ms(&inbound.service, inbound.prompt.tokens);
-    let pause_ms = inbound.route.objective_gap_ms;
-    pause_ms.is_none_or(|pause_ms| can_prefill_beside_streams(backlog_ms + own_ms, pause_ms))
+    let own_prefill_ms = node.prefill_ms(&inbound.service, inbound.prompt.tokens);
+    let max_pause_ms = inbound.route.objective_gap_ms;
+    max_pause_ms.is_none_or(|max_pause_ms| {
+        can_prefill_beside_streams(backlog_ms + own_prefill_ms, max_pause_ms)
+    })
 }
--- a/crates/tinbay-gateway/src/front/request_log.rs
+++ b/crates/tinbay-gateway/src/front/request_log.rs
@@ -15,7 +15,7 @@
 use crate::servers::Server;
 
 #[derive(Serialize)]
-struct TryEvent<'a> {
+struct AttemptEvent<'a> {
     request: &'a str,
     server: &'a str,
     outcome: &'a str,
@@ -30,13 +30,13 @@
 }
 
 /// Logs an attempt.
-pub fn log_try(node: &Node, inbound: &InboundRequest, server: &Server, result: &AttemptResult) {
+pub fn log_attempt(node: &Node, inbound: &InboundRequest, server: &Server, result: &AttemptResult) {
     let cause = match result {
         AttemptResult::Unknown { cause } => Some(cause.name()),
         _ => None,
     };
     let (outcome, status, level) = match result {
-        AttemptResult::Begun(answer) => {
+        AttemptResult::Answering(answer) => {
             let status = answer.response.status();
             let level = if status == StatusCode::OK {
                 Level::Debug
@@ -52,7 +52,7 @@
         AttemptResult::Unknown { .. } => ("unknown", None, Level::Info),
     };
     let sent = inbound.last_send.get();
-    let event = TryEvent {
+    let event = AttemptEvent {
         request: &inbound.id,
         server: &server.record().id,
         outcome,
@@ -70,7 +70,7 @@
 /// How an answer ended.
 pub enum Ending {
     /// The server's answer was relayed completely.
-    Whole,
+    Complete,
     /// The server's answer was cut off.
     Cut(BodyError),
     /// The box itself answered.
@@ -97,10 +97,10 @@
     /// Number of servers passed over because they were at their rate limit.
     #[serde(skip_serializing_if = "Option::is_none")]
     at_limits: Option<u32>,
-    /// What admitted or refused the request on an overloaded server.
+    /// Outcome of asking for admission to an overloaded server.
     #[serde(skip_serializing_if = "Option::is_none")]
     room: Option<&'static str>,
-    /// Time spent waiting for that decision.
+    /// Time spent waiting for that outcome.
     #[serde(skip_serializing_if = "Option::is_none")]
     room_wait_ms: Option<Millis>,
     model: Option<&'a str>,
@@ -134,15 +134,15 @@
     ending: &Ending,
 ) {
     let (outcome, cause) = match ending {
-        Ending::Whole if status < 400 => ("answered", None),
-        Ending::Whole => ("failed_by_server", None),
+        Ending::Complete if status < 400 => ("answered", None),
+        Ending::Complete => ("failed_by_server", None),
         Ending::Cut(error) => ("cut", Some(error.to_string())),
         Ending::Refused(refusal) => (refusal.name(), Some(refusal.to_string())),
     };
     let sent = inbound.last_send.get();
     let now_ms = node.now_ms();
     let timing = AnswerTiming::new(inbound, answer_end(status, ending), now_ms);
-    let is_served = matches!(ending, Ending::Whole);
+    let is_served = matches!(ending, Ending::Complete);
     let digest = inbound.digest.get().filter(|_| !is_served);
     let event = EndEvent {
         request: &inbound.id,
@@ -156,7 +156,7 @@
         room: inbound.admission.outcome().map(|outcome| outcome.name()),
         room_wait_ms: inbound.admission.wait_ms(),
         at_limits: Some(inbound.at_limits.get()).filter(|count| *count > 0),
-        proof_age_ms: inbound.account.get().map(|shown| shown.proof_age_ms),
+        proof_age_ms: inbound.account.get().map(|checked| checked.proof_age_ms),
         model: inbound.model.as_deref(),
         server,
         status,
@@ -201,8 +201,8 @@
 
 fn answer_end(status: u16, ending: &Ending) -> AnswerEnd {
     match ending {
-        Ending::Whole if status < 400 => AnswerEnd::Served,
+        Ending::Complete if status < 400 => AnswerEnd::Served,
         Ending::Cut(_) => AnswerEnd::Cut,
-        Ending::Whole | Ending::Refused(_) => AnswerEnd::Other,
+        Ending::Complete | Ending::Refused(_) => AnswerEnd::Other,
     }
 }
--- a/crates/tinbay-gateway/src/handover/split.rs
+++ b/crates/tinbay-gateway/src/handover/split.rs
@@ -46,8 +46,8 @@
 }
 
 impl Splits {
-    /// Records a stream that was not handed over; returns whether it caused the engines to be
-    /// split.
+    /// Records a stream that ended on the server where it began; returns whether it caused the
+    /// engines to be split.
     pub fn record_stream(&self, service: &str, has_long_pause: bool, now_ms: Millis) -> bool {
         let mut needs = self.needs.borrow_mut();
         let need = needs.entry(service.to_string()).or_default();
--- a/crates/tinbay-gateway/src/http/pool.rs
+++ b/crates/tinbay-gateway/src/http/pool.rs
@@ -113,14 +113,14 @@
     }
 
     /// Returns an idle connection that `reusable` permits, or opens one while fewer than
-    /// `most_open` are open. At the limit, closes the connection that has been idle longest, if
-    /// there is one.
+    /// `max_connections` are open. At the limit, closes the connection that has been idle longest,
+    /// if there is one.
     ///
     /// # Errors
     /// When the limit is reached or the server accepts no connection.
     pub async fn get(
         &self,
-        most_open: usize,
+        max_connections: usize,
         reusable: ReusableIdle,
     ) -> Result<Connection, ConnectError> {
         if self.may_all_be_stale() {
@@ -131,10 +131,10 @@
         if let Some(connection) = self.take_idle(reusable) {
             return Ok(connection);
         }
-        if self.open.get() >= most_open {
+        if self.open.get() >= max_connections {
             self.close_oldest();
         }
-        if self.open.get() >= most_open {
+        if self.open.get() >= max_connections {
             return Err(ConnectError::AllInUse);
         }
         self.connect().await
--- a/crates/tinbay-gateway/src/http/pooled.rs
+++ b/crates/tinbay-gateway/src/http/pooled.rs
@@ -17,22 +17,22 @@
 /// When no complete response arrived within the time limit.
 pub async fn call_pooled(
     pool: &Rc<Pool>,
-    most_open: usize,
+    max_connections: usize,
     request: Request<RequestBody>,
     timeout: Duration,
 ) -> Result<Reply, CallError> {
-    let exchange = exchange(pool, most_open, request);
+    let exchange = exchange(pool, max_connections, request);
     let result = tokio::time::timeout(timeout, exchange).await;
     result.unwrap_or(Err(CallError::NoAnswer))
 }
 
 async fn exchange(
     pool: &Rc<Pool>,
-    most_open: usize,
+    max_connections: usize,
     mut request: Request<RequestBody>,
 ) -> Result<Reply, CallError> {
     loop {
-        let connected = pool.get(most_open, ReusableIdle::WithinLimit).await;
+        let connected = pool.get(max_connections, ReusableIdle::WithinLimit).await;
         let mut connection = connected.map_err(|_| CallError::NotConnected)?;
         let response = match connection.sender.try_send_request(request).await {
             Ok(response) => response,
