--- a/crates/tinbay-gateway/src/front/handover/successor.rs
+++ b/crates/tinbay-gateway/src/front/handover/successor.rs
@@ -46,8 +46,8 @@
         self.handover.as_mut().poll(context)
     }
 
-    fn note_broken_off(&self) -> bool {
-        self.gate.note_broken_off()
+    fn record_cut_off(&self) -> bool {
+        self.gate.record_cut_off()
     }
 
     fn open(&self) -> Bytes {
--- a/crates/tinbay-gateway/src/handover/event_gate.rs
+++ b/crates/tinbay-gateway/src/handover/event_gate.rs
@@ -76,7 +76,7 @@
     }
 
     /// Records that the server's answer was cut off; returns whether a handover explains that.
-    pub fn note_broken_off(&self) -> bool {
+    pub fn record_cut_off(&self) -> bool {
         if !self.is_handing_over.get() {
             return false;
         }
--- a/crates/tinbay-gateway/src/http/relay.rs
+++ b/crates/tinbay-gateway/src/http/relay.rs
@@ -91,7 +91,7 @@
     fn poll_outcome(&mut self, context: &mut Context<'_>) -> Poll<Outcome<ContinuedAnswer>>;
 
     /// Records that the server's response ended early; returns whether the handover caused that.
-    fn note_broken_off(&self) -> bool;
+    fn record_cut_off(&self) -> bool;
 
     /// Stops holding bytes back and returns those held so far.
     fn open(&self) -> Bytes;
@@ -229,7 +229,7 @@
     /// Records that the server's response ended early; returns whether the handover caused that.
     fn is_cut_by_handover(&self) -> bool {
         let handover = self.handover.as_ref();
-        handover.is_some_and(|handover| handover.note_broken_off())
+        handover.is_some_and(|handover| handover.record_cut_off())
     }
 
     /// Returns the part of a frame that goes to the caller; `None` if all of it is held back.
--- a/crates/tinbay-gateway/tests/handover_test.rs
+++ b/crates/tinbay-gateway/tests/handover_test.rs
@@ -84,7 +84,7 @@
         while !servers.asked_to_move.get() {
             tokio::task::yield_now().await;
         }
-        gate.note_broken_off();
+        gate.record_cut_off();
     };
     let driving = drive(servers, gate);
     let (outcome, ()) = tokio::join!(driving, breaking_off);
@@ -158,7 +158,7 @@
     let servers = FakeServers::default();
     assert_eq!(drive(&servers, &gate).await, Outcome::Stays);
     assert!(!servers.asked_to_move.get());
-    assert!(!gate.note_broken_off());
+    assert!(!gate.record_cut_off());
 }
 
 #[tokio::test(flavor = "current_thread")]
@@ -171,7 +171,7 @@
     };
     assert_eq!(drive(&servers, &gate).await, Outcome::Stays);
     assert!(servers.asked.borrow().is_empty());
-    assert!(!gate.note_broken_off());
+    assert!(!gate.record_cut_off());
 }
 
 /// The caller leaves after the run was copied and before it is resumed: the copy is freed.
