--- a/crates/tinbay-gateway/src/front/handover/actions.rs
+++ b/crates/tinbay-gateway/src/front/handover/actions.rs
@@ -215,8 +215,8 @@
     /// Records the outcome on the request, in the metrics and in the log.
     pub fn record_outcome(&self, outcome: &Outcome<ContinuedAnswer>) {
         let handover = match outcome {
-            Outcome::Stays => Handover::Stayed,
-            Outcome::GoesOn { at, .. } => match at {
+            Outcome::Stayed => Handover::Stayed,
+            Outcome::Continued { at, .. } => match at {
                 Place::Target => Handover::Moved,
                 Place::Source => Handover::TakenBack,
             },
--- a/crates/tinbay-gateway/src/handover/drive.rs
+++ b/crates/tinbay-gateway/src/handover/drive.rs
@@ -54,9 +54,9 @@
 #[derive(Debug, PartialEq)]
 pub enum Outcome<A> {
     /// The run continues on the source as before.
-    Stays,
+    Stayed,
     /// The run was stopped and resumed.
-    GoesOn {
+    Continued {
         /// Where it was resumed.
         at: Place,
         /// The answer with the remaining events.
@@ -85,7 +85,7 @@
 pub async fn drive<A>(actions: &dyn HandoverActions<Answer = A>, gate: &EventGate) -> Outcome<A> {
     gate.wait_for_event().await;
     if !actions.find_target().await {
-        return Outcome::Stays;
+        return Outcome::Stayed;
     }
     gate.begin_handover();
     let answer = actions.request_handover().await;
@@ -103,7 +103,7 @@
             gate.end_handover();
             return match step {
                 Step::Lost => Outcome::Lost,
-                _ => Outcome::Stays,
+                _ => Outcome::Stayed,
             };
         };
         let last_id = gate.last_id().unwrap_or_default();
@@ -117,7 +117,7 @@
         if let Resumed::Answering(answer) = resumed {
             copy.handle = None;
             gate.drop_partial();
-            return Outcome::GoesOn { at, answer };
+            return Outcome::Continued { at, answer };
         }
     }
 }
--- a/crates/tinbay-gateway/src/http/relay.rs
+++ b/crates/tinbay-gateway/src/http/relay.rs
@@ -205,10 +205,10 @@
             return None;
         };
         match outcome {
-            Outcome::Stays if self.has_stopped => Some(Err(self.cut(BodyError::ServerBrokeOff))),
-            Outcome::Stays => self.release().map(Ok),
+            Outcome::Stayed if self.has_stopped => Some(Err(self.cut(BodyError::ServerBrokeOff))),
+            Outcome::Stayed => self.release().map(Ok),
             Outcome::Lost => Some(Err(self.cut(BodyError::NotHandedOver))),
-            Outcome::GoesOn { answer, .. } => {
+            Outcome::Continued { answer, .. } => {
                 self.continue_with(answer);
                 None
             }
--- a/crates/tinbay-gateway/tests/handover_test.rs
+++ b/crates/tinbay-gateway/tests/handover_test.rs
@@ -102,7 +102,7 @@
     };
     let outcome = run(&servers, &gate).await;
     let at = Place::Target;
-    assert_eq!(outcome, Outcome::GoesOn { at, answer: at });
+    assert_eq!(outcome, Outcome::Continued { at, answer: at });
     assert_eq!(*servers.asked.borrow(), [(Place::Target, 1)]);
     assert!(servers.freed.borrow().is_empty());
     let next = gate.pass(Bytes::from_static(b"id: 2\ndata: b\n\n"));
@@ -120,7 +120,7 @@
     };
     let outcome = run(&servers, &gate).await;
     let at = Place::Source;
-    assert_eq!(outcome, Outcome::GoesOn { at, answer: at });
+    assert_eq!(outcome, Outcome::Continued { at, answer: at });
     let asked = [(Place::Target, 1), (Place::Source, 1)];
     assert_eq!(*servers.asked.borrow(), asked);
 }
@@ -156,7 +156,7 @@
 async fn drive_without_a_target_asks_nothing() {
     let gate = gate_amid_event();
     let servers = FakeServers::default();
-    assert_eq!(drive(&servers, &gate).await, Outcome::Stays);
+    assert_eq!(drive(&servers, &gate).await, Outcome::Stayed);
     assert!(!servers.asked_to_move.get());
     assert!(!gate.record_cut_off());
 }
@@ -169,7 +169,7 @@
         move_answer: RefCell::new(Some(MoveAnswer::NotStopped)),
         ..FakeServers::default()
     };
-    assert_eq!(drive(&servers, &gate).await, Outcome::Stays);
+    assert_eq!(drive(&servers, &gate).await, Outcome::Stayed);
     assert!(servers.asked.borrow().is_empty());
     assert!(!gate.record_cut_off());
 }
