--- a/crates/tinbay-gateway/src/front/adapters.rs
+++ b/crates/tinbay-gateway/src/front/adapters.rs
@@ -125,7 +125,7 @@
         .get(&server.key)
         .map(|load| load.first_ms);
     if requested_ms.is_some_and(|requested_ms| node.has_status_since(server, requested_ms)) {
-        holder_requests.note_wait(server.key, wait_ms);
+        holder_requests.record_expected_wait(server.key, wait_ms);
     }
     let expected_ms = holder_requests.expected_ms(server.key).unwrap_or(now_ms);
     let ready_ms = expected_ms.max(now_ms);
@@ -151,7 +151,7 @@
     let adapter_ready = adapter.notified();
     let status_received = server.status_received.notified();
     let now_ms = node.now_ms();
-    if holder_requests.takes_load_request(server.key, now_ms) {
+    if holder_requests.try_begin_load_request(server.key, now_ms) {
         node.request_load(server, wanted_load(node, inbound, false));
     }
     tokio::select! {
--- a/crates/tinbay-gateway/src/front/choice.rs
+++ b/crates/tinbay-gateway/src/front/choice.rs
@@ -95,7 +95,7 @@
 impl HolderRequests {
     /// Records how long a load takes on a server, if one was requested. The first estimate counts:
     /// later ones are for loads requested then.
-    pub fn note_wait(&mut self, server: ServerKey, wait_ms: f64) {
+    pub fn record_expected_wait(&mut self, server: ServerKey, wait_ms: f64) {
         if let Some(times) = self.loads.get_mut(&server) {
             let expected_ms = times.first_ms + wait_ms as Millis;
             times.expected_ms.get_or_insert(expected_ms);
@@ -109,7 +109,7 @@
 
     /// Whether a requested load is still expected. Once it is long overdue, the server may not be
     /// taking orders, and another one may load the adapter instead.
-    pub fn is_coming(&self, server: ServerKey, now_ms: Millis) -> bool {
+    pub fn is_load_expected(&self, server: ServerKey, now_ms: Millis) -> bool {
         let Some(times) = self.loads.get(&server) else {
             return false;
         };
@@ -118,7 +118,7 @@
     }
 
     /// Whether to request a load now, for the first time or again; if so, records the request.
-    pub fn takes_load_request(&mut self, server: ServerKey, now_ms: Millis) -> bool {
+    pub fn try_begin_load_request(&mut self, server: ServerKey, now_ms: Millis) -> bool {
         let Some(times) = self.loads.get_mut(&server) else {
             let times = LoadRequestTimes {
                 first_ms: now_ms,
@@ -319,7 +319,8 @@
     /// While a load that the request asked for is expected, lets no other server load the adapter
     /// for the same request.
     fn restrict_loads_to_requested(&mut self, holder_requests: &HolderRequests, now_ms: Millis) {
-        let is_requested = |server: &Rc<Server>| holder_requests.is_coming(server.key, now_ms);
+        let is_requested =
+            |server: &Rc<Server>| holder_requests.is_load_expected(server.key, now_ms);
         let is_loading = self
             .servers
             .iter()
@@ -383,7 +384,7 @@
         server: &Server,
         holder_requests: &HolderRequests,
     ) -> Presence {
-        if holder_requests.is_coming(server.key, node.now_ms()) {
+        if holder_requests.is_load_expected(server.key, node.now_ms()) {
             return Presence::Loading;
         }
         let is_first = self.servers.is_empty();
--- a/crates/tinbay-gateway/tests/asking_test.rs
+++ b/crates/tinbay-gateway/tests/asking_test.rs
@@ -9,35 +9,35 @@
 const SERVER: u64 = 7;
 
 #[test]
-fn takes_load_request_first_and_after_a_pause() {
+fn try_begin_load_request_first_and_after_a_pause() {
     let mut asked = HolderRequests::default();
-    assert!(asked.takes_load_request(SERVER, 1_000));
-    assert!(!asked.takes_load_request(SERVER, 1_000));
-    assert!(!asked.takes_load_request(SERVER, 1_199));
-    assert!(asked.takes_load_request(SERVER, 1_200));
-    assert!(!asked.takes_load_request(SERVER, 1_399));
+    assert!(asked.try_begin_load_request(SERVER, 1_000));
+    assert!(!asked.try_begin_load_request(SERVER, 1_000));
+    assert!(!asked.try_begin_load_request(SERVER, 1_199));
+    assert!(asked.try_begin_load_request(SERVER, 1_200));
+    assert!(!asked.try_begin_load_request(SERVER, 1_399));
 }
 
 #[test]
-fn is_coming_until_the_load_is_overdue() {
+fn is_load_expected_until_the_load_is_overdue() {
     let mut asked = HolderRequests::default();
-    assert!(!asked.is_coming(SERVER, 1_000));
-    asked.takes_load_request(SERVER, 1_000);
-    assert!(asked.is_coming(SERVER, 1_299) && !asked.is_coming(SERVER, 1_300));
-    asked.note_wait(SERVER, 250.0);
-    assert!(asked.is_coming(SERVER, 1_799) && !asked.is_coming(SERVER, 1_800));
+    assert!(!asked.is_load_expected(SERVER, 1_000));
+    asked.try_begin_load_request(SERVER, 1_000);
+    assert!(asked.is_load_expected(SERVER, 1_299) && !asked.is_load_expected(SERVER, 1_300));
+    asked.record_expected_wait(SERVER, 250.0);
+    assert!(asked.is_load_expected(SERVER, 1_799) && !asked.is_load_expected(SERVER, 1_800));
 }
 
 /// Only the first answer tells how long the requested load takes; later ones are for loads
 /// requested at that time.
 #[test]
-fn note_wait_first_answer_counts() {
+fn record_expected_wait_first_answer_counts() {
     let mut asked = HolderRequests::default();
-    asked.note_wait(SERVER, 250.0);
+    asked.record_expected_wait(SERVER, 250.0);
     assert_eq!(asked.expected_ms(SERVER), None);
-    asked.takes_load_request(SERVER, 1_000);
-    asked.note_wait(SERVER, 250.0);
-    asked.note_wait(SERVER, 900.0);
+    asked.try_begin_load_request(SERVER, 1_000);
+    asked.record_expected_wait(SERVER, 250.0);
+    asked.record_expected_wait(SERVER, 900.0);
     assert_eq!(asked.expected_ms(SERVER), Some(1_250));
 }
 
