--- a/crates/tinbay-gateway/src/http/call.rs
+++ b/crates/tinbay-gateway/src/http/call.rs
@@ -59,12 +59,12 @@
 
 /// Client for one address that reuses idle connections.
 #[derive(Debug)]
-pub struct Caller {
+pub struct HttpClient {
     address: SocketAddr,
     idle: RefCell<Vec<SendRequest<Full<Bytes>>>>,
 }
 
-impl Caller {
+impl HttpClient {
     /// Creates a client for `address` without connecting.
     pub fn new(address: SocketAddr) -> Self {
         Self {
--- a/crates/tinbay-gateway/src/node.rs
+++ b/crates/tinbay-gateway/src/node.rs
@@ -28,7 +28,7 @@
 use crate::front::inbound::InboundRequest;
 use crate::front::slow_callers::SlowCallers;
 use crate::handover::split::Splits;
-use crate::http::call::Caller;
+use crate::http::call::HttpClient;
 use crate::http::pump::AnswerWatch;
 use crate::latch::Latch;
 use crate::limits::Limits as BoxLimits;
@@ -155,7 +155,7 @@
     /// When this box reads the store directly although other boxes relay it.
     pub store_turns: StoreTurns,
     /// Connections to boxes that relay the store.
-    pub relay_callers: RefCell<HashMap<SocketAddr, Rc<Caller>>>,
+    pub relay_callers: RefCell<HashMap<SocketAddr, Rc<HttpClient>>>,
     /// Clock for all ages and deadlines.
     pub clock: Clock,
     /// Prometheus metrics of this box.
--- a/crates/tinbay-gateway/src/orders/holder.rs
+++ b/crates/tinbay-gateway/src/orders/holder.rs
@@ -21,7 +21,7 @@
 use super::quota;
 use crate::events::{self, part};
 use crate::front::inbound::text;
-use crate::http::call::{Call, CallError, Caller, Reply};
+use crate::http::call::{Call, CallError, HttpClient, Reply};
 use crate::node::Node;
 use crate::port::dialect::{DecodeError, Order, OrderAction};
 use crate::servers::notices::{self, AnswerHead, RequestKind};
@@ -119,7 +119,7 @@
         node: Rc::clone(node),
         server: Rc::clone(server),
         held,
-        caller: Caller::new(server.record().address),
+        caller: HttpClient::new(server.record().address),
     };
     tokio::task::spawn_local(holder.run());
 }
@@ -146,7 +146,7 @@
     node: Rc<Node>,
     server: Rc<Server>,
     held: Rc<HeldServer>,
-    caller: Caller,
+    caller: HttpClient,
 }
 
 impl Holder {
--- a/crates/tinbay-gateway/src/watch/relay/ask.rs
+++ b/crates/tinbay-gateway/src/watch/relay/ask.rs
@@ -13,7 +13,7 @@
 use super::PATH;
 use super::message::{ChangePart, RelayAnswer, RelayQuestion};
 use crate::events::{self, part};
-use crate::http::call::{Call, Caller};
+use crate::http::call::{Call, HttpClient};
 use crate::node::Node;
 use crate::port::store::{Change, Changes, Item, Listing};
 use crate::watch::replica::Evidence;
@@ -206,11 +206,11 @@
     postcard::from_bytes(&reply.body).ok()
 }
 
-fn caller(node: &Node, address: SocketAddr) -> Rc<Caller> {
+fn caller(node: &Node, address: SocketAddr) -> Rc<HttpClient> {
     let mut callers = node.relay_callers.borrow_mut();
     let caller = callers
         .entry(address)
-        .or_insert_with(|| Rc::new(Caller::new(address)));
+        .or_insert_with(|| Rc::new(HttpClient::new(address)));
     Rc::clone(caller)
 }
 
--- a/crates/tinbay-gateway/tests/call_test.rs
+++ b/crates/tinbay-gateway/tests/call_test.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use hyper::Method;
-use tinbay_gateway::http::call::{Call, CallError, Caller};
+use tinbay_gateway::http::call::{Call, CallError, HttpClient};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::LocalSet;
@@ -58,7 +58,7 @@
         .expect("a runtime");
     LocalSet::new().block_on(&runtime, async {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        let caller = Caller::new(listener.local_addr().expect("its address"));
+        let caller = HttpClient::new(listener.local_addr().expect("its address"));
         tokio::task::spawn_local(serve(listener));
         let call = call();
         let first = tokio::join!(caller.call(&call), caller.call(&call), caller.call(&call));
