--- a/crates/tinbay-gateway/src/handover/drive.rs
+++ b/crates/tinbay-gateway/src/handover/drive.rs
@@ -1,4 +1,5 @@
-//! Drives the handover of one run.
+//! Controls the handover of one run: finds a target server, has the run stopped and copied, and
+//! resumes it.
 
 use std::pin::Pin;
 use std::time::Duration;
@@ -18,11 +19,11 @@
 /// Result of asking a server to resume a run.
 #[derive(Debug)]
 pub enum Resumed<A> {
-    /// The server resumed it and answers.
+    /// The server resumed the run; holds its answer.
     Answering(A),
-    /// The server did not resume it.
+    /// The server did not resume the run.
     Declined,
-    /// The server may have resumed it, but its answer is lost.
+    /// The server may have resumed the run, but its answer is lost.
     Unknown,
 }
 
@@ -53,9 +54,9 @@
 #[derive(Debug, PartialEq)]
 pub enum Outcome<A> {
     /// The run continues on the source as before.
-    Stays,
+    Stayed,
     /// The run was stopped and resumed.
-    GoesOn {
+    Continued {
         /// Where it was resumed.
         at: Place,
         /// The answer with the remaining events.
@@ -65,7 +66,8 @@
     Lost,
 }
 
-/// Frees a copy on drop unless a server resumed from it, as the caller may leave at any time.
+/// Frees a copy on drop unless a server resumed from it. A guard is needed because the handover is
+/// dropped when the caller disconnects.
 struct CopyGuard<'a, A> {
     actions: &'a dyn HandoverActions<Answer = A>,
     handle: Option<String>,
@@ -83,7 +85,7 @@
 pub async fn drive<A>(actions: &dyn HandoverActions<Answer = A>, gate: &EventGate) -> Outcome<A> {
     gate.wait_for_event().await;
     if !actions.find_target().await {
-        return Outcome::Stays;
+        return Outcome::Stayed;
     }
     gate.begin_handover();
     let answer = actions.request_handover().await;
@@ -93,15 +95,15 @@
     };
     let mut step = transitions::after_move(answer);
     if matches!(step, Step::Resume { .. }) {
-        let broken_off = gate.wait_until_broken_off();
-        let _ = tokio::time::timeout(MAX_END_WAIT, broken_off).await;
+        let stream_end = gate.wait_for_stream_end();
+        let _ = tokio::time::timeout(MAX_END_WAIT, stream_end).await;
     }
     loop {
         let Step::Resume { at, handle } = step else {
             gate.end_handover();
             return match step {
                 Step::Lost => Outcome::Lost,
-                _ => Outcome::Stays,
+                _ => Outcome::Stayed,
             };
         };
         let last_id = gate.last_id().unwrap_or_default();
@@ -115,7 +117,7 @@
         if let Resumed::Answering(answer) = resumed {
             copy.handle = None;
             gate.drop_partial();
-            return Outcome::GoesOn { at, answer };
+            return Outcome::Continued { at, answer };
         }
     }
 }
--- a/crates/tinbay-gateway/tests/asking_test.rs
+++ b/crates/tinbay-gateway/tests/asking_test.rs
@@ -9,35 +9,35 @@
 const SERVER: u64 = 7;
 
 #[test]
-fn takes_load_request_first_and_after_an_interval() {
+fn try_begin_load_request_first_and_after_an_interval() {
     let mut requests = HolderRequests::default();
-    assert!(requests.takes_load_request(SERVER, 1_000));
-    assert!(!requests.takes_load_request(SERVER, 1_000));
-    assert!(!requests.takes_load_request(SERVER, 1_199));
-    assert!(requests.takes_load_request(SERVER, 1_200));
-    assert!(!requests.takes_load_request(SERVER, 1_399));
+    assert!(requests.try_begin_load_request(SERVER, 1_000));
+    assert!(!requests.try_begin_load_request(SERVER, 1_000));
+    assert!(!requests.try_begin_load_request(SERVER, 1_199));
+    assert!(requests.try_begin_load_request(SERVER, 1_200));
+    assert!(!requests.try_begin_load_request(SERVER, 1_399));
 }
 
 #[test]
-fn is_coming_until_load_is_overdue() {
+fn is_load_expected_until_load_is_overdue() {
     let mut requests = HolderRequests::default();
-    assert!(!requests.is_coming(SERVER, 1_000));
-    requests.takes_load_request(SERVER, 1_000);
-    assert!(requests.is_coming(SERVER, 1_299) && !requests.is_coming(SERVER, 1_300));
-    requests.note_wait(SERVER, 250.0);
-    assert!(requests.is_coming(SERVER, 1_799) && !requests.is_coming(SERVER, 1_800));
+    assert!(!requests.is_load_expected(SERVER, 1_000));
+    requests.try_begin_load_request(SERVER, 1_000);
+    assert!(requests.is_load_expected(SERVER, 1_299) && !requests.is_load_expected(SERVER, 1_300));
+    requests.record_expected_wait(SERVER, 250.0);
+    assert!(requests.is_load_expected(SERVER, 1_799) && !requests.is_load_expected(SERVER, 1_800));
 }
 
 /// Only the first answer after a load request says how long that load takes; later ones are for
 /// loads requested at their time.
 #[test]
-fn note_wait_first_answer_counts() {
+fn record_expected_wait_first_answer_counts() {
     let mut requests = HolderRequests::default();
-    requests.note_wait(SERVER, 250.0);
+    requests.record_expected_wait(SERVER, 250.0);
     assert_eq!(requests.expected_ms(SERVER), None);
-    requests.takes_load_request(SERVER, 1_000);
-    requests.note_wait(SERVER, 250.0);
-    requests.note_wait(SERVER, 900.0);
+    requests.try_begin_load_request(SERVER, 1_000);
+    requests.record_expected_wait(SERVER, 250.0);
+    requests.record_expected_wait(SERVER, 900.0);
     assert_eq!(requests.expected_ms(SERVER), Some(1_250));
 }
 
--- a/crates/tinbay-gateway/tests/handover_test.rs
+++ b/crates/tinbay-gateway/tests/handover_test.rs
@@ -87,7 +87,7 @@
         while !servers.is_handover_requested.get() {
             tokio::task::yield_now().await;
         }
-        gate.note_broken_off();
+        gate.record_cut_off();
     };
     let driving = drive(servers, gate);
     let (outcome, ()) = tokio::join!(driving, ending_source_stream);
@@ -105,7 +105,7 @@
     };
     let outcome = run(&servers, &gate).await;
     let at = Place::Target;
-    assert_eq!(outcome, Outcome::GoesOn { at, answer: at });
+    assert_eq!(outcome, Outcome::Continued { at, answer: at });
     assert_eq!(*servers.resume_calls.borrow(), [(Place::Target, 1)]);
     assert!(servers.freed.borrow().is_empty());
     let next = gate.pass(Bytes::from_static(b"id: 2\ndata: b\n\n"));
@@ -123,7 +123,7 @@
     };
     let outcome = run(&servers, &gate).await;
     let at = Place::Source;
-    assert_eq!(outcome, Outcome::GoesOn { at, answer: at });
+    assert_eq!(outcome, Outcome::Continued { at, answer: at });
     let expected = [(Place::Target, 1), (Place::Source, 1)];
     assert_eq!(*servers.resume_calls.borrow(), expected);
 }
@@ -159,9 +159,9 @@
 async fn drive_without_a_target_requests_no_handover() {
     let gate = gate_amid_event();
     let servers = FakeServers::default();
-    assert_eq!(drive(&servers, &gate).await, Outcome::Stays);
+    assert_eq!(drive(&servers, &gate).await, Outcome::Stayed);
     assert!(!servers.is_handover_requested.get());
-    assert!(!gate.note_broken_off());
+    assert!(!gate.record_cut_off());
 }
 
 #[tokio::test(flavor = "current_thread")]
@@ -172,9 +172,9 @@
         handover_answer: RefCell::new(Some(MoveAnswer::NotStopped)),
         ..FakeServers::default()
     };
-    assert_eq!(drive(&servers, &gate).await, Outcome::Stays);
+    assert_eq!(drive(&servers, &gate).await, Outcome::Stayed);
     assert!(servers.resume_calls.borrow().is_empty());
-    assert!(!gate.note_broken_off());
+    assert!(!gate.record_cut_off());
 }
 
 /// The caller disconnects after the run was copied and before it is resumed. The copy must not stay
