--- a/crates/tinbay-core/src/serving/capacity.rs
+++ b/crates/tinbay-core/src/serving/capacity.rs
@@ -22,21 +22,20 @@
 
 /// Selects the `count` boxes that do a job, best first; strong boxes come before all others.
 ///
-/// With weak boxes included, relays on links of 10 Mbit/s used four fifths of the link, and a
-/// configuration change took 3 s and more to take effect on 300 boxes; with strong boxes alone it
-/// took effect in time.
+/// A weak box that relays the store uses most of a 10 Mbit/s link for it, and configuration changes
+/// reach the boxes behind it seconds late.
 pub fn draw<'a>(job: &str, boxes: &[RankedBox<'a>], count: usize) -> Vec<&'a str> {
     let largest = boxes.iter().map(|candidate| candidate.capacity).max();
     let least_strong = (largest.unwrap_or_default() as f64 * STRONG_FRACTION) as u64;
     let is_strong = |candidate: &&RankedBox<'a>| candidate.capacity >= least_strong;
-    let names = |candidate: &RankedBox<'a>| candidate.id;
-    let strong = boxes.iter().filter(is_strong).map(names);
+    let id_of = |candidate: &RankedBox<'a>| candidate.id;
+    let strong = boxes.iter().filter(is_strong).map(id_of);
     let mut selected = rendezvous::rank(job, strong, count);
     if selected.len() < count {
         let weak = boxes
             .iter()
             .filter(|candidate| !is_strong(candidate))
-            .map(names);
+            .map(id_of);
         selected.extend(rendezvous::rank(job, weak, count - selected.len()));
     }
     selected
--- a/crates/tinbay-core/src/serving/claims.rs
+++ b/crates/tinbay-core/src/serving/claims.rs
@@ -1,6 +1,6 @@
-//! Claims in the store that let one box at a time send orders to a server.
+//! Claims in the key-value store that let one box at a time, the holder, send orders to a server.
 //!
-//! Servers do not check who sends orders, so safety rests on time. A holder sends orders only while
+//! Orders load and unload base models and adapters. Servers do not check who sends orders, so safety rests on time. A holder sends orders only while
 //! its last proof (its own leased entry seen in the store) is recent. Another box overwrites a
 //! claim only after it has itself seen the holder's entry missing for longer than a proof lasts,
 //! and in one transaction that requires the entry to be still missing. Only durations on each box's
@@ -144,18 +144,18 @@
         if position.era != self.era {
             return;
         }
-        let stored_revisions = self
+        let stored_revision = self
             .stored_revisions
             .entry(address.to_string())
             .or_default();
-        if *stored_revisions >= position.revision && *stored_revisions > 0 {
+        if *stored_revision >= position.revision && *stored_revision > 0 {
             return;
         }
-        *stored_revisions = position.revision;
+        *stored_revision = position.revision;
         let is_current = value.era == position.era;
         let known = self.by_address.get(address);
-        let is_known_better = known.is_some_and(|known| known.validity != ClaimValidity::Restored);
-        if !is_current && is_known_better {
+        let has_valid_claim = known.is_some_and(|known| known.validity != ClaimValidity::Restored);
+        if !is_current && has_valid_claim {
             // The backup holds an older state than this box has seen.
             return;
         }
@@ -288,18 +288,18 @@
 /// A box's proof that its own entry was in the store.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Proof {
-    asked_ms: Option<Millis>,
+    query_sent_ms: Option<Millis>,
 }
 
 impl Proof {
-    /// Extends the proof: a query sent at `asked_ms` found the entry.
-    pub fn renew(&mut self, asked_ms: Millis) {
-        self.asked_ms = self.asked_ms.max(Some(asked_ms));
+    /// Extends the proof: a query sent at `query_sent_ms` found the entry.
+    pub fn renew(&mut self, query_sent_ms: Millis) {
+        self.query_sent_ms = self.query_sent_ms.max(Some(query_sent_ms));
     }
 
     /// Withdraws the proof, so that no more orders are sent under it.
     pub fn revoke(&mut self) {
-        self.asked_ms = None;
+        self.query_sent_ms = None;
     }
 
     /// Whether orders may be sent now.
@@ -309,7 +309,7 @@
 
     /// When the proof ends; 0 where there is none.
     pub fn end_ms(&self, terms: &ClaimTerms) -> Millis {
-        self.asked_ms
-            .map_or(0, |asked_ms| asked_ms + terms.proof_life_ms)
+        self.query_sent_ms
+            .map_or(0, |query_sent_ms| query_sent_ms + terms.proof_life_ms)
     }
 }
--- a/crates/tinbay-core/src/serving/configuration.rs
+++ b/crates/tinbay-core/src/serving/configuration.rs
@@ -44,7 +44,7 @@
     pub kind: RouteKind,
     /// Longest time until a request is answered or fails.
     pub timeout_ms: Millis,
-    /// Time within which an answer earns full credit.
+    /// Time within which an answer counts as on time.
     pub objective_ms: Millis,
     /// Longest pause between events at which a stream counts as on time; none on routes without
     /// streams.
@@ -62,23 +62,28 @@
 }
 
 /// Silence after which callers abandon any stream, however short its objective.
-const LEAST_STREAM_PATIENCE_MS: Millis = 2_000;
+const MIN_FIRST_PIECE_TIMEOUT_MS: Millis = 2_000;
 
 /// Multiple of the objective after which callers abandon a stream that has not begun.
-const PATIENCE_OBJECTIVES: Millis = 4;
+const FIRST_PIECE_OBJECTIVE_FACTOR: Millis = 4;
 
 /// Multiple of the longest allowed pause after which callers abandon a silent stream.
-const PATIENCE_GAPS: Millis = 8;
+const FIRST_PIECE_GAP_FACTOR: Millis = 8;
 
 impl Route {
-    /// How long callers wait for the first piece of a stream; none on routes without streams.
+    /// How long callers wait for the first piece of a stream before they abandon it; none on routes
+    /// without streams.
     pub fn stream_patience_ms(&self) -> Option<Millis> {
         if self.kind != RouteKind::Streaming {
             return None;
         }
-        let by_objective_ms = PATIENCE_OBJECTIVES * self.objective_ms;
-        let by_gap_ms = PATIENCE_GAPS * self.objective_gap_ms.unwrap_or_default();
-        Some(LEAST_STREAM_PATIENCE_MS.max(by_objective_ms).max(by_gap_ms))
+        let by_objective_ms = FIRST_PIECE_OBJECTIVE_FACTOR * self.objective_ms;
+        let by_gap_ms = FIRST_PIECE_GAP_FACTOR * self.objective_gap_ms.unwrap_or_default();
+        Some(
+            MIN_FIRST_PIECE_TIMEOUT_MS
+                .max(by_objective_ms)
+                .max(by_gap_ms),
+        )
     }
 }
 
@@ -120,7 +125,7 @@
 /// A base model and the memory that it needs.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ModelSpec {
-    /// Its name.
+    /// Name of the model.
     pub name: String,
     /// Memory of its weights, in MB.
     pub weights_mb: f64,
--- a/crates/tinbay-core/src/serving/contents/fetching.rs
+++ b/crates/tinbay-core/src/serving/contents/fetching.rs
@@ -15,10 +15,10 @@
 const BUSY_FACTOR: f64 = 1.5;
 
 /// Factor by which a slow load shrinks the window.
-const DECREASE: f64 = 0.7;
+const DECREASE_FACTOR: f64 = 0.7;
 
 /// Amount by which a fast load widens the window.
-const INCREASE: f64 = 0.25;
+const INCREASE_STEP: f64 = 0.25;
 
 /// Window below which no additional copies are fetched.
 const MIN_WINDOW_FOR_COPIES: f64 = 2.0;
@@ -30,9 +30,9 @@
 /// Bounds on the duration of a load: it was still in progress after `least_ms` and complete after
 /// `most_ms`.
 ///
-/// The state of a load is only seen in the answer to an order. With the arrival of a late answer
-/// taken as the end of the load, servers that lose orders were limited to one load at a time (in
-/// 990 of 1,094 polls), and callers were told to wait 8.8 s in the median.
+/// The state of a load is only seen in the answer to an order. If the arrival of a late answer were
+/// taken as the end of the load, servers that lose orders would be limited to one load at a time,
+/// and callers would be told to wait for seconds.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct LoadTime {
     /// Latest time at which the load was seen to be in progress.
@@ -69,9 +69,9 @@
         self.best_ms = (self.best_ms * BEST_TIME_GROWTH).min(took.most_ms.max(1.0));
         let busy_ms = self.best_ms * BUSY_FACTOR;
         if took.least_ms > busy_ms {
-            self.window = (self.window * DECREASE).max(MIN_WINDOW);
+            self.window = (self.window * DECREASE_FACTOR).max(MIN_WINDOW);
         } else if took.most_ms <= busy_ms {
-            self.window = (self.window + INCREASE).min(MAX_WINDOW);
+            self.window = (self.window + INCREASE_STEP).min(MAX_WINDOW);
         }
     }
 
--- a/crates/tinbay-core/src/serving/contents/held.rs
+++ b/crates/tinbay-core/src/serving/contents/held.rs
@@ -53,9 +53,11 @@
     pub(super) uses: f64,
     pub(super) used_ms: Millis,
     pub(super) ordered_ms: Millis,
+    /// When its load is to be polled next.
     pub(super) check_ms: Millis,
     /// When its load was last seen to be in progress.
     pub(super) seen_loading_ms: Millis,
+    /// Whether it is loaded from the weight store rather than from the server's own cache.
     pub(super) is_fetch: bool,
 }
 
--- a/crates/tinbay-core/src/serving/contents/mod.rs
+++ b/crates/tinbay-core/src/serving/contents/mod.rs
@@ -1,5 +1,5 @@
-//! Tracks the contents of one server, as its holder knows them, and decides which order to send
-//! next.
+//! Tracks the models and adapters at one server, as the box that holds the claim on it knows them,
+//! and decides which order to send next.
 //!
 //! Every order names how many orders the server must have accepted before. So a delayed order finds
 //! the count changed and is rejected, and the holder never acts on contents that differ from what
@@ -133,7 +133,9 @@
     adapter_slots: usize,
     models: BaseModels,
     held: BTreeMap<AdapterKey, Held>,
+    /// Version in which each adapter was held last, and when.
     recently_held: HashMap<AdapterKey, (Option<u64>, Millis)>,
+    /// Number of orders that the server has accepted; none while the contents are not known.
     order_count: Option<u64>,
     was_known: bool,
     unconfirmed: UnconfirmedOrders,
@@ -141,7 +143,7 @@
     /// their slots until a report no longer names them.
     unloading: BTreeMap<AdapterKey, Millis>,
     poll_after_ms: Millis,
-    learn_after_ms: Millis,
+    report_after_ms: Millis,
     fetches: FetchWindow,
     fetch_ms: f64,
     reload_ms: f64,
@@ -160,7 +162,7 @@
             unconfirmed: UnconfirmedOrders::new(),
             unloading: BTreeMap::new(),
             poll_after_ms: now_ms,
-            learn_after_ms: now_ms,
+            report_after_ms: now_ms,
             fetches: FetchWindow::new(INITIAL_FETCH_MS),
             fetch_ms: INITIAL_FETCH_MS,
             reload_ms: INITIAL_RELOAD_MS,
@@ -223,7 +225,7 @@
     /// Marks the contents as unknown, for instance after an interruption of the claim.
     pub fn invalidate(&mut self, now_ms: Millis) {
         self.order_count = None;
-        self.learn_after_ms = now_ms + REPORT_DELAY_MS;
+        self.report_after_ms = now_ms + REPORT_DELAY_MS;
     }
 
     /// Records uses of an adapter.
@@ -235,8 +237,9 @@
 
     /// Records uses of an adapter given by its fingerprint.
     pub fn note_uses_of(&mut self, fingerprint: Fingerprint, uses: u32, now_ms: Millis) {
-        let is_it = |(key, _): &(&AdapterKey, &mut Held)| **key as Fingerprint == fingerprint;
-        if let Some((_, held)) = self.held.iter_mut().find(is_it) {
+        let has_fingerprint =
+            |(key, _): &(&AdapterKey, &mut Held)| **key as Fingerprint == fingerprint;
+        if let Some((_, held)) = self.held.iter_mut().find(has_fingerprint) {
             held.note_uses(uses, now_ms);
         }
     }
@@ -245,24 +248,25 @@
     pub fn next_action(
         &self,
         wants: &[WantedLoad],
-        look: &OrderContext<'_>,
+        context: &OrderContext<'_>,
         allowance: &mut dyn ModelAllowance,
     ) -> Option<Action> {
         let Some(expected_count) = self.order_count else {
-            return (look.now_ms >= self.learn_after_ms).then_some(Action::FetchReport);
+            return (context.now_ms >= self.report_after_ms).then_some(Action::FetchReport);
         };
-        let loses_messages = self.unconfirmed.loses_messages(look.now_ms);
-        if !self.unloading.is_empty() || (loses_messages && self.has_due_load_poll(look.now_ms)) {
-            if look.now_ms >= self.poll_after_ms {
+        let loses_messages = self.unconfirmed.loses_messages(context.now_ms);
+        if !self.unloading.is_empty() || (loses_messages && self.has_due_load_poll(context.now_ms))
+        {
+            if context.now_ms >= self.poll_after_ms {
                 return Some(Action::PollReport);
             }
             if !self.unloading.is_empty() {
                 return None;
             }
-        } else if let Some(action) = self.load_poll(expected_count, look.now_ms) {
+        } else if let Some(action) = self.load_poll(expected_count, context.now_ms) {
             return Some(action);
         }
-        if let Some(order) = self.unconfirmed.at(expected_count, look.now_ms) {
+        if let Some(order) = self.unconfirmed.at(expected_count, context.now_ms) {
             return Some(order.clone());
         }
         if self.models.is_loading() {
@@ -277,13 +281,13 @@
         wants
             .iter()
             .filter(|want| !want.is_copy || self.fetches.allows_copies())
-            .find_map(|want| self.action_for(want, expected_count, look))
+            .find_map(|want| self.action_for(want, expected_count, context))
     }
 
     /// When [`Contents::next_action`] may next return a message without a new load request.
     pub fn next_look_ms(&self) -> Option<Millis> {
         if self.order_count.is_none() {
-            return Some(self.learn_after_ms);
+            return Some(self.report_after_ms);
         }
         let loading = self
             .held
@@ -291,7 +295,7 @@
             .filter(|held| held.state == HeldState::Loading);
         let adapters = loading.map(|held| held.check_ms.max(self.poll_after_ms));
         let unloading = (!self.unloading.is_empty()).then_some(self.poll_after_ms);
-        let models = self.models.next_look_ms();
+        let models = self.models.next_poll_ms();
         adapters.chain(models).chain(unloading).min()
     }
 
@@ -316,8 +320,8 @@
         self.held.values().map(size_mb).sum()
     }
 
-    /// Whether one more adapter has a slot and memory, beside `delayed_loads` others of its size that may
-    /// still be loaded by delayed orders.
+    /// Whether there are a slot and memory for one more adapter, beside `delayed_loads` others of
+    /// its size that may still be loaded by delayed orders.
     fn has_room(&self, adapter_mb: f64, delayed_loads: usize) -> bool {
         let more_mb = adapter_mb * (delayed_loads + 1) as f64;
         let has_memory = self.adapters_mb() + more_mb <= self.models.free_mb();
@@ -350,7 +354,7 @@
         &self,
         want: &WantedLoad,
         expected_count: u64,
-        look: &OrderContext<'_>,
+        context: &OrderContext<'_>,
     ) -> Option<Action> {
         let key = adapter_key(&want.adapter);
         let model = model_of(&want.adapter);
@@ -359,15 +363,15 @@
         }
         let holding = self.holding(key, want.version);
         if holding == Holding::Current
-            || (holding == Holding::Stale && !self.is_replaceable(key, look))
+            || (holding == Holding::Stale && !self.is_replaceable(key, context))
         {
             return None;
         }
-        let delayed_loads = self.unconfirmed.loads_after(expected_count, look.now_ms);
-        let needs_place = holding == Holding::None
+        let delayed_loads = self.unconfirmed.loads_after(expected_count, context.now_ms);
+        let needs_slot = holding == Holding::None
             && !self.has_room(self.models.adapter_mb(model), delayed_loads);
-        if needs_place {
-            let victim = self.victim(look)?;
+        if needs_slot {
+            let victim = self.victim(context)?;
             return Some(Action::Unload {
                 adapter: victim.adapter.clone(),
                 expected_count,
@@ -380,23 +384,23 @@
         })
     }
 
-    fn is_replaceable(&self, key: AdapterKey, look: &OrderContext<'_>) -> bool {
-        let idle_ms = |held: &Held| look.now_ms.saturating_sub(held.used_ms);
+    fn is_replaceable(&self, key: AdapterKey, context: &OrderContext<'_>) -> bool {
+        let idle_ms = |held: &Held| context.now_ms.saturating_sub(held.used_ms);
         let is_idle = |held: &Held| idle_ms(held) >= REPLACE_IDLE_MS;
-        self.held.get(&key).is_some_and(is_idle) && !(look.is_in_use)(key)
+        self.held.get(&key).is_some_and(is_idle) && !(context.is_in_use)(key)
     }
 
     /// The adapter to evict: one in an outdated version, or else the least used.
-    fn victim(&self, look: &OrderContext<'_>) -> Option<&Held> {
-        let is_current = |held: &Held| (look.named)(&held.adapter) <= held.version;
+    fn victim(&self, context: &OrderContext<'_>) -> Option<&Held> {
+        let is_current = |held: &Held| (context.named)(&held.adapter) <= held.version;
         let evicted_before = |left: &&Held, right: &&Held| {
             let by_version = is_current(left).cmp(&is_current(right));
-            let uses = |held: &Held| held.uses_at(look.now_ms);
+            let uses = |held: &Held| held.uses_at(context.now_ms);
             by_version.then(uses(left).total_cmp(&uses(right)))
         };
         self.held
             .iter()
-            .filter(|(key, held)| held.is_idle(look.now_ms) && !(look.is_in_use)(**key))
+            .filter(|(key, held)| held.is_idle(context.now_ms) && !(context.is_in_use)(**key))
             .map(|(_, held)| held)
             .min_by(evicted_before)
     }
@@ -426,17 +430,17 @@
     ) -> OrderAnswer {
         let is_load_poll = self.is_load_poll(action);
         if unanswered > 0 && is_load_poll {
-            self.unconfirmed.note_poll_unanswered(action, now_ms);
+            self.unconfirmed.record_poll_unanswered(action, now_ms);
         } else if unanswered > 0 {
-            self.unconfirmed.note_unanswered(action, now_ms);
+            self.unconfirmed.record_unanswered(action, now_ms);
         }
         let is_conflict = answer == OrderAnswer::Conflict && unanswered > 0;
         if is_conflict && !is_load_poll && self.unconfirmed.proves_accepted(action, now_ms) {
-            self.unconfirmed.note_accepted(action);
+            self.unconfirmed.record_accepted(action);
             return OrderAnswer::Accepted;
         }
         if matches!(answer, OrderAnswer::Accepted | OrderAnswer::Done) {
-            self.unconfirmed.note_accepted(action);
+            self.unconfirmed.record_accepted(action);
         }
         self.unconfirmed.note_answer(answer);
         answer
@@ -466,7 +470,7 @@
                 },
                 OrderAnswer::Accepted,
             ) => {
-                self.note_loading(adapter, *version, now_ms);
+                self.record_loading(adapter, *version, now_ms);
             }
             (
                 Action::Load {
@@ -474,7 +478,7 @@
                 },
                 OrderAnswer::Done,
             ) => {
-                self.note_ready(adapter, *version, now_ms);
+                self.record_ready(adapter, *version, now_ms);
             }
             (Action::Unload { adapter, .. }, OrderAnswer::Accepted) => {
                 self.unloading.insert(adapter_key(adapter), now_ms);
@@ -492,9 +496,9 @@
         self.order_count = self.order_count.map(|count| count + 1);
     }
 
-    fn note_loading(&mut self, adapter: &str, version: Option<u64>, now_ms: Millis) {
+    fn record_loading(&mut self, adapter: &str, version: Option<u64>, now_ms: Millis) {
         if !adapter.contains('/') {
-            if self.models.note_loading(adapter, now_ms) {
+            if self.models.record_loading(adapter, now_ms) {
                 self.count_order();
             }
             return;
@@ -503,8 +507,8 @@
         if let Some(held) = self.held.get_mut(&key)
             && held.state == HeldState::Loading
         {
-            let taken_ms = now_ms - held.ordered_ms;
-            held.check_ms = now_ms + CHECK_INTERVAL_MS.max(taken_ms / CHECK_DIVISOR);
+            let elapsed_ms = now_ms - held.ordered_ms;
+            held.check_ms = now_ms + CHECK_INTERVAL_MS.max(elapsed_ms / CHECK_DIVISOR);
             held.seen_loading_ms = now_ms;
             return;
         }
@@ -526,9 +530,9 @@
         self.count_order();
     }
 
-    fn note_ready(&mut self, adapter: &str, version: Option<u64>, now_ms: Millis) {
+    fn record_ready(&mut self, adapter: &str, version: Option<u64>, now_ms: Millis) {
         if !adapter.contains('/') {
-            self.models.note_ready(adapter, now_ms);
+            self.models.record_ready(adapter, now_ms);
             return;
         }
         let key = adapter_key(adapter);
@@ -568,12 +572,12 @@
             return;
         }
         let held = &self.held;
-        let gone = |key: &AdapterKey| !held.contains_key(key);
+        let is_not_held = |key: &AdapterKey| !held.contains_key(key);
         let oldest = self
             .recently_held
             .iter()
-            .filter(|(key, _)| gone(key))
-            .min_by_key(|(_, (_, noted_ms))| *noted_ms)
+            .filter(|(key, _)| is_not_held(key))
+            .min_by_key(|(_, (_, recorded_ms))| *recorded_ms)
             .map(|(key, _)| *key);
         if let Some(oldest) = oldest {
             self.recently_held.remove(&oldest);
@@ -598,7 +602,7 @@
                 held.state == HeldState::Loading && held.version <= Some(known.version)
             });
             if is_done {
-                self.note_ready(&known.adapter, Some(known.version), now_ms);
+                self.record_ready(&known.adapter, Some(known.version), now_ms);
                 done.push(key);
             }
         }
@@ -623,14 +627,14 @@
     /// [`Action::FetchReport`] waits for.
     pub fn note_report(&mut self, report: &Report, now_ms: Millis) {
         self.was_known = true;
-        for adapter in self.unconfirmed.note_count(report.order_count) {
+        for adapter in self.unconfirmed.record_count(report.order_count) {
             self.unloading.insert(adapter_key(&adapter), now_ms);
         }
         self.end_unloads(report, now_ms);
         if report.is_busy {
             // The order in progress will change the contents without a further order.
             self.order_count = None;
-            self.learn_after_ms = now_ms + BUSY_POLL_INTERVAL_MS;
+            self.report_after_ms = now_ms + BUSY_POLL_INTERVAL_MS;
         } else {
             self.order_count = Some(report.order_count);
         }
--- a/crates/tinbay-core/src/serving/contents/models.rs
+++ b/crates/tinbay-core/src/serving/contents/models.rs
@@ -13,6 +13,7 @@
 #[derive(Debug, Clone)]
 struct HeldModel {
     state: HeldState,
+    /// When its load is to be polled next.
     check_ms: Millis,
 }
 
@@ -61,7 +62,7 @@
     }
 
     /// When the next poll of a loading model is due.
-    pub fn next_look_ms(&self) -> Option<Millis> {
+    pub fn next_poll_ms(&self) -> Option<Millis> {
         let loading = self
             .held
             .values()
@@ -120,7 +121,7 @@
     }
 
     /// Records that a model is being loaded; returns whether it was not held before.
-    pub fn note_loading(&mut self, model: &str, now_ms: Millis) -> bool {
+    pub fn record_loading(&mut self, model: &str, now_ms: Millis) -> bool {
         let held = HeldModel {
             state: HeldState::Loading,
             check_ms: now_ms + CHECK_INTERVAL_MS,
@@ -129,7 +130,7 @@
     }
 
     /// Records that a model is loaded.
-    pub fn note_ready(&mut self, model: &str, now_ms: Millis) {
+    pub fn record_ready(&mut self, model: &str, now_ms: Millis) {
         let held = HeldModel {
             state: HeldState::Ready,
             check_ms: now_ms,
@@ -141,7 +142,7 @@
     pub fn note_report(&mut self, models: &[String], now_ms: Millis) {
         self.held.clear();
         for model in models {
-            self.note_ready(model, now_ms);
+            self.record_ready(model, now_ms);
         }
     }
 }
--- a/crates/tinbay-core/src/serving/contents/unconfirmed.rs
+++ b/crates/tinbay-core/src/serving/contents/unconfirmed.rs
@@ -35,8 +35,9 @@
     /// named.
     polls: BTreeMap<u64, Millis>,
     /// Whether an order of the previous holder may still be carried out.
-    may_be_previous_holders: bool,
-    lost_ms: Option<Millis>,
+    previous_holder_may_have_orders: bool,
+    /// When an order was last left unanswered.
+    last_unanswered_ms: Option<Millis>,
 }
 
 impl UnconfirmedOrders {
@@ -45,14 +46,14 @@
         Self {
             by_count: BTreeMap::new(),
             polls: BTreeMap::new(),
-            may_be_previous_holders: true,
-            lost_ms: None,
+            previous_holder_may_have_orders: true,
+            last_unanswered_ms: None,
         }
     }
 
     /// Records that an order was sent and not answered.
-    pub fn note_unanswered(&mut self, action: &Action, now_ms: Millis) {
-        self.lost_ms = Some(now_ms);
+    pub fn record_unanswered(&mut self, action: &Action, now_ms: Millis) {
+        self.last_unanswered_ms = Some(now_ms);
         self.by_count.retain(|_, order| now_ms < order.until_ms);
         let Some(count) = action.expected_count() else {
             return;
@@ -66,8 +67,8 @@
     }
 
     /// Records that an order that only polls a load was sent and not answered.
-    pub fn note_poll_unanswered(&mut self, action: &Action, now_ms: Millis) {
-        self.lost_ms = Some(now_ms);
+    pub fn record_poll_unanswered(&mut self, action: &Action, now_ms: Millis) {
+        self.last_unanswered_ms = Some(now_ms);
         self.polls.retain(|_, until_ms| now_ms < *until_ms);
         if let Some(count) = action.expected_count() {
             self.polls.insert(count, now_ms + DELAYED_ORDER_LIFE_MS);
@@ -76,8 +77,8 @@
 
     /// Whether the server recently left orders unanswered.
     pub fn loses_messages(&self, now_ms: Millis) -> bool {
-        self.lost_ms
-            .is_some_and(|lost_ms| now_ms < lost_ms + LOSS_MEMORY_MS)
+        self.last_unanswered_ms
+            .is_some_and(|unanswered_ms| now_ms < unanswered_ms + LOSS_MEMORY_MS)
     }
 
     /// The order that may still be carried out at a count.
@@ -98,10 +99,11 @@
     /// Records the server's order count: orders that named a lower count can no longer be carried
     /// out. Returns the adapters of those unloads among them that are not known to have been
     /// accepted.
-    pub fn note_count(&mut self, count: u64) -> Vec<AdapterName> {
+    pub fn record_count(&mut self, count: u64) -> Vec<AdapterName> {
         let later = self.by_count.split_off(&count);
-        let over = std::mem::replace(&mut self.by_count, later);
-        over.into_iter()
+        let outdated = std::mem::replace(&mut self.by_count, later);
+        outdated
+            .into_iter()
             .filter(|(count, order)| !order.is_accepted && !self.polls.contains_key(count))
             .filter_map(|(_, order)| match order.action {
                 Action::Unload { adapter, .. } => Some(adapter),
@@ -111,7 +113,7 @@
     }
 
     /// Records that an order is believed to have been accepted.
-    pub fn note_accepted(&mut self, action: &Action) {
+    pub fn record_accepted(&mut self, action: &Action) {
         let count = action.expected_count();
         if let Some(order) = count.and_then(|count| self.by_count.get_mut(&count)) {
             order.is_accepted = true;
@@ -125,14 +127,14 @@
             let until_ms = self.polls.get(&count);
             until_ms.is_some_and(|until_ms| now_ms < *until_ms)
         });
-        !self.may_be_previous_holders && !is_polled
+        !self.previous_holder_may_have_orders && !is_polled
     }
 
     /// Records an answer of the server. An accepted order proves that nothing sent by an earlier
     /// holder can still be carried out.
     pub fn note_answer(&mut self, answer: OrderAnswer) {
         if answer == OrderAnswer::Accepted {
-            self.may_be_previous_holders = false;
+            self.previous_holder_may_have_orders = false;
         }
     }
 }
--- a/crates/tinbay-core/src/serving/decay.rs
+++ b/crates/tinbay-core/src/serving/decay.rs
@@ -2,9 +2,9 @@
 
 use crate::units::Millis;
 
-/// Returns what is left of a value recorded earlier; before `noted_ms` nothing has decayed.
-pub fn decayed(amount: f64, noted_ms: Millis, half_life_ms: f64, now_ms: Millis) -> f64 {
-    let age_ms = now_ms.saturating_sub(noted_ms) as f64;
+/// Returns what is left of a value recorded earlier; before `recorded_ms` nothing has decayed.
+pub fn decayed(amount: f64, recorded_ms: Millis, half_life_ms: f64, now_ms: Millis) -> f64 {
+    let age_ms = now_ms.saturating_sub(recorded_ms) as f64;
     amount * (-age_ms / half_life_ms).exp2()
 }
 
@@ -12,7 +12,7 @@
 #[derive(Debug, Default, Clone, Copy, PartialEq)]
 pub struct DecayingValue {
     amount: f64,
-    noted_ms: Millis,
+    recorded_ms: Millis,
 }
 
 impl DecayingValue {
@@ -20,13 +20,13 @@
     pub fn new(amount: f64, now_ms: Millis) -> Self {
         Self {
             amount,
-            noted_ms: now_ms,
+            recorded_ms: now_ms,
         }
     }
 
     /// The decayed value at `now_ms`.
     pub fn at(&self, half_life_ms: f64, now_ms: Millis) -> f64 {
-        decayed(self.amount, self.noted_ms, half_life_ms, now_ms)
+        decayed(self.amount, self.recorded_ms, half_life_ms, now_ms)
     }
 
     /// Adds to the decayed value.
--- a/crates/tinbay-core/src/serving/idle_reuse.rs
+++ b/crates/tinbay-core/src/serving/idle_reuse.rs
@@ -78,6 +78,7 @@
 /// Idle limit for the connections of one service.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct IdleReuseLimit {
+    /// Idle time up to which connections are reused while not too many requests are at risk.
     trusted_ms: Millis,
     /// Bound on growth until enough reuses have succeeded.
     ceiling_ms: Millis,
@@ -85,8 +86,10 @@
     near_successes: u32,
     /// Successful reuses since the last loss.
     successes_since_loss: u32,
+    /// Requests at risk whose outcome is not known yet.
     at_risk: usize,
-    silent: Option<(ServerKey, Millis)>,
+    /// Server of the connection that last fell silent, and when.
+    last_silent: Option<(ServerKey, Millis)>,
 }
 
 impl Default for IdleReuseLimit {
@@ -97,7 +100,7 @@
             near_successes: 0,
             successes_since_loss: REUSES_A_LOSS,
             at_risk: 0,
-            silent: None,
+            last_silent: None,
         }
     }
 }
@@ -113,8 +116,8 @@
     }
 
     /// Records that a request that may run only once is sent on a connection that was idle for
-    /// `rested_ms`. Returns whether it counts as at risk; if so, [`IdleReuseLimit::release`] must be
-    /// called when its outcome is known.
+    /// `rested_ms`. Returns whether it counts as at risk; if so, [`IdleReuseLimit::release`] must
+    /// be called when its outcome is known.
     pub fn note_at_risk(&mut self, rested_ms: Millis) -> bool {
         let is_at_risk = rested_ms > START_MS;
         self.at_risk += usize::from(is_at_risk);
@@ -130,15 +133,15 @@
     pub fn note(&mut self, reuse: &Reuse, now_ms: Millis) -> bool {
         let before_ms = self.trusted_ms;
         match reuse.end {
-            ReuseOutcome::Answered => self.note_success(reuse.rested_ms),
+            ReuseOutcome::Answered => self.record_success(reuse.rested_ms),
             ReuseOutcome::FoundClosed => self.near_successes = 0,
-            ReuseOutcome::Broken => self.note_loss(reuse.rested_ms),
+            ReuseOutcome::Broken => self.record_loss(reuse.rested_ms),
             ReuseOutcome::Silent => self.note_silent(reuse, now_ms),
         }
         self.trusted_ms < before_ms
     }
 
-    fn note_success(&mut self, rested_ms: Millis) {
+    fn record_success(&mut self, rested_ms: Millis) {
         self.successes_since_loss = self.successes_since_loss.saturating_add(1);
         if self.successes_since_loss >= REUSES_A_LOSS {
             self.ceiling_ms = MOST_MS;
@@ -153,7 +156,7 @@
         }
     }
 
-    fn note_loss(&mut self, rested_ms: Millis) {
+    fn record_loss(&mut self, rested_ms: Millis) {
         if rested_ms <= LEAST_MS {
             return;
         }
@@ -168,12 +171,12 @@
     /// A silent connection counts as a loss only if another server's connection fell silent as
     /// well: a single server may have crashed, which says nothing about the others.
     fn note_silent(&mut self, reuse: &Reuse, now_ms: Millis) {
-        let before = self.silent.replace((reuse.server, now_ms));
+        let before = self.last_silent.replace((reuse.server, now_ms));
         let is_shared = before.is_some_and(|(server, silent_ms)| {
             server != reuse.server && now_ms < silent_ms + SILENCE_WINDOW_MS
         });
         if is_shared {
-            self.note_loss(reuse.rested_ms);
+            self.record_loss(reuse.rested_ms);
         }
     }
 }
--- a/crates/tinbay-core/src/serving/lateness.rs
+++ b/crates/tinbay-core/src/serving/lateness.rs
@@ -56,11 +56,11 @@
 impl AnswerTimes {
     /// The times of an answer to a request that arrived at `arrived_ms` and was answered completely
     /// by `ended_ms`.
-    pub fn of_sight(sight: &StreamTiming, arrived_ms: Millis, ended_ms: Millis) -> Self {
-        let first_ms = sight.first_ms();
+    pub fn of_sight(timing: &StreamTiming, arrived_ms: Millis, ended_ms: Millis) -> Self {
+        let first_ms = timing.first_ms();
         Self {
             first_piece_ms: first_ms.map(|first_ms| first_ms.saturating_sub(arrived_ms)),
-            longest_pause_ms: sight.longest_pause_ms(),
+            longest_pause_ms: timing.longest_pause_ms(),
             end_ms: ended_ms.saturating_sub(arrived_ms),
         }
     }
--- a/crates/tinbay-core/src/serving/notices.rs
+++ b/crates/tinbay-core/src/serving/notices.rs
@@ -1,14 +1,14 @@
 //! What servers announce about themselves in the heads of their answers.
 //!
-//! Servers announce it to every caller, in answers to requests, orders and report queries alike. It
-//! arrives sooner than their entries in the store, which may be unavailable, and it is final where
-//! an entry is not: a listing may be old, and an entry may disappear and reappear.
+//! Answers to requests, orders and report queries all carry these notices. A notice arrives sooner
+//! than a change of the server's entry in the store, which may be unavailable. A notice is also
+//! final: a listing of entries may be old, and an entry may disappear and reappear.
 
 use super::server_limit::{AnnouncedLimit, LimitNotice};
 use crate::units::Millis;
 
-/// Rounding error of a time in whole milliseconds. Without it a back-off could end up to that much
-/// too early.
+/// Largest error of a clock reading in whole milliseconds, added to a back-off so that it does not
+/// end too early.
 const ROUNDING_MS: Millis = 1;
 
 /// What a server announces in the head of one answer.
@@ -18,7 +18,7 @@
     pub is_leaving: bool,
     /// The server rejected the request and asks this box to send nothing for this long.
     pub back_off_ms: Option<Millis>,
-    /// What the answer says about the server's rate limit; none where the answer does not tell.
+    /// What the answer says about the server's rate limit; none where it says nothing about one.
     pub limit: Option<LimitNotice>,
 }
 
--- a/crates/tinbay-core/src/serving/pacing.rs
+++ b/crates/tinbay-core/src/serving/pacing.rs
@@ -1,5 +1,5 @@
-//! Divides the weight store's load allowance among the holders, so that they need not ask before
-//! each load.
+//! Divides the weight store's load allowance among the holders, the boxes that send orders to
+//! engines, so that no message is needed before each load.
 //!
 //! The allowance bounds the loads of base models that begin within any window; loads of adapters
 //! are not bounded. It is split into integer quotas, one per holder. Each holder counts its own
@@ -63,7 +63,8 @@
 /// Counts the loads of one holder against its quota.
 #[derive(Debug, Default)]
 pub struct LoadQuotaCounter {
-    begun: VecDeque<Millis>,
+    /// Start times of the loads in the window.
+    started_ms: VecDeque<Millis>,
     quotas: VecDeque<QuotaChange>,
 }
 
@@ -80,16 +81,16 @@
         let window_ms = window_ms + DELIVERY_SKEW_MS;
         let start_ms = now_ms.saturating_sub(window_ms);
         while self
-            .begun
+            .started_ms
             .front()
-            .is_some_and(|begun_ms| *begun_ms < start_ms)
+            .is_some_and(|started_ms| *started_ms < start_ms)
         {
-            self.begun.pop_front();
+            self.started_ms.pop_front();
         }
-        if self.begun.len() >= self.effective_quota(quota, start_ms, now_ms) {
+        if self.started_ms.len() >= self.effective_quota(quota, start_ms, now_ms) {
             return false;
         }
-        self.begun.push_back(now_ms);
+        self.started_ms.push_back(now_ms);
         true
     }
 
@@ -107,7 +108,7 @@
         while self.quotas.len() > 1 && self.quotas[1].since_ms <= start_ms {
             self.quotas.pop_front();
         }
-        let least = self.quotas.iter().map(|since| since.quota).min();
+        let least = self.quotas.iter().map(|change| change.quota).min();
         least.unwrap_or(quota)
     }
 }
--- a/crates/tinbay-core/src/serving/placement.rs
+++ b/crates/tinbay-core/src/serving/placement.rs
@@ -1,8 +1,8 @@
 //! Chooses the server for a request that needs an adapter.
 //!
-//! All boxes rank the servers alike for each adapter (rendezvous hashing), so that it is looked for
-//! and loaded in the same places. The holder of the first server says over how many servers of that
-//! ranking the adapter is spread; among these a request takes the least busy one.
+//! All boxes rank the servers alike for each adapter (rendezvous hashing), so that they load it at
+//! the same servers. The box that holds the claim on the first server decides over how many servers
+//! of that ranking the adapter is spread; a request goes to the server with the lowest cost.
 
 /// Whether and in what state a server holds an adapter.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -62,7 +62,7 @@
 
 /// Amount by which a server must be less loaded than the previous one in the ranking for the
 /// adapter to be loaded there instead.
-const ORDER_COST: f64 = 0.06;
+const RANK_COST: f64 = 0.06;
 
 /// Cost of an outdated version in units of load: the new version is loaded only when requests on
 /// the old one are done.
@@ -85,14 +85,14 @@
 }
 
 fn cost((position, candidate): (usize, &Candidate)) -> Option<(usize, f64)> {
-    let order_cost = ORDER_COST * position as f64;
+    let rank_cost = RANK_COST * position as f64;
     let cost = match candidate.presence {
         Presence::Ready => candidate.load,
         Presence::Loading => candidate.load + LOADING_COST,
         _ if !candidate.takes_loads => return None,
-        Presence::Absent => candidate.load + candidate.load_wait + SLOT_COST + order_cost,
+        Presence::Absent => candidate.load + candidate.load_wait + SLOT_COST + rank_cost,
         Presence::Outdated => {
-            candidate.load + candidate.load_wait + SLOT_COST + OUTDATED_COST + order_cost
+            candidate.load + candidate.load_wait + SLOT_COST + OUTDATED_COST + rank_cost
         }
     };
     Some((position, cost))
@@ -100,13 +100,12 @@
 
 /// Returns the next server that should load a copy: one at a time, and only while fewer servers
 /// hold the adapter than it is spread over. That its server is busy with other adapters is no
-/// reason for a copy: such copies displaced adapters in use, and half of all loads (5,600 of 11,200
-/// with 195 boxes and failing servers) served no request.
+/// reason for a copy: such copies evict adapters in use, and many of them serve no request.
 fn copy_for(candidates: &[Candidate], copies: usize) -> Option<usize> {
-    let is_coming = |candidate: &Candidate| candidate.presence == Presence::Loading;
+    let is_loading = |candidate: &Candidate| candidate.presence == Presence::Loading;
     let is_ready = |candidate: &&Candidate| candidate.presence == Presence::Ready;
-    let is_enough = candidates.iter().filter(is_ready).count() >= copies;
-    if is_enough || candidates.iter().any(is_coming) {
+    let has_enough = candidates.iter().filter(is_ready).count() >= copies;
+    if has_enough || candidates.iter().any(is_loading) {
         return None;
     }
     candidates
--- a/crates/tinbay-core/src/serving/prefill.rs
+++ b/crates/tinbay-core/src/serving/prefill.rs
@@ -39,15 +39,15 @@
 }
 
 impl PrefillRate {
-    /// Prefill rate.
-    pub fn tokens_a_ms(&self) -> f64 {
+    /// Prompt tokens prefilled per millisecond, clamped to the plausible range.
+    pub fn tokens_per_ms(&self) -> f64 {
         let (slowest, fastest) = PLAUSIBLE_TOKENS_PER_MS.into_inner();
         (self.tokens / self.time_ms).clamp(slowest, fastest)
     }
 
     /// Time to prefill this many tokens.
     pub fn time_ms(&self, tokens: u32) -> f64 {
-        f64::from(tokens) / self.tokens_a_ms()
+        f64::from(tokens) / self.tokens_per_ms()
     }
 
     /// Records the time to first token of a request that was sent to an engine with this backlog.
@@ -80,7 +80,7 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Backlog {
     left_ms: f64,
-    noted_ms: Millis,
+    recorded_ms: Millis,
 }
 
 impl Backlog {
@@ -88,13 +88,13 @@
     pub fn new(left_ms: f64, now_ms: Millis) -> Self {
         Self {
             left_ms,
-            noted_ms: now_ms,
+            recorded_ms: now_ms,
         }
     }
 
     /// The remaining backlog in ms.
     pub fn at(&self, now_ms: Millis) -> f64 {
-        let passed_ms = now_ms.saturating_sub(self.noted_ms) as f64;
+        let passed_ms = now_ms.saturating_sub(self.recorded_ms) as f64;
         (self.left_ms - passed_ms).max(0.0)
     }
 
--- a/crates/tinbay-core/src/serving/spread.rs
+++ b/crates/tinbay-core/src/serving/spread.rs
@@ -61,8 +61,8 @@
         spread.prefill.add(prefill_ms, PREFILL_HALF_LIFE_MS, now_ms);
     }
 
-    /// Number of servers over which an adapter is spread now; `slots_fraction` is the fraction of the
-    /// server's request slots that it uses.
+    /// Number of servers over which an adapter is spread now; `slots_fraction` is the fraction of
+    /// the server's request slots that it uses.
     pub fn copies(&mut self, adapter: Fingerprint, slots_fraction: f64, now_ms: Millis) -> usize {
         let Some(spread) = self.by_adapter.get_mut(&adapter) else {
             return 1;
--- a/crates/tinbay-core/src/serving/stream_timing.rs
+++ b/crates/tinbay-core/src/serving/stream_timing.rs
@@ -15,8 +15,10 @@
     longest_pause_ms: Millis,
     longest_pause_at: u32,
     longest_pause_untaken_ms: Millis,
+    /// Total time in which the caller's side was not reading, up to its last read.
     untaken_ms: Millis,
-    asked_ms: Option<Millis>,
+    /// When the caller's side began to wait for the next piece; none while it is not reading.
+    read_began_ms: Option<Millis>,
 }
 
 impl StreamTiming {
@@ -32,18 +34,18 @@
                 self.longest_pause_untaken_ms = self.unread_since_last_ms(now_ms);
             }
         }
-        self.asked_ms = None;
+        self.read_began_ms = None;
         self.last_ms = now_ms;
         self.pieces = self.pieces.saturating_add(1);
     }
 
-    /// Records that the caller's side asks for the next piece. From the last piece until then it
-    /// read nothing, and data that had arrived from the server waited.
+    /// Records that the caller's side begins to wait for the next piece. From the last piece until
+    /// then it read nothing, and data that had arrived from the server waited.
     pub fn note_asked(&mut self, now_ms: Millis) {
-        if self.first_ms.is_none() || self.asked_ms.is_some() {
+        if self.first_ms.is_none() || self.read_began_ms.is_some() {
             return;
         }
-        self.asked_ms = Some(now_ms);
+        self.read_began_ms = Some(now_ms);
         let untaken_ms = self.unread_since_last_ms(now_ms);
         self.untaken_ms = self.untaken_ms.saturating_add(untaken_ms);
     }
@@ -86,7 +88,7 @@
 
     /// Total time up to `now_ms` in which the caller's side was not reading.
     pub fn untaken_ms(&self, now_ms: Millis) -> Millis {
-        let is_unread = self.first_ms.is_some() && self.asked_ms.is_none();
+        let is_unread = self.first_ms.is_some() && self.read_began_ms.is_none();
         let current_ms = if is_unread {
             self.unread_since_last_ms(now_ms)
         } else {
@@ -101,7 +103,9 @@
     }
 
     fn unread_since_last_ms(&self, now_ms: Millis) -> Millis {
-        self.asked_ms.unwrap_or(now_ms).saturating_sub(self.last_ms)
+        self.read_began_ms
+            .unwrap_or(now_ms)
+            .saturating_sub(self.last_ms)
     }
 
     /// Whether a pause was longer than allowed.
--- a/crates/tinbay-core/src/serving/subscribers.rs
+++ b/crates/tinbay-core/src/serving/subscribers.rs
@@ -1,4 +1,4 @@
-//! The boxes that send requests to one server, as its holder tracks them.
+//! The boxes that send requests to one server, as the box that holds the claim on it tracks them.
 //!
 //! Each box reports to the holder what it has running there and queries the server's status before
 //! it sends a request. A change is sent only to boxes that it affects: those that wait for an
@@ -69,7 +69,10 @@
 
 impl Subscriber {
     fn running(&self) -> usize {
-        self.uses.iter().map(|of| usize::from(of.running)).sum()
+        self.uses
+            .iter()
+            .map(|usage| usize::from(usage.running))
+            .sum()
     }
 
     fn is_affected_by(&self, change: &ContentsChange, now_ms: Millis) -> bool {
@@ -129,9 +132,9 @@
     }
 
     /// Records a box's latest time to the first byte as a fraction of its objective.
-    pub fn note_delay(&mut self, part_of_objective: f64, now_ms: Millis) {
+    pub fn note_delay(&mut self, fraction_of_objective: f64, now_ms: Millis) {
         let known = self.delay(now_ms);
-        let delay = known + DELAY_WEIGHT * (part_of_objective - known);
+        let delay = known + DELAY_WEIGHT * (fraction_of_objective - known);
         self.delay = DecayingValue::new(delay, now_ms);
     }
 
@@ -164,10 +167,10 @@
 
     /// Number of running requests of all boxes for one adapter.
     pub fn running_for(&self, adapter: Fingerprint, now_ms: Millis) -> usize {
-        let is_same_adapter = |of: &&AdapterUse| of.adapter == adapter;
+        let is_same_adapter = |usage: &&AdapterUse| usage.adapter == adapter;
         self.active(now_ms)
             .flat_map(|(_, subscriber)| subscriber.uses.iter().filter(is_same_adapter))
-            .map(|of| usize::from(of.running))
+            .map(|usage| usize::from(usage.running))
             .sum()
     }
 
@@ -188,7 +191,7 @@
 
     /// Whether any box has a running request for the adapter.
     pub fn is_in_use(&self, adapter: Fingerprint, now_ms: Millis) -> bool {
-        let has_running = |of: &AdapterUse| of.adapter == adapter && of.running > 0;
+        let has_running = |usage: &AdapterUse| usage.adapter == adapter && usage.running > 0;
         self.active(now_ms)
             .any(|(_, subscriber)| subscriber.uses.iter().any(has_running))
     }
--- a/crates/tinbay-core/src/serving/versions.rs
+++ b/crates/tinbay-core/src/serving/versions.rs
@@ -8,7 +8,7 @@
 
 /// A version, and the time by which requests on older ones must have begun.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-struct NamedVersion {
+struct PublishedVersion {
     version: u64,
     begin_by_ms: Millis,
 }
@@ -17,27 +17,27 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct NamedVersions {
     /// In ascending order.
-    named: Vec<NamedVersion>,
+    published: Vec<PublishedVersion>,
     learnt_ms: Option<Millis>,
 }
 
 impl NamedVersions {
     /// Records a version that had not been published at `earliest_ms`, if that time is known; older
-    /// ones are forbidden `allowed_ms` after it. Returns whether the version is the newest.
+    /// ones are forbidden `grace_ms` after it. Returns whether the version is the newest.
     pub fn note(
         &mut self,
         version: u64,
         earliest_ms: Option<Millis>,
-        allowed_ms: Millis,
+        grace_ms: Millis,
         now_ms: Millis,
     ) -> bool {
         if self.newest().is_some_and(|newest| newest >= version) {
             return false;
         }
         self.learnt_ms = earliest_ms.map(|_| now_ms);
-        self.named.push(NamedVersion {
+        self.published.push(PublishedVersion {
             version,
-            begin_by_ms: earliest_ms.map_or(0, |earliest_ms| earliest_ms + allowed_ms),
+            begin_by_ms: earliest_ms.map_or(0, |earliest_ms| earliest_ms + grace_ms),
         });
         self.drop_superseded(now_ms);
         true
@@ -45,14 +45,14 @@
 
     /// Drops versions whose older ones are forbidden already, except for the newest of them.
     fn drop_superseded(&mut self, now_ms: Millis) {
-        let is_over = |named: &&NamedVersion| named.begin_by_ms <= now_ms;
-        let over = self.named.iter().take_while(is_over).count();
-        self.named.drain(..over.saturating_sub(1));
+        let is_over = |published: &&PublishedVersion| published.begin_by_ms <= now_ms;
+        let over = self.published.iter().take_while(is_over).count();
+        self.published.drain(..over.saturating_sub(1));
     }
 
     /// The newest version.
     pub fn newest(&self) -> Option<u64> {
-        self.named.last().map(|named| named.version)
+        self.published.last().map(|newest| newest.version)
     }
 
     /// When this box learnt of the newest version; none if it existed before the box started.
@@ -64,9 +64,11 @@
     /// 0 stands for an unknown version.
     pub fn begin_by_ms(&self, version: u64) -> Option<Millis> {
         // The first newer version decides: with the deadline of the newest alone, each new version
-        // would let all older ones serve again, and a request began 5.0 s after its version was
-        // replaced.
-        let first_newer = self.named.iter().find(|named| named.version > version)?;
+        // would let all older ones serve again after their deadlines.
+        let first_newer = self
+            .published
+            .iter()
+            .find(|other| other.version > version)?;
         Some(first_newer.begin_by_ms)
     }
 }
--- a/crates/tinbay-core/src/serving/wanted_loads.rs
+++ b/crates/tinbay-core/src/serving/wanted_loads.rs
@@ -1,7 +1,7 @@
-//! Loads that boxes request of one server, as its holder tracks them.
+//! Load requests of all boxes to one server, as the box that holds the claim on it tracks them.
 //!
-//! A request expires unless it is repeated: boxes ask again while a caller's request waits. So
-//! nothing has to be cancelled, and a box that crashes leaves nothing behind.
+//! A load request expires unless it is repeated: boxes repeat theirs while a caller's request
+//! waits. So nothing has to be cancelled, and a box that crashes leaves no load requests behind.
 
 use std::collections::HashMap;
 
@@ -24,7 +24,7 @@
 }
 
 #[derive(Debug)]
-struct Asked {
+struct LoadRequest {
     want: WantedLoad,
     first_ms: Millis,
     last_ms: Millis,
@@ -33,7 +33,7 @@
 /// Load requests of all boxes for one server.
 #[derive(Debug, Default)]
 pub struct WantedLoads {
-    by_adapter: HashMap<AdapterKey, Asked>,
+    by_adapter: HashMap<AdapterKey, LoadRequest>,
 }
 
 impl WantedLoads {
@@ -41,18 +41,18 @@
     /// request waiting for the adapter, the load no longer counts as a copy.
     pub fn ask(&mut self, want: WantedLoad, now_ms: Millis) {
         let key = adapter_key(&want.adapter);
-        let Some(asked) = self.by_adapter.get_mut(&key) else {
-            let asked = Asked {
+        let Some(request) = self.by_adapter.get_mut(&key) else {
+            let request = LoadRequest {
                 want,
                 first_ms: now_ms,
                 last_ms: now_ms,
             };
-            self.by_adapter.insert(key, asked);
+            self.by_adapter.insert(key, request);
             return;
         };
-        asked.want.version = asked.want.version.max(want.version);
-        asked.want.is_copy &= want.is_copy;
-        asked.last_ms = now_ms;
+        request.want.version = request.want.version.max(want.version);
+        request.want.is_copy &= want.is_copy;
+        request.last_ms = now_ms;
     }
 
     /// Removes an adapter that has been loaded.
@@ -62,7 +62,7 @@
 
     /// Number of adapters that callers' requests wait for.
     pub fn awaited(&self) -> usize {
-        let is_awaited = |asked: &&Asked| !asked.want.is_copy;
+        let is_awaited = |request: &&LoadRequest| !request.want.is_copy;
         self.by_adapter.values().filter(is_awaited).count()
     }
 
@@ -75,13 +75,16 @@
     /// each.
     pub fn current(&mut self, now_ms: Millis) -> Vec<WantedLoad> {
         self.by_adapter
-            .retain(|_, asked| now_ms < asked.last_ms + REQUEST_EXPIRY_MS);
-        let mut asked: Vec<&Asked> = self.by_adapter.values().collect();
-        asked.sort_by(|left, right| {
-            let order = |asked: &Asked| (asked.want.is_copy, asked.first_ms);
+            .retain(|_, request| now_ms < request.last_ms + REQUEST_EXPIRY_MS);
+        let mut requests: Vec<&LoadRequest> = self.by_adapter.values().collect();
+        requests.sort_by(|left, right| {
+            let order = |request: &LoadRequest| (request.want.is_copy, request.first_ms);
             let by_order = order(left).cmp(&order(right));
             by_order.then_with(|| left.want.adapter.cmp(&right.want.adapter))
         });
-        asked.into_iter().map(|asked| asked.want.clone()).collect()
+        requests
+            .into_iter()
+            .map(|request| request.want.clone())
+            .collect()
     }
 }
--- a/crates/tinbay-core/tests/serving_placement_test.rs
+++ b/crates/tinbay-core/tests/serving_placement_test.rs
@@ -319,7 +319,7 @@
     for _ in 0..400 {
         rate.note(4_000, 100.0);
     }
-    assert!((rate.tokens_a_ms() - 40.0).abs() < 1.0);
+    assert!((rate.tokens_per_ms() - 40.0).abs() < 1.0);
     assert!((rate.time_ms(8_000) - 200.0).abs() < 10.0);
 }
 
@@ -331,11 +331,11 @@
     for _ in 0..400 {
         rate.note_answer(700, 0.0, 3_000.0);
     }
-    assert!(rate.tokens_a_ms() < 3.0);
+    assert!(rate.tokens_per_ms() < 3.0);
     for _ in 0..2_000 {
         rate.note_answer(700, 5_000.0, 20.0);
     }
-    assert!(rate.tokens_a_ms() > 20.0);
+    assert!(rate.tokens_per_ms() > 20.0);
 }
 
 #[test]
@@ -353,7 +353,7 @@
     let mut rate = PrefillRate::default();
     rate.note(1_602, 0.0);
     rate.note(15_689, 0.0);
-    assert!(rate.tokens_a_ms() <= 400.0);
+    assert!(rate.tokens_per_ms() <= 400.0);
 }
 
 #[test]
@@ -363,7 +363,7 @@
         for (tokens, took_ms) in notes {
             rate.note(u32::from(tokens) * 40, f64::from(took_ms));
         }
-        (2.0..=400.0).contains(&rate.tokens_a_ms())
+        (2.0..=400.0).contains(&rate.tokens_per_ms())
     }
     QuickCheck::new().quickcheck(property as fn(Vec<(u16, u16)>) -> bool);
 }
