--- a/crates/tinbay-core/src/handover/events.rs
+++ b/crates/tinbay-core/src/handover/events.rs
@@ -20,18 +20,17 @@
 }
 
 impl EventScanner {
-    /// Processes the next bytes; returns how many of them belong to events that are complete by
-    /// then.
+    /// Processes the next bytes; returns how many of them belong to events that end in them.
     pub fn scan(&mut self, bytes: &[u8]) -> usize {
-        let mut whole = 0;
+        let mut complete_bytes = 0;
         for (position, byte) in bytes.iter().enumerate() {
             match byte {
-                b'\n' if self.end_line() => whole = position + 1,
+                b'\n' if self.end_line() => complete_bytes = position + 1,
                 b'\n' | b'\r' => {}
                 _ => self.extend_line(*byte),
             }
         }
-        whole
+        complete_bytes
     }
 
     /// Discards an incomplete event, which another server sends again.
--- a/crates/tinbay-core/src/handover/roles.rs
+++ b/crates/tinbay-core/src/handover/roles.rs
@@ -1,4 +1,4 @@
-//! Assigns each engine of a service a role, where some prefill for others.
+//! Assigns the engines of a service the roles of prefill and decode engines.
 //!
 //! All boxes assign the same roles from what they all know, the servers and their availability
 //! zones, so that no coordination is needed. When a server joins or leaves, at most one other
@@ -9,7 +9,7 @@
 use crate::rendezvous;
 
 /// Fraction of a zone's engines that prefill for the others. With too few of them all prompts wait,
-/// which is worse than no hand-over; with more of them too little room is left for decoding.
+/// which is worse than no handover; with more of them too little capacity is left for decoding.
 const PREFILL_FRACTION: f64 = 0.45;
 
 /// Least number of engines in a zone with separate roles.
@@ -26,13 +26,13 @@
     adapters as f64 <= MAX_SLOTS_FRACTION * places as f64
 }
 
-/// Key of the rendezvous hash that ranks the engines.
+/// Key of the rendezvous hash that ranks the engines; another value would change all roles.
 const RANKING_KEY: &str = "readers";
 
 /// Role of an engine in its service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Role {
-    /// Prefills prompts, whose runs then move to another engine.
+    /// Prefills prompts, whose runs are then handed over to a decode engine.
     Prefill,
     /// Decodes runs that a prefill engine began.
     Decode,
--- a/crates/tinbay-core/src/handover/transitions.rs
+++ b/crates/tinbay-core/src/handover/transitions.rs
@@ -1,4 +1,4 @@
-//! Steps of one hand-over: what to do after each answer, lost answer or refusal.
+//! Steps of one handover: what to do after each answer, lost answer or refusal.
 //!
 //! A run is at one server at a time: the source is stopped before any other server is asked to
 //! resume, and no server is asked after one that may have resumed the run.
@@ -11,8 +11,8 @@
         /// Name of the copy at both servers.
         handle: String,
     },
-    /// The run is stopped but could not be copied, for lack of room or connection; the source keeps
-    /// it.
+    /// The run is stopped but could not be copied, as the target has no space or cannot be reached;
+    /// the source keeps it.
     Kept {
         /// Name of the stopped run.
         handle: String,
@@ -53,7 +53,7 @@
     Source,
 }
 
-/// Next step of the hand-over.
+/// Next step of the handover.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Step {
     /// Ask a server to resume the run.
@@ -63,9 +63,9 @@
         /// Name of the copy.
         handle: String,
     },
-    /// Keep reading from the source as if no hand-over had been requested.
+    /// Keep reading from the source as if no handover had been requested.
     Continue,
-    /// The hand-over is complete and the run continues at this server.
+    /// The handover is complete and the run continues at this server.
     Done(Place),
     /// The run cannot be resumed; the caller's answer is cut off.
     Lost,
