--- a/crates/tinbay-core/src/hedge.rs
+++ b/crates/tinbay-core/src/hedge.rs
@@ -7,14 +7,14 @@
 use crate::pace::answer_times::ResponseTimes;
 use crate::units::Millis;
 
-/// Quantile of the answer times after which a request is hedged: one in twenty is, and most of the
-/// late ones are among these.
+/// Quantile of the response times after which a request is hedged: this hedges one request in
+/// twenty, among them most of those that would be late.
 const HEDGE_QUANTILE: f64 = 0.95;
 
-/// Minimum wait before hedging; an earlier second send costs more than it gains.
+/// Minimum wait before hedging; an earlier hedge costs more than it gains.
 const MIN_WAIT_MS: f64 = 5.0;
 
-/// State of a request that decides about hedging.
+/// Properties of a request from which it is decided whether it is hedged.
 #[derive(Debug, Clone, Copy)]
 pub struct HedgeCase {
     /// Whether the request may run more than once.
@@ -24,7 +24,7 @@
     pub is_plain: bool,
     /// Number of further servers that it may be sent to.
     pub sends_left: u32,
-    /// Time left until the answer is late.
+    /// Time left until the request times out.
     pub left_ms: Millis,
 }
 
--- a/crates/tinbay-core/src/pace/answer_times.rs
+++ b/crates/tinbay-core/src/pace/answer_times.rs
@@ -1,4 +1,4 @@
-//! Response times of a service over a sliding window of two halves.
+//! Quantiles of the response times of a service over a sliding window of two halves.
 
 use crate::units::Millis;
 
@@ -15,56 +15,57 @@
 pub const MIN_ANSWERS: u32 = 20;
 
 #[derive(Debug, Clone, PartialEq, Eq)]
-struct Half {
+struct HalfWindow {
     counts: [u16; BUCKETS],
-    sum: u32,
+    total: u32,
 }
 
-impl Default for Half {
+impl Default for HalfWindow {
     fn default() -> Self {
         Self {
             counts: [0; BUCKETS],
-            sum: 0,
+            total: 0,
         }
     }
 }
 
-/// Histogram of the response times of a service, in the newest half of the window and the one
-/// before.
+/// Histogram of the response times of a service, in the newest half of the window and the previous
+/// one.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct ResponseTimes {
-    newest: Half,
-    before: Half,
-    began_ms: Millis,
+    newest: HalfWindow,
+    previous: HalfWindow,
+    newest_began_ms: Millis,
 }
 
 impl ResponseTimes {
     /// Records the response time of an answer, or the time after which an answer was no longer
     /// awaited.
     pub fn note(&mut self, took_ms: f64, now_ms: Millis) {
-        if now_ms >= self.began_ms + 2 * HALF_WINDOW_MS {
+        if now_ms >= self.newest_began_ms + 2 * HALF_WINDOW_MS {
             *self = Self::default();
-            self.began_ms = now_ms;
-        } else if now_ms >= self.began_ms + HALF_WINDOW_MS {
-            self.before = std::mem::take(&mut self.newest);
-            self.began_ms = now_ms;
+            self.newest_began_ms = now_ms;
+        } else if now_ms >= self.newest_began_ms + HALF_WINDOW_MS {
+            self.previous = std::mem::take(&mut self.newest);
+            self.newest_began_ms = now_ms;
         }
         let count = &mut self.newest.counts[bucket(took_ms)];
         *count = count.saturating_add(1);
-        self.newest.sum += 1;
+        self.newest.total += 1;
     }
 
-    /// Time within which the fraction `part` of the answers arrived; none while too few are known.
-    pub fn quantile_ms(&self, part: f64) -> Option<f64> {
-        let sum = self.newest.sum + self.before.sum;
-        if sum < MIN_ANSWERS {
+    /// Time within which the fraction `quantile` of the answers arrived; none while too few are
+    /// known.
+    pub fn quantile_ms(&self, quantile: f64) -> Option<f64> {
+        let total = self.newest.total + self.previous.total;
+        if total < MIN_ANSWERS {
             return None;
         }
-        let wanted = part * f64::from(sum);
-        let halves = self.newest.counts.iter().zip(&self.before.counts);
+        let wanted = quantile * f64::from(total);
+        let halves = self.newest.counts.iter().zip(&self.previous.counts);
         let mut seen = 0.0;
-        for (position, (newest, before)) in halves.enumerate() {
-            seen += f64::from(*newest) + f64::from(*before);
+        for (position, (newest, previous)) in halves.enumerate() {
+            seen += f64::from(*newest) + f64::from(*previous);
             if seen >= wanted {
                 return Some(upper_bound_ms(position));
             }
--- a/crates/tinbay-core/src/pace/mod.rs
+++ b/crates/tinbay-core/src/pace/mod.rs
@@ -1,7 +1,8 @@
 //! Response times of a service, and the speed of each server compared with them.
 //!
-//! A few servers of a service with short requests may each be slow for some hundred milliseconds,
-//! while answers must arrive within a few times the processing time.
+//! Servers of a service with short requests may be slow for some hundred milliseconds at a time,
+//! while answers must arrive within a few times the usual response time. A box measures the speed
+//! of each server from its own requests and avoids slow ones.
 
 pub mod answer_times;
 pub mod slowness;
--- a/crates/tinbay-core/src/retry.rs
+++ b/crates/tinbay-core/src/retry.rs
@@ -61,7 +61,7 @@
     }
 }
 
-/// State of a request after an attempt, which decides about a retry.
+/// State of a request after an attempt, from which it is decided whether it is retried.
 #[derive(Debug, Clone, Copy)]
 pub struct RetryCase {
     /// Outcome of the attempt.
@@ -81,22 +81,22 @@
 /// The request as a whole did not run only if none of its attempts did.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct AttemptEnds {
-    maybe_ran: bool,
+    may_have_run: bool,
 }
 
 impl AttemptEnds {
     /// Adds the outcome of an attempt.
     pub fn note(&mut self, end: AttemptEnd) {
-        self.maybe_ran |= end != AttemptEnd::NotRun;
+        self.may_have_run |= end != AttemptEnd::NotRun;
     }
 
     /// Whether certainly none of the attempts ran.
     pub fn are_all_not_run(&self) -> bool {
-        !self.maybe_ran
+        !self.may_have_run
     }
 }
 
-/// A request is not retried.
+/// Reason why a request is not retried.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum NoRetry {
     /// Part of the answer was already sent to the caller, or the answer is complete.
