--- a/crates/tinbay-core/tests/handover_test.rs
+++ b/crates/tinbay-core/tests/handover_test.rs
@@ -1,4 +1,4 @@
-//! Hand-over of running streams: scanning events, detecting the need, assigning roles, and the
+//! Handover of running streams: scanning events, detecting the need, assigning roles, and the
 //! steps.
 
 use quickcheck::quickcheck;
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn reads_beside_short_prompts_alone() {
+fn only_short_prompts_are_prefilled_beside_streams() {
     assert!(can_prefill_beside_streams(40.0, 300));
     assert!(!can_prefill_beside_streams(110.0, 300));
     assert!(!can_prefill_beside_streams(f64::NAN, 300));
@@ -127,7 +127,7 @@
 }
 
 fn count(roles: &[Role], role: Role) -> usize {
-    roles.iter().filter(|of| **of == role).count()
+    roles.iter().filter(|other| **other == role).count()
 }
 
 #[test]
@@ -138,7 +138,7 @@
     for zone in ["a", "b", "c", "d"] {
         for role in [Role::Prefill, Role::Decode] {
             let mut of_zone = engines.iter().zip(&roles);
-            assert!(of_zone.any(|(engine, of)| engine.zone == zone && *of == role));
+            assert!(of_zone.any(|(engine, assigned)| engine.zone == zone && *assigned == role));
         }
     }
 }
@@ -170,15 +170,15 @@
     let engines = engines(&addresses);
     let before = assign_roles(&engines);
     let after = assign_roles(&engines[1..]);
-    let moved = before[1..]
+    let changed = before[1..]
         .iter()
         .zip(&after)
         .filter(|(left, right)| left != right);
-    assert!(moved.count() <= 3);
+    assert!(changed.count() <= 3);
 }
 
 #[test]
-fn roles_of_few_servers_are_the_same() {
+fn roles_in_small_zones_are_all_decode() {
     let addresses = addresses(8);
     let roles = assign_roles(&engines(&addresses));
     assert_eq!(count(&roles, Role::Decode), 8);
@@ -209,7 +209,7 @@
 }
 
 #[test]
-fn steps_no_room_at_the_target_resumes_at_the_source() {
+fn steps_run_kept_by_the_source_resumes_there() {
     let step = after_move(MoveAnswer::Kept { handle: "h".into() });
     assert_eq!(step, resume(Place::Source));
 }
--- a/crates/tinbay-core/tests/hedge_test.rs
+++ b/crates/tinbay-core/tests/hedge_test.rs
@@ -1,4 +1,4 @@
-//! Tests of hedging and of the budget that it shares with sends after failures.
+//! Hedging, and the budget that hedges share with retries.
 
 use quickcheck::QuickCheck;
 use tinbay_core::hedge::{HedgeCase, hedge_after_ms};
@@ -21,7 +21,7 @@
     }
 }
 
-/// Answer times of 20 ms, and 60 ms for one in ten.
+/// Response times of 20 ms, and 60 ms for one in ten.
 fn times() -> ResponseTimes {
     let mut times = ResponseTimes::default();
     for number in 0..100 {
@@ -31,15 +31,15 @@
     times
 }
 
-/// The wait follows the quantile of the service's own answer times.
+/// The wait follows a quantile of the service's own response times.
 #[test]
 fn hedge_after_the_services_own_late_answers() {
-    let after_ms = hedge_after_ms(&case(), &times()).expect("it may run twice");
+    let after_ms = hedge_after_ms(&case(), &times()).expect("the request is hedged");
     assert!((60..=67).contains(&after_ms), "{after_ms}");
 }
 
 #[test]
-fn hedge_of_what_may_run_once_is_none() {
+fn hedge_of_unrepeatable_request_is_none() {
     let once = HedgeCase {
         is_repeatable: false,
         ..case()
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn hedge_of_what_needs_an_adapter_is_none() {
+fn hedge_of_request_for_an_adapter_is_none() {
     let adapter = HedgeCase {
         is_plain: false,
         ..case()
@@ -88,26 +88,26 @@
             sends_left,
             left_ms: Millis::from(left_ms),
         };
-        let may = is_repeatable && is_plain && sends_left > 0;
+        let may_hedge = is_repeatable && is_plain && sends_left > 0;
         hedge_after_ms(&case, &times())
-            .is_none_or(|after_ms| may && after_ms > 0 && after_ms < case.left_ms)
+            .is_none_or(|after_ms| may_hedge && after_ms > 0 && after_ms < case.left_ms)
     }
     QuickCheck::new().quickcheck(holds as fn(bool, bool, u32, u16) -> bool);
 }
 
-/// When all servers slow down at once and every request would be hedged, half of the budget for
-/// second sends remains for failures.
+/// When all servers slow down at once and every request would be hedged, half of the budget remains
+/// for retries.
 #[test]
-fn budget_of_hedges_leaves_half_for_failures() {
+fn budget_of_hedges_leaves_half_for_retries() {
     let mut budget = AttemptBudget::default();
     for now_ms in 0..1_000 {
         budget.note_first_attempt(now_ms);
     }
     let count = |is_taken: &mut dyn FnMut() -> bool| (0..1_000).filter(|_| is_taken()).count();
-    let hedged = count(&mut || budget.take_hedge(&TERMS, 1, 1_000));
-    let failed = count(&mut || budget.take_retry(&TERMS, 1, 1_000));
-    assert!(hedged > 0);
-    assert!(failed >= hedged);
+    let hedges = count(&mut || budget.take_hedge(&TERMS, 1, 1_000));
+    let retries = count(&mut || budget.take_retry(&TERMS, 1, 1_000));
+    assert!(hedges > 0);
+    assert!(retries >= hedges);
     let allowed = TERMS.ratio * 1_000.0 + TERMS.extra;
-    assert!((hedged + failed) as f64 <= allowed);
+    assert!((hedges + retries) as f64 <= allowed);
 }
--- a/crates/tinbay-core/tests/pace_test.rs
+++ b/crates/tinbay-core/tests/pace_test.rs
@@ -35,23 +35,23 @@
 #[test]
 fn quantile_is_near_the_true_one() {
     let times = times_of((1..=1_000).map(f64::from));
-    for part in [0.1, 0.5, 0.95] {
-        let observed_ms = times.quantile_ms(part).expect("answers enough");
-        let true_ms = part * 1_000.0;
+    for quantile in [0.1, 0.5, 0.95] {
+        let observed_ms = times.quantile_ms(quantile).expect("enough answers");
+        let true_ms = quantile * 1_000.0;
         assert!(
             (observed_ms / true_ms - 1.0).abs() <= 0.11,
-            "{part}: {observed_ms}"
+            "{quantile}: {observed_ms}"
         );
     }
 }
 
 #[test]
-fn quantile_forgets_what_is_long_past() {
+fn quantile_drops_answers_before_the_window() {
     let mut times = times_of((0..100).map(|_| 500.0));
     for number in 0..100 {
         times.note(10.0, 31_000 + number);
     }
-    let observed_ms = times.quantile_ms(0.95).expect("answers enough");
+    let observed_ms = times.quantile_ms(0.95).expect("enough answers");
     assert!(observed_ms <= 11.0, "{observed_ms}");
 }
 
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn slowed_load_of_servers_alike_is_their_load() {
+fn slowed_load_without_slowness_is_the_load() {
     assert_eq!(slowed_load(0.7, 0.2, 1.0), 0.7);
 }
 
@@ -108,7 +108,7 @@
 
 /// Fraction of answers within the objective, with each request sent either to the least loaded
 /// server or to a random one.
-fn fraction_in_time(is_chosen: bool) -> f64 {
+fn fraction_in_time(chooses_least_loaded: bool) -> f64 {
     let mut rng = SmallRng::seed_from_u64(3);
     let mut servers = [Slowness::default(); 4];
     let mut slow_until_ms = [0; 4];
@@ -128,7 +128,7 @@
             .map(|offset| (any + offset) % servers.len())
             .min_by(|left, right| load(&servers[*left]).total_cmp(&load(&servers[*right])))
             .unwrap_or(any);
-        let server = if is_chosen { best } else { any };
+        let server = if chooses_least_loaded { best } else { any };
         let factor = if now_ms < slow_until_ms[server] {
             SLOW_FACTOR
         } else {
@@ -146,6 +146,6 @@
 /// the least loaded server must halve the late answers.
 #[test]
 fn choosing_by_slowness_halves_late_answers() {
-    let (any, chosen) = (fraction_in_time(false), fraction_in_time(true));
-    assert!(1.0 - chosen <= 0.5 * (1.0 - any), "{any} {chosen}");
+    let (random, chosen) = (fraction_in_time(false), fraction_in_time(true));
+    assert!(1.0 - chosen <= 0.5 * (1.0 - random), "{random} {chosen}");
 }
--- a/crates/tinbay-core/tests/retry_test.rs
+++ b/crates/tinbay-core/tests/retry_test.rs
@@ -1,4 +1,4 @@
-//! Tests of the retry rules and the retry budget.
+//! Retry rules and the retry budget.
 
 use tinbay_core::retry::{AttemptEnd, NoRetry, RetryBudget, RetryCase, check_retry};
 
@@ -11,7 +11,7 @@
 };
 
 #[test]
-fn check_retry_names_the_bound_that_ends_the_attempts() {
+fn check_retry_returns_the_reason_against_a_retry() {
     assert_eq!(check_retry(&CASE), Ok(()));
     let late = RetryCase { now_ms: 20, ..CASE };
     assert_eq!(check_retry(&late), Err(NoRetry::DeadlinePassed));
@@ -20,20 +20,20 @@
         ..CASE
     };
     assert_eq!(check_retry(&begun), Err(NoRetry::AnswerBegun));
-    let unclear = RetryCase {
+    let unknown = RetryCase {
         end: AttemptEnd::Unknown,
         ..CASE
     };
-    assert_eq!(check_retry(&unclear), Err(NoRetry::NotRepeatable));
+    assert_eq!(check_retry(&unknown), Err(NoRetry::NotRepeatable));
     let repeatable = RetryCase {
         repeatable: true,
-        ..unclear
+        ..unknown
     };
     assert_eq!(check_retry(&repeatable), Ok(()));
 }
 
 #[test]
-fn retry_budget_pays_for_a_fifth_of_the_requests() {
+fn retry_budget_allows_retries_of_a_fifth_of_the_requests() {
     let mut budget = RetryBudget::default();
     while budget.spend() {}
     for _ in 0..50 {
--- a/crates/tinbay-core/tests/serving_claims_test.rs
+++ b/crates/tinbay-core/tests/serving_claims_test.rs
@@ -166,15 +166,20 @@
 /// different origins.
 #[test]
 fn may_take_never_within_gap_of_last_order() {
-    fn property(queries: Vec<u16>, gone_after: u16, seen_later: u16, offset: u16) -> TestResult {
-        let gone_ms = u64::from(gone_after);
+    fn property(
+        queries: Vec<u16>,
+        missing_after_ms: u16,
+        seen_after_ms: u16,
+        offset_ms: u16,
+    ) -> TestResult {
+        let missing_ms = u64::from(missing_after_ms);
         let mut proof = Proof::default();
-        for asked in queries.iter().map(|asked| u64::from(*asked)) {
-            if asked <= gone_ms {
-                proof.renew(asked);
+        for sent_ms in queries.iter().map(|sent_ms| u64::from(*sent_ms)) {
+            if sent_ms <= missing_ms {
+                proof.renew(sent_ms);
             }
         }
-        let last_order_ms = (0..=gone_ms + TERMS.proof_life_ms)
+        let last_order_ms = (0..=missing_ms + TERMS.proof_life_ms)
             .rev()
             .step_by(50)
             .find(|now_ms| proof.holds(&TERMS, *now_ms));
@@ -182,8 +187,8 @@
             return TestResult::discard();
         };
         let held = table("holder", false, 0);
-        let offset_ms = u64::from(offset);
-        let since_ms = gone_ms + u64::from(seen_later) + offset_ms;
+        let offset_ms = u64::from(offset_ms);
+        let since_ms = missing_ms + u64::from(seen_after_ms) + offset_ms;
         let first_order_ms = (since_ms..)
             .step_by(50)
             .find(|now_ms| {
--- a/crates/tinbay-core/tests/serving_contents_test.rs
+++ b/crates/tinbay-core/tests/serving_contents_test.rs
@@ -1,4 +1,5 @@
-//! What a holder orders: never more adapters than slots, no adapter twice, and the newest versions.
+//! Orders that a holder sends: never more adapters than slots, no adapter twice, and the newest
+//! versions.
 
 use quickcheck::QuickCheck;
 use tinbay_core::serving::configuration::{EngineProperties, ModelSpec};
@@ -71,10 +72,10 @@
     now_ms: u64,
 ) -> Option<Action> {
     let mut allowance = FakeAllowance { is_left, taken: 0 };
-    contents.next_action(wants, &look(&|_| false, now_ms), &mut allowance)
+    contents.next_action(wants, &context(&|_| false, now_ms), &mut allowance)
 }
 
-fn look(is_in_use: &dyn Fn(AdapterKey) -> bool, now_ms: u64) -> OrderContext<'_> {
+fn context(is_in_use: &dyn Fn(AdapterKey) -> bool, now_ms: u64) -> OrderContext<'_> {
     OrderContext {
         named: &|_| None,
         is_in_use,
@@ -123,7 +124,7 @@
         is_left: true,
         taken: 0,
     };
-    let action = contents.next_action(&[want("m/a")], &look(&|_| false, 0), &mut allowance);
+    let action = contents.next_action(&[want("m/a")], &context(&|_| false, 0), &mut allowance);
     assert_eq!(action, Some(load("m/a", 4)));
     assert_eq!(allowance.taken, 0);
     let mut contents = known_contents(2, &[]);
@@ -167,7 +168,7 @@
 }
 
 #[test]
-fn next_action_keeps_what_was_just_used() {
+fn next_action_keeps_a_recently_used_adapter() {
     let mut contents = known_contents(1, &[("m/a", 1)]);
     contents.note_uses(adapter_key("m/a"), 1, 1_000);
     assert_eq!(next(&mut contents, &[want("m/b")], true, 1_050), None);
@@ -176,17 +177,17 @@
 /// An adapter in use is kept however long ago its last request began, as that request may still
 /// run.
 #[test]
-fn next_action_never_unloads_what_is_in_use() {
+fn next_action_never_unloads_an_adapter_in_use() {
     let contents = known_contents(1, &[("m/a", 1)]);
     let mut allowance = FakeAllowance {
         is_left: true,
         taken: 0,
     };
     let is_in_use = |key| key == adapter_key("m/a");
-    let look = look(&is_in_use, 60_000);
+    let context = context(&is_in_use, 60_000);
     assert!(!contents.takes_loads(&is_in_use, 60_000));
     assert_eq!(
-        contents.next_action(&[want("m/b")], &look, &mut allowance),
+        contents.next_action(&[want("m/b")], &context, &mut allowance),
         None
     );
 }
@@ -232,8 +233,8 @@
     assert_eq!(action, Some(expected));
 }
 
-/// Otherwise the server would delay the order, and all requests for the adapter, until the last
-/// running request ends.
+/// The server would delay the order to replace the version, and all requests for the adapter, until
+/// the last running request ends.
 #[test]
 fn next_action_never_replaces_a_busy_version() {
     let mut contents = known_contents(2, &[("m/a", 1)]);
@@ -251,12 +252,12 @@
         is_left: true,
         taken: 0,
     };
-    let look = OrderContext {
+    let context = OrderContext {
         named: &named,
         is_in_use: &|_| false,
         now_ms: 5_000,
     };
-    let action = contents.next_action(&[want("m/c")], &look, &mut allowance);
+    let action = contents.next_action(&[want("m/c")], &context, &mut allowance);
     let expected = Action::Unload {
         adapter: "m/a".into(),
         expected_count: 4,
@@ -309,7 +310,7 @@
 /// A server that follows its orders, with arbitrary load requests and lost answers: the holder
 /// never orders more adapters than slots.
 #[test]
-fn next_action_never_beyond_places() {
+fn next_action_never_exceeds_slots() {
     fn property(steps: Vec<(u8, bool)>) -> bool {
         let slots = 3;
         let mut contents = known_contents(slots, &[]);
@@ -410,15 +411,14 @@
     assert_eq!(next(&mut contents, &[want("m/b")], true, now_ms + 1), None);
 }
 
-/// Guards against servers that lose orders being limited to one load at a time: 57 of 310 adapters
-/// were never served, and 5,888 requests were refused at once as their adapter would come too late.
+/// Guards against servers that lose orders being limited to one load at a time, so that some
+/// adapters are never served and requests are refused as their adapter would be loaded too late.
 ///
-/// Whether a load is complete is seen by the answer to an order. With most orders answered late or
-/// never, loads of 250 ms were seen to be complete a second late. The delay was taken for the
-/// duration of the load: it counted as a slow weight store, and callers were told to wait 8,769 ms
-/// in the median.
+/// Whether a load is complete is seen by the answer to an order. Where most orders are answered late
+/// or never, a load of 250 ms is seen to be complete a second late. This delay must not count as
+/// part of the load, which would indicate a slow weight store.
 #[test]
-fn load_seen_late_is_no_slow_load() {
+fn load_seen_late_is_not_a_slow_load() {
     let mut contents = known_contents(16, &[]);
     let mut now_ms = 0;
     for number in 0..10 {
--- a/crates/tinbay-core/tests/serving_late_orders_test.rs
+++ b/crates/tinbay-core/tests/serving_late_orders_test.rs
@@ -202,7 +202,6 @@
         Report {
             order_count: state.count,
             is_busy: self.is_blocked_by_unloads && !state.unloading.is_empty(),
-
             models: vec!["m".into()],
             adapters: state.held.iter().map(known).collect(),
             ..Report::default()
@@ -241,7 +240,8 @@
     contents: Contents,
     wants: WantedLoads,
     now_ms: Millis,
-    ask_ms: Millis,
+    next_request_ms: Millis,
+    /// Fraction of messages that are lost.
     loss: f64,
 }
 
@@ -256,14 +256,14 @@
             contents: Contents::new(&spec(), 0),
             wants: WantedLoads::default(),
             now_ms: 0,
-            ask_ms: 0,
+            next_request_ms: 0,
             loss,
         }
     }
 
     fn run_until(mut self, until_ms: Millis) -> Self {
         while self.now_ms < until_ms {
-            self.ask();
+            self.request_adapter();
             let wants = self.wants.current(self.now_ms);
             match self.next_action(&wants) {
                 None => self.advance(20),
@@ -294,21 +294,21 @@
             .filter(known)
             .map(|run| adapter_key(&run.adapter))
             .collect();
-        let look = OrderContext {
+        let context = OrderContext {
             named: &|_| None,
             is_in_use: &|key| in_use.contains(&key),
             now_ms: self.now_ms,
         };
-        self.contents.next_action(wants, &look, &mut NoAllowance)
+        self.contents.next_action(wants, &context, &mut NoAllowance)
     }
 
     /// Requests arrive for random adapters, and run if the server holds theirs. The holder learns
     /// of that later, so that it may unload an adapter that has just come into use.
-    fn ask(&mut self) {
-        if self.now_ms < self.ask_ms {
+    fn request_adapter(&mut self) {
+        if self.now_ms < self.next_request_ms {
             return;
         }
-        self.ask_ms = self.now_ms + REQUEST_INTERVAL_MS;
+        self.next_request_ms = self.now_ms + REQUEST_INTERVAL_MS;
         let adapter = format!("m/a{}", self.random.random_range(0..ADAPTERS));
         if self.server.serves(&adapter) {
             let run_ms = self.random.random_range(50..MAX_REQUEST_MS);
@@ -374,22 +374,21 @@
 
 /// Guards against ordering a server to load more adapters than it has slots.
 ///
-/// While an unload waits for a request that has just begun, all orders get a conflict. An order
-/// sent meanwhile has no answer and then a conflict, and was assumed to be carried out, as were
-/// those after it, each with a higher count. A report then shows a far lower count, from which the
-/// holder continues with other orders; when the count reaches that of a lost order, that one is
-/// carried out into a slot that is taken. Or a poll of a load is carried out late and counts, and
-/// the conflict after it is taken for acceptance of the unload that followed.
+/// While an unload waits for a running request, all orders get a conflict. If the holder takes the
+/// conflict after a lost answer for acceptance, it continues with counts that are too high. After a
+/// report with a lower count it sends other orders for the same counts, and a delayed order is
+/// carried out into a slot that is taken. Likewise, a poll of a load may be carried out late and
+/// counted as an order, and the conflict after it be taken for acceptance of an unload.
 ///
 /// A conflict says only that some order is in progress or that the count differs, and not that the
 /// last order was carried out; and one count must not be used for several orders.
 #[test]
-fn order_lost_never_overfills() {
+fn order_lost_never_exceeds_slots() {
     for seed in 0..SEEDS {
         let simulation = Simulation::new(seed).run_until(RUN_MS);
         assert!(
             simulation.server.most_held <= SLOTS,
-            "seed {seed}: {} adapters in {SLOTS} places",
+            "seed {seed}: {} adapters in {SLOTS} slots",
             simulation.server.most_held
         );
     }
@@ -398,7 +397,7 @@
 /// All adapters are requested equally often; however many orders are lost, each one is loaded
 /// eventually.
 #[test]
-fn order_lost_lets_every_adapter_come_to_its_turn() {
+fn order_lost_does_not_keep_any_adapter_from_loading() {
     for seed in 0..SEEDS {
         let simulation = Simulation::new(seed).run_until(LONG_RUN_MS);
         assert_eq!(
--- a/crates/tinbay-core/tests/serving_notices_test.rs
+++ b/crates/tinbay-core/tests/serving_notices_test.rs
@@ -13,40 +13,40 @@
 
 #[test]
 fn note_back_off_expires() {
-    let mut said = Announced::default();
-    said.note(back_off(3_000), 1_000);
+    let mut announced = Announced::default();
+    announced.note(back_off(3_000), 1_000);
     // The true time may be almost a millisecond ahead of the clock reading.
-    assert_eq!(said.back_off_until_ms(4_000), Some(4_001));
-    assert_eq!(said.back_off_until_ms(4_001), None);
+    assert_eq!(announced.back_off_until_ms(4_000), Some(4_001));
+    assert_eq!(announced.back_off_until_ms(4_001), None);
 }
 
-/// An answer to a request in flight does not mention the back-off, which must continue.
+/// Answers to requests sent before the back-off carry none; they must not end it.
 #[test]
 fn note_without_back_off_does_not_end_one() {
-    let mut said = Announced::default();
-    said.note(back_off(3_000), 0);
-    said.note(AnswerNotice::default(), 100);
-    said.note(back_off(0), 200);
-    assert_eq!(said.back_off_until_ms(2_999), Some(3_001));
+    let mut announced = Announced::default();
+    announced.note(back_off(3_000), 0);
+    announced.note(AnswerNotice::default(), 100);
+    announced.note(back_off(0), 200);
+    assert_eq!(announced.back_off_until_ms(2_999), Some(3_001));
 }
 
 #[test]
 fn note_endless_back_off_does_not_overflow() {
-    let mut said = Announced::default();
-    said.note(back_off(u64::MAX), 5);
-    assert_eq!(said.back_off_until_ms(u64::MAX - 1), Some(u64::MAX));
+    let mut announced = Announced::default();
+    announced.note(back_off(u64::MAX), 5);
+    assert_eq!(announced.back_off_until_ms(u64::MAX - 1), Some(u64::MAX));
 }
 
 /// Whatever answers arrive in whatever order, no answer withdraws what another one announced.
 #[test]
-fn note_any_answers_keeps_all_that_was_said() {
+fn note_any_answers_keeps_all_that_was_announced() {
     fn keeps(answers: Vec<(bool, Option<u16>, u8)>) -> bool {
-        let mut said = Announced::default();
+        let mut announced = Announced::default();
         let mut now_ms = 0;
         let mut was_leaving = false;
         let mut until_ms = 0;
-        answers.iter().all(|(is_leaving, back_off_ms, pause_ms)| {
-            now_ms += u64::from(*pause_ms);
+        answers.iter().all(|(is_leaving, back_off_ms, delay_ms)| {
+            now_ms += u64::from(*delay_ms);
             was_leaving |= is_leaving;
             let back_off_until_ms =
                 back_off_ms.map(|back_off_ms| now_ms + u64::from(back_off_ms) + 1);
@@ -60,10 +60,10 @@
                 back_off_ms: back_off_ms.map(u64::from),
                 ..AnswerNotice::default()
             };
-            said.note(notice, now_ms);
-            let rests = said.back_off_until_ms(now_ms);
-            said.is_leaving() == was_leaving
-                && rests == Some(until_ms).filter(|until_ms| now_ms < *until_ms)
+            announced.note(notice, now_ms);
+            let back_off_ends_ms = announced.back_off_until_ms(now_ms);
+            announced.is_leaving() == was_leaving
+                && back_off_ends_ms == Some(until_ms).filter(|until_ms| now_ms < *until_ms)
         })
     }
     QuickCheck::new().quickcheck(keeps as fn(Vec<(bool, Option<u16>, u8)>) -> bool);
--- a/crates/tinbay-core/tests/serving_pacing_test.rs
+++ b/crates/tinbay-core/tests/serving_pacing_test.rs
@@ -26,25 +26,25 @@
 }
 
 #[test]
-fn deal_distributes_all_and_no_more() {
+fn split_quotas_distributes_all_and_no_more() {
     let quotas = split_quotas(54, &engines(&[3, 3, 5, 1, 2, 4]));
     assert_eq!(quotas.values().sum::<usize>(), 54);
     assert_eq!(quotas["box-2"], 15);
 }
 
 #[test]
-fn deal_without_engines_is_empty() {
+fn split_quotas_without_engines_is_empty() {
     assert!(split_quotas(54, &BTreeMap::new()).is_empty());
 }
 
 #[test]
-fn deal_same_for_every_box() {
+fn split_quotas_sum_is_what_is_allowed() {
     fn property(counts: Vec<u8>) -> bool {
         let counts: Vec<usize> = counts.iter().map(|count| usize::from(count % 20)).collect();
         let quotas = split_quotas(54, &engines(&counts));
         let total: usize = counts.iter().sum();
-        let dealt: usize = quotas.values().sum();
-        dealt == if total == 0 { 0 } else { 54 }
+        let distributed: usize = quotas.values().sum();
+        distributed == if total == 0 { 0 } else { 54 }
     }
     QuickCheck::new().quickcheck(property as fn(Vec<u8>) -> bool);
 }
@@ -60,24 +60,24 @@
             .map(|count| usize::from(count % 9))
             .collect();
         let quotas = split_quotas(BOUND.allowed(RATE_PER_S), &engines(&counts));
-        let mut begun: Vec<u64> = Vec::new();
+        let mut starts_ms: Vec<u64> = Vec::new();
         for (number, quota) in quotas.values().enumerate() {
-            let mut pace = LoadQuotaCounter::default();
+            let mut counter = LoadQuotaCounter::default();
             let start_ms = u64::from(starts.get(number).copied().unwrap_or(0));
             for now_ms in (start_ms..start_ms + 20_000).step_by(10) {
-                if pace.take(*quota, BOUND.window_ms, now_ms) {
-                    begun.push(now_ms);
+                if counter.take(*quota, BOUND.window_ms, now_ms) {
+                    starts_ms.push(now_ms);
                 }
             }
         }
-        begun.sort_unstable();
+        starts_ms.sort_unstable();
         let in_window = |start: &u64| {
-            begun
+            starts_ms
                 .iter()
                 .filter(|time| *time >= start && **time < start + BOUND.window_ms)
                 .count()
         };
-        begun
+        starts_ms
             .iter()
             .all(|start| in_window(start) <= BOUND.allowed(RATE_PER_S))
     }
@@ -90,16 +90,16 @@
 /// in the window, and all of it does a window later.
 #[test]
 fn take_grown_quota_counts_a_window_later() {
-    let mut pace = LoadQuotaCounter::default();
-    let taken = |pace: &mut LoadQuotaCounter, quota, from_ms: u64, to_ms: u64| {
+    let mut counter = LoadQuotaCounter::default();
+    let taken = |counter: &mut LoadQuotaCounter, quota, from_ms: u64, to_ms: u64| {
         (from_ms..to_ms)
             .step_by(10)
-            .filter(|now_ms| pace.take(quota, BOUND.window_ms, *now_ms))
+            .filter(|now_ms| counter.take(quota, BOUND.window_ms, *now_ms))
             .count()
     };
-    assert_eq!(taken(&mut pace, 2, 0, 5_000), 2);
-    assert!(taken(&mut pace, 20, 5_000, 10_250) <= 2);
-    assert_eq!(taken(&mut pace, 20, 10_260, 15_000), 20);
+    assert_eq!(taken(&mut counter, 2, 0, 5_000), 2);
+    assert!(taken(&mut counter, 20, 5_000, 10_250) <= 2);
+    assert_eq!(taken(&mut counter, 20, 10_260, 15_000), 20);
 }
 
 /// Engines move between boxes at arbitrary times, and all boxes take loads whenever they may; no
@@ -126,14 +126,14 @@
     let mut counts: Vec<usize> = (0..BOXES)
         .map(|number| usize::from(starts.get(number).copied().unwrap_or(3) % 5))
         .collect();
-    let mut paces: Vec<LoadQuotaCounter> =
+    let mut counters: Vec<LoadQuotaCounter> =
         (0..BOXES).map(|_| LoadQuotaCounter::default()).collect();
     let mut moves = moves.into_iter();
     let mut next_move_ms = 3_000;
-    let mut begun: Vec<u64> = Vec::new();
+    let mut starts_ms: Vec<u64> = Vec::new();
     for now_ms in (0..40_000).step_by(10) {
         if now_ms >= next_move_ms
-            && let Some((from, to, pause)) = moves.next()
+            && let Some((from, to, delay)) = moves.next()
         {
             let (from, to) = (usize::from(from) % BOXES, usize::from(to) % BOXES);
             let moved = counts[from];
@@ -141,23 +141,23 @@
             if from != to {
                 counts[to] += moved;
             }
-            next_move_ms = now_ms + 400 + u64::from(pause) * 40;
+            next_move_ms = now_ms + 400 + u64::from(delay) * 40;
         }
         let quotas = split_quotas(BOUND.allowed(RATE_PER_S), &engines(&counts));
-        for (number, pace) in paces.iter_mut().enumerate() {
+        for (number, counter) in counters.iter_mut().enumerate() {
             let quota = quotas.get(&format!("box-{number}")).copied().unwrap_or(0);
-            if pace.take(quota, BOUND.window_ms, now_ms) {
-                begun.push(now_ms);
+            if counter.take(quota, BOUND.window_ms, now_ms) {
+                starts_ms.push(now_ms);
             }
         }
     }
     let in_window = |start: &u64| {
-        begun
+        starts_ms
             .iter()
             .filter(|time| *time >= start && **time < start + BOUND.window_ms)
             .count()
     };
-    begun
+    starts_ms
         .iter()
         .all(|start| in_window(start) <= BOUND.allowed(RATE_PER_S))
 }
--- a/crates/tinbay-core/tests/serving_placement_test.rs
+++ b/crates/tinbay-core/tests/serving_placement_test.rs
@@ -29,7 +29,7 @@
 
 /// Loads requested at one server queue behind each other; the next server can begin at once.
 #[test]
-fn pick_loads_past_a_server_with_many_loads_to_do() {
+fn pick_loads_past_a_server_with_many_queued_loads() {
     let backlogged = Candidate {
         load_wait: 3.0,
         ..candidate(Presence::Absent, 0.1)
@@ -168,7 +168,7 @@
 }
 
 #[test]
-fn current_drops_what_is_asked_no_more() {
+fn current_drops_requests_that_are_not_repeated() {
     let mut wants = WantedLoads::default();
     wants.ask(want("m/a", false), 0);
     wants.ask(want("m/b", false), 0);
--- a/crates/tinbay-core/tests/serving_relays_test.rs
+++ b/crates/tinbay-core/tests/serving_relays_test.rs
@@ -27,19 +27,20 @@
     assert_eq!(relays.len(), 4);
 }
 
-/// The relays do not depend on the order of the boxes, nor on a box that is no relay leaving.
+/// The relays do not depend on the order of the boxes, and do not change when a box that is not a
+/// relay leaves.
 #[test]
 fn relays_of_same_for_every_box() {
-    fn property(count: u8, gone: u8) -> bool {
+    fn property(count: u8, leaving: u8) -> bool {
         let names = names(usize::from(count) + 2);
         let mut listed = alike(&names);
         let relays = relays_of("z1", &listed);
         listed.reverse();
         let is_same = relays_of("z1", &listed) == relays;
-        let gone = names[usize::from(gone) % names.len()].as_str();
-        listed.retain(|ranked| ranked.id != gone);
+        let leaving = names[usize::from(leaving) % names.len()].as_str();
+        listed.retain(|ranked| ranked.id != leaving);
         let after = relays_of("z1", &listed);
-        let kept = |relay: &&str| *relay == gone || after.contains(relay);
+        let kept = |relay: &&str| *relay == leaving || after.contains(relay);
         is_same && (after.len() < relays.len() || relays.iter().all(kept))
     }
     QuickCheck::new().quickcheck(property as fn(u8, u8) -> bool);
--- a/crates/tinbay-core/tests/serving_returns_test.rs
+++ b/crates/tinbay-core/tests/serving_returns_test.rs
@@ -302,10 +302,10 @@
         }
     }
 
-    fn shortest_handover_ms(&self) -> Option<u64> {
+    fn shortest_holder_gap_ms(&self) -> Option<u64> {
         let pairs = self.orders.windows(2);
-        let handovers = pairs.filter(|pair| pair[0].0 != pair[1].0);
-        handovers.map(|pair| pair[1].1 - pair[0].1).min()
+        let holder_changes = pairs.filter(|pair| pair[0].0 != pair[1].0);
+        holder_changes.map(|pair| pair[1].1 - pair[0].1).min()
     }
 }
 
@@ -327,7 +327,7 @@
 #[test]
 fn orders_of_two_holders_are_separated_by_the_gap() {
     fn keeps(events: Vec<Event>) -> bool {
-        let shortest_ms = play(&events).shortest_handover_ms();
+        let shortest_ms = play(&events).shortest_holder_gap_ms();
         shortest_ms.is_none_or(|shortest_ms| shortest_ms >= TERMS.holder_gap_ms)
     }
     QuickCheck::new()
@@ -335,9 +335,8 @@
         .quickcheck(keeps as fn(Vec<Event>) -> bool);
 }
 
-/// A box was suspended and seen to be missing, returned and was cut off, while another box that was
-/// cut off in between saw it missing before and after: the latter must not count this as one
-/// absence.
+/// One box is suspended, returns and is cut off. Another box, cut off while the first one was back,
+/// sees it missing before and after, and must not count this as one absence.
 #[test]
 fn absence_is_not_counted_over_a_gap_in_watching() {
     let event = |pause_ms, kind, box_number, lasts_ms| Event {
@@ -351,7 +350,7 @@
         event(3_715, EventKind::Cut, 3, 5_962),
         event(1_916, EventKind::Cut, 2, 5_516),
     ];
-    let shortest_ms = play(&events).shortest_handover_ms();
+    let shortest_ms = play(&events).shortest_holder_gap_ms();
     assert!(shortest_ms.is_none_or(|shortest_ms| shortest_ms >= TERMS.holder_gap_ms));
 }
 
--- a/crates/tinbay-core/tests/serving_routes_test.rs
+++ b/crates/tinbay-core/tests/serving_routes_test.rs
@@ -84,14 +84,17 @@
 
 /// Boxes that count on their own never make more extra attempts in total than allowed.
 #[test]
-fn take_second_within_terms_over_all_boxes() {
-    fn property(boxes: u8, firsts: Vec<u16>) -> bool {
+fn take_retry_within_terms_over_all_boxes() {
+    fn property(boxes: u8, first_attempts: Vec<u16>) -> bool {
         let boxes = usize::from(boxes % 9) + 1;
         let mut taken = 0;
         let mut first_count = 0;
         for _ in 0..boxes {
             let mut budget = AttemptBudget::default();
-            let mut times: Vec<u64> = firsts.iter().map(|time| u64::from(time % 5_000)).collect();
+            let mut times: Vec<u64> = first_attempts
+                .iter()
+                .map(|time| u64::from(time % 5_000))
+                .collect();
             times.sort_unstable();
             for time in &times {
                 budget.note_first_attempt(*time);
@@ -107,7 +110,7 @@
 }
 
 #[test]
-fn take_second_is_allowed_again_after_the_window() {
+fn take_retry_is_allowed_again_after_the_window() {
     let mut budget = AttemptBudget::default();
     let taken = (0..100)
         .filter(|_| budget.take_retry(&TERMS, 1, 1_000))
--- a/crates/tinbay-core/tests/serving_versions_test.rs
+++ b/crates/tinbay-core/tests/serving_versions_test.rs
@@ -4,13 +4,13 @@
 use tinbay_core::serving::versions::NamedVersions;
 use tinbay_core::units::Millis;
 
-const ALLOWED_MS: Millis = 5_000;
+const GRACE_MS: Millis = 5_000;
 
 #[test]
 fn begin_by_newest_is_unbounded() {
     let mut versions = NamedVersions::default();
     assert_eq!(versions.begin_by_ms(1), None);
-    versions.note(2, Some(1_000), ALLOWED_MS, 1_010);
+    versions.note(2, Some(1_000), GRACE_MS, 1_010);
     assert_eq!(versions.begin_by_ms(2), None);
     assert_eq!(versions.begin_by_ms(3), None);
 }
@@ -18,9 +18,9 @@
 #[test]
 fn begin_by_of_older_version_follows_first_newer_one() {
     let mut versions = NamedVersions::default();
-    versions.note(2, Some(1_000), ALLOWED_MS, 1_010);
-    versions.note(3, Some(2_500), ALLOWED_MS, 2_510);
-    versions.note(4, Some(4_000), ALLOWED_MS, 4_010);
+    versions.note(2, Some(1_000), GRACE_MS, 1_010);
+    versions.note(3, Some(2_500), GRACE_MS, 2_510);
+    versions.note(4, Some(4_000), GRACE_MS, 4_010);
     assert_eq!(versions.begin_by_ms(1), Some(6_000));
     assert_eq!(versions.begin_by_ms(2), Some(7_500));
     assert_eq!(versions.begin_by_ms(3), Some(9_000));
@@ -29,15 +29,15 @@
 #[test]
 fn begin_by_of_unknown_version_follows_first_one() {
     let mut versions = NamedVersions::default();
-    versions.note(7, Some(1_000), ALLOWED_MS, 1_010);
-    versions.note(9, Some(2_000), ALLOWED_MS, 2_010);
+    versions.note(7, Some(1_000), GRACE_MS, 1_010);
+    versions.note(9, Some(2_000), GRACE_MS, 2_010);
     assert_eq!(versions.begin_by_ms(0), Some(6_000));
 }
 
 #[test]
 fn begin_by_of_version_found_at_start_is_past() {
     let mut versions = NamedVersions::default();
-    versions.note(4, None, ALLOWED_MS, 60_000);
+    versions.note(4, None, GRACE_MS, 60_000);
     assert_eq!(versions.begin_by_ms(3), Some(0));
     assert_eq!(versions.learnt_ms(), None);
 }
@@ -45,10 +45,10 @@
 #[test]
 fn note_older_version_changes_nothing() {
     let mut versions = NamedVersions::default();
-    versions.note(4, Some(1_000), ALLOWED_MS, 1_010);
+    versions.note(4, Some(1_000), GRACE_MS, 1_010);
     let before = versions.clone();
-    assert!(!versions.note(3, Some(2_000), ALLOWED_MS, 2_010));
-    assert!(!versions.note(4, Some(2_000), ALLOWED_MS, 2_010));
+    assert!(!versions.note(3, Some(2_000), GRACE_MS, 2_010));
+    assert!(!versions.note(4, Some(2_000), GRACE_MS, 2_010));
     assert_eq!(versions, before);
 }
 
@@ -56,23 +56,23 @@
     /// However versions are published, and however late each is learnt: the deadline for beginning
     /// a request is never later than the time allowed after any newer version was published, unless
     /// it has passed already.
-    fn begin_by_is_never_after_a_newer_name_allows(versions_published: Vec<(u8, u16, u16)>) -> bool {
+    fn begin_by_is_never_after_a_newer_version_allows(steps: Vec<(u8, u16, u16)>) -> bool {
         let mut versions = NamedVersions::default();
-        let mut named_at: Vec<(u64, Millis)> = Vec::new();
-        let (mut version, mut named_ms, mut learnt_ms) = (1, 0, 0);
-        for (step, pause_ms, delay_ms) in versions_published {
+        let mut published: Vec<(u64, Millis)> = Vec::new();
+        let (mut version, mut published_ms, mut learnt_ms) = (1, 0, 0);
+        for (step, interval_ms, delay_ms) in steps {
             version += 1 + u64::from(step % 3);
-            named_ms += Millis::from(pause_ms % 4_000);
-            let known_complete_ms = named_ms.saturating_sub(Millis::from(delay_ms % 900));
-            learnt_ms = learnt_ms.max(named_ms + Millis::from(delay_ms % 1_500));
-            named_at.push((version, named_ms));
-            versions.note(version, Some(known_complete_ms), ALLOWED_MS, learnt_ms);
+            published_ms += Millis::from(interval_ms % 4_000);
+            let earliest_ms = published_ms.saturating_sub(Millis::from(delay_ms % 900));
+            learnt_ms = learnt_ms.max(published_ms + Millis::from(delay_ms % 1_500));
+            published.push((version, published_ms));
+            versions.note(version, Some(earliest_ms), GRACE_MS, learnt_ms);
         }
         (0..=version).all(|held| {
-            let allows_ms = named_at
+            let allows_ms = published
                 .iter()
                 .filter(|(newer, _)| *newer > held)
-                .map(|(_, named_ms)| named_ms + ALLOWED_MS)
+                .map(|(_, published_ms)| published_ms + GRACE_MS)
                 .min();
             match (versions.begin_by_ms(held), allows_ms) {
                 (None, None) => true,
