--- a/crates/tinbay-core/src/serving/subscribers.rs
+++ b/crates/tinbay-core/src/serving/subscribers.rs
@@ -114,7 +114,7 @@
     }
 
     /// Records that a box was sent the server's status.
-    pub fn note_told(&mut self, box_id: &str, now_ms: Millis) {
+    pub fn record_status_sent(&mut self, box_id: &str, now_ms: Millis) {
         if let Some(subscriber) = self.by_box.get_mut(box_id) {
             subscriber.status_sent_ms = Some(now_ms);
         }
--- a/crates/tinbay-core/tests/serving_placement_test.rs
+++ b/crates/tinbay-core/tests/serving_placement_test.rs
@@ -252,7 +252,7 @@
     subscribers.note_wait("box-1", 7, 0);
     subscribers.note_wait("box-2", 8, 0);
     subscribers.note_uses("box-3", uses("m/a", 1), 0);
-    subscribers.note_told("box-3", 0);
+    subscribers.record_status_sent("box-3", 0);
     assert_eq!(concerned(&subscribers, &ready(7), 999), ["box-1"]);
     assert!(concerned(&subscribers, &ready(7), 1_000).is_empty());
     assert!(concerned(&subscribers, &ContentsChange::default(), 10).is_empty());
@@ -267,7 +267,7 @@
     let mut subscribers = Subscribers::default();
     subscribers.note_wait("box-1", 7, 0);
     subscribers.hear("box-2", 0);
-    subscribers.note_told("box-2", 0);
+    subscribers.record_status_sent("box-2", 0);
     assert_eq!(concerned(&subscribers, &lost, 299), ["box-2"]);
     assert!(concerned(&subscribers, &lost, 300).is_empty());
 }
--- a/crates/tinbay-gateway/src/orders/held_server.rs
+++ b/crates/tinbay-gateway/src/orders/held_server.rs
@@ -200,7 +200,7 @@
             .map(|(key, held)| adapter_part(*key, held, self.copies(*key, slots, now_ms)))
             .collect();
         let mut subscribers = self.subscribers.borrow_mut();
-        subscribers.note_told(box_id, now_ms);
+        subscribers.record_status_sent(box_id, now_ms);
         let running = subscribers.running_of_others(box_id, now_ms);
         Some(StatusPart {
             limit: notices::of_server(node, &server),
