--- a/crates/tinbay-core/src/serving/subscribers.rs
+++ b/crates/tinbay-core/src/serving/subscribers.rs
@@ -202,7 +202,7 @@
     }
 
     /// Boxes that are to be notified of a change of the server's contents.
-    pub fn concerned<'a>(
+    pub fn boxes_affected_by<'a>(
         &'a self,
         change: &'a ContentsChange,
         now_ms: Millis,
--- a/crates/tinbay-core/tests/serving_placement_test.rs
+++ b/crates/tinbay-core/tests/serving_placement_test.rs
@@ -237,9 +237,13 @@
     }
 }
 
-fn concerned(subscribers: &Subscribers, change: &ContentsChange, now_ms: u64) -> Vec<String> {
+fn boxes_affected_by(
+    subscribers: &Subscribers,
+    change: &ContentsChange,
+    now_ms: u64,
+) -> Vec<String> {
     let mut boxes: Vec<String> = subscribers
-        .concerned(change, now_ms)
+        .boxes_affected_by(change, now_ms)
         .map(str::to_string)
         .collect();
     boxes.sort();
@@ -253,9 +257,9 @@
     subscribers.note_wait("box-2", 8, 0);
     subscribers.note_uses("box-3", uses("m/a", 1), 0);
     subscribers.record_status_sent("box-3", 0);
-    assert_eq!(concerned(&subscribers, &ready(7), 999), ["box-1"]);
-    assert!(concerned(&subscribers, &ready(7), 1_000).is_empty());
-    assert!(concerned(&subscribers, &ContentsChange::default(), 10).is_empty());
+    assert_eq!(boxes_affected_by(&subscribers, &ready(7), 999), ["box-1"]);
+    assert!(boxes_affected_by(&subscribers, &ready(7), 1_000).is_empty());
+    assert!(boxes_affected_by(&subscribers, &ContentsChange::default(), 10).is_empty());
 }
 
 #[test]
@@ -268,8 +272,8 @@
     subscribers.note_wait("box-1", 7, 0);
     subscribers.hear("box-2", 0);
     subscribers.record_status_sent("box-2", 0);
-    assert_eq!(concerned(&subscribers, &lost, 299), ["box-2"]);
-    assert!(concerned(&subscribers, &lost, 300).is_empty());
+    assert_eq!(boxes_affected_by(&subscribers, &lost, 299), ["box-2"]);
+    assert!(boxes_affected_by(&subscribers, &lost, 300).is_empty());
 }
 
 #[test]
--- a/crates/tinbay-gateway/src/orders/held_server.rs
+++ b/crates/tinbay-gateway/src/orders/held_server.rs
@@ -157,7 +157,7 @@
     /// Boxes affected by a change of the server's contents.
     pub fn affected_boxes(&self, change: &ContentsChange, now_ms: Millis) -> Vec<String> {
         let subscribers = self.subscribers.borrow();
-        let boxes = subscribers.concerned(change, now_ms);
+        let boxes = subscribers.boxes_affected_by(change, now_ms);
         boxes.map(str::to_string).collect()
     }
 
