--- a/crates/tinbay-core/src/serving/subscribers.rs
+++ b/crates/tinbay-core/src/serving/subscribers.rs
@@ -55,7 +55,7 @@
     /// Adapters that became ready, or ready in another version.
     pub ready: Vec<Fingerprint>,
     /// Whether an adapter that was ready no longer is.
-    pub has_lost: bool,
+    pub has_lost_adapter: bool,
 }
 
 #[derive(Debug)]
@@ -83,7 +83,7 @@
         let is_fresh = self
             .status_sent_ms
             .is_some_and(|status_sent_ms| now_ms < status_sent_ms + FRESH_MS);
-        (change.has_lost && is_fresh) || change.ready.iter().any(is_waiting)
+        (change.has_lost_adapter && is_fresh) || change.ready.iter().any(is_waiting)
     }
 }
 
--- a/crates/tinbay-core/tests/serving_placement_test.rs
+++ b/crates/tinbay-core/tests/serving_placement_test.rs
@@ -233,7 +233,7 @@
 fn ready(adapter: Fingerprint) -> ContentsChange {
     ContentsChange {
         ready: vec![adapter],
-        has_lost: false,
+        has_lost_adapter: false,
     }
 }
 
@@ -266,7 +266,7 @@
 fn concerned_by_lost_adapter_are_boxes_with_fresh_status() {
     let lost = ContentsChange {
         ready: Vec::new(),
-        has_lost: true,
+        has_lost_adapter: true,
     };
     let mut subscribers = Subscribers::default();
     subscribers.note_wait("box-1", 7, 0);
--- a/crates/tinbay-gateway/src/orders/holder.rs
+++ b/crates/tinbay-gateway/src/orders/holder.rs
@@ -555,7 +555,7 @@
         let now_ms = self.node.now_ms();
         let change = self.server.view.borrow_mut().note(status, now_ms);
         self.node.waiters.wake(&change.ready);
-        if change.has_lost || audience == Audience::Users {
+        if change.has_lost_adapter || audience == Audience::Users {
             self.server.status_received.notify_waiters();
         }
         let boxes = match audience {
--- a/crates/tinbay-gateway/src/servers/view.rs
+++ b/crates/tinbay-gateway/src/servers/view.rs
@@ -87,7 +87,7 @@
         };
         ContentsChange {
             ready: status.entries.keys().filter(is_new).copied().collect(),
-            has_lost: before.is_some_and(|entries| entries.keys().any(is_lost)),
+            has_lost_adapter: before.is_some_and(|entries| entries.keys().any(is_lost)),
         }
     }
 
