--- a/crates/tinbay-core/src/serving/idle_reuse.rs
+++ b/crates/tinbay-core/src/serving/idle_reuse.rs
@@ -9,7 +9,7 @@
 //!
 //! Guarantee: of the requests that may run only once and are sent on a connection that was idle
 //! longer than [`START_MS`], at most two are lost per thousand reuses, besides those already in
-//! flight at the first loss, of which there are at most [`MOST_AT_STAKE`].
+//! flight at the first loss, of which there are at most [`MAX_AT_RISK`].
 
 use super::servers::ServerKey;
 use crate::units::Millis;
@@ -27,7 +27,7 @@
 /// Upper bound of the requests without an answer yet that may run only once and were sent on
 /// connections idle for longer than [`START_MS`]. If all connections break silently at once, this
 /// many are lost.
-pub const MOST_AT_STAKE: usize = 4;
+pub const MAX_AT_RISK: usize = 4;
 
 /// Successful reuses after a loss before the idle limit may grow again.
 pub const REUSES_A_LOSS: u32 = 1_000;
@@ -108,7 +108,7 @@
 impl IdleReuseLimit {
     /// Longest idle time of a connection that may carry a request that may run only once.
     pub fn trusted_ms(&self) -> Millis {
-        if self.at_risk < MOST_AT_STAKE {
+        if self.at_risk < MAX_AT_RISK {
             self.trusted_ms
         } else {
             self.trusted_ms.min(START_MS)
--- a/crates/tinbay-core/tests/idle_reuse_test.rs
+++ b/crates/tinbay-core/tests/idle_reuse_test.rs
@@ -4,7 +4,7 @@
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 use tinbay_core::serving::idle_reuse::{
-    IdleReuseLimit, LEAST_MS, MOST_AT_STAKE, MOST_MS, REUSES_A_LOSS, Reuse, ReuseOutcome, START_MS,
+    IdleReuseLimit, LEAST_MS, MAX_AT_RISK, MOST_MS, REUSES_A_LOSS, Reuse, ReuseOutcome, START_MS,
 };
 use tinbay_core::serving::servers::ServerKey;
 use tinbay_core::units::Millis;
@@ -176,7 +176,7 @@
         assert!(learner.note_at_risk(2_000));
         sent += 1;
     }
-    assert_eq!(sent, MOST_AT_STAKE);
+    assert_eq!(sent, MAX_AT_RISK);
     assert_eq!(learner.trusted_ms(), START_MS);
     learner.release();
     assert!(learner.trusted_ms() >= 2_000);
