--- a/crates/tinbay-core/src/serving/idle_reuse.rs
+++ b/crates/tinbay-core/src/serving/idle_reuse.rs
@@ -30,7 +30,7 @@
 pub const MAX_AT_RISK: usize = 4;
 
 /// Successful reuses after a loss before the idle limit may grow again.
-pub const REUSES_A_LOSS: u32 = 1_000;
+pub const REUSES_PER_LOSS: u32 = 1_000;
 
 /// Successful reuses near the idle limit before it is doubled.
 const SUCCESSES_TO_GROW: u32 = 4;
@@ -98,7 +98,7 @@
             trusted_ms: START_MS,
             ceiling_ms: MOST_MS,
             near_successes: 0,
-            successes_since_loss: REUSES_A_LOSS,
+            successes_since_loss: REUSES_PER_LOSS,
             at_risk: 0,
             last_silent: None,
         }
@@ -143,7 +143,7 @@
 
     fn record_success(&mut self, rested_ms: Millis) {
         self.successes_since_loss = self.successes_since_loss.saturating_add(1);
-        if self.successes_since_loss >= REUSES_A_LOSS {
+        if self.successes_since_loss >= REUSES_PER_LOSS {
             self.ceiling_ms = MOST_MS;
         }
         if rested_ms < self.trusted_ms / 2 {
@@ -160,7 +160,7 @@
         if rested_ms <= LEAST_MS {
             return;
         }
-        let is_first = self.successes_since_loss >= REUSES_A_LOSS;
+        let is_first = self.successes_since_loss >= REUSES_PER_LOSS;
         let safe_ms = if is_first { rested_ms / 2 } else { LEAST_MS };
         self.trusted_ms = self.trusted_ms.min(safe_ms).max(LEAST_MS);
         self.ceiling_ms = self.trusted_ms;
--- a/crates/tinbay-core/tests/idle_reuse_test.rs
+++ b/crates/tinbay-core/tests/idle_reuse_test.rs
@@ -4,7 +4,7 @@
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 use tinbay_core::serving::idle_reuse::{
-    IdleReuseLimit, LEAST_MS, MAX_AT_RISK, MOST_MS, REUSES_A_LOSS, Reuse, ReuseOutcome, START_MS,
+    IdleReuseLimit, LEAST_MS, MAX_AT_RISK, MOST_MS, REUSES_PER_LOSS, Reuse, ReuseOutcome, START_MS,
 };
 use tinbay_core::serving::servers::ServerKey;
 use tinbay_core::units::Millis;
@@ -109,7 +109,7 @@
 fn trusted_grows_again_only_after_many_reuses() {
     let mut learner = IdleReuseLimit::default();
     note(&mut learner, 400, ReuseOutcome::Broken);
-    for _ in 1..REUSES_A_LOSS {
+    for _ in 1..REUSES_PER_LOSS {
         note(&mut learner, 200, ReuseOutcome::Answered);
     }
     assert_eq!(learner.trusted_ms(), 200);
@@ -195,7 +195,7 @@
     fn holds(closed_after_ms: u16, seed: u64) -> bool {
         let closed_after_ms = Millis::from(closed_after_ms).max(LEAST_MS);
         let (reused, lost) = play(closed_after_ms, seed);
-        lost <= 2 * (1 + reused / REUSES_A_LOSS)
+        lost <= 2 * (1 + reused / REUSES_PER_LOSS)
     }
     QuickCheck::new().quickcheck(holds as fn(u16, u64) -> bool);
 }
