--- a/crates/tinbay-core/src/serving/idle_reuse.rs
+++ b/crates/tinbay-core/src/serving/idle_reuse.rs
@@ -8,14 +8,14 @@
 //! alike.
 //!
 //! Guarantee: of the requests that may run only once and are sent on a connection that was idle
-//! longer than [`START_MS`], at most two are lost per thousand reuses, besides those already in
+//! longer than [`INITIAL_IDLE_LIMIT_MS`], at most two are lost per thousand reuses, besides those already in
 //! flight at the first loss, of which there are at most [`MAX_AT_RISK`].
 
 use super::servers::ServerKey;
 use crate::units::Millis;
 
 /// Initial idle limit.
-pub const START_MS: Millis = 500;
+pub const INITIAL_IDLE_LIMIT_MS: Millis = 500;
 
 /// Lower bound of the idle limit: no server closes a connection between two requests of one burst,
 /// so failures of connections with less idle time have other causes.
@@ -25,7 +25,7 @@
 pub const MOST_MS: Millis = 8_000;
 
 /// Upper bound of the requests without an answer yet that may run only once and were sent on
-/// connections idle for longer than [`START_MS`]. If all connections break silently at once, this
+/// connections idle for longer than [`INITIAL_IDLE_LIMIT_MS`]. If all connections break silently at once, this
 /// many are lost.
 pub const MAX_AT_RISK: usize = 4;
 
@@ -95,7 +95,7 @@
 impl Default for IdleReuseLimit {
     fn default() -> Self {
         Self {
-            trusted_ms: START_MS,
+            trusted_ms: INITIAL_IDLE_LIMIT_MS,
             ceiling_ms: MOST_MS,
             near_successes: 0,
             successes_since_loss: REUSES_PER_LOSS,
@@ -111,7 +111,7 @@
         if self.at_risk < MAX_AT_RISK {
             self.trusted_ms
         } else {
-            self.trusted_ms.min(START_MS)
+            self.trusted_ms.min(INITIAL_IDLE_LIMIT_MS)
         }
     }
 
@@ -119,7 +119,7 @@
     /// `rested_ms`. Returns whether it counts as at risk; if so, [`IdleReuseLimit::release`] must
     /// be called when its outcome is known.
     pub fn note_at_risk(&mut self, rested_ms: Millis) -> bool {
-        let is_at_risk = rested_ms > START_MS;
+        let is_at_risk = rested_ms > INITIAL_IDLE_LIMIT_MS;
         self.at_risk += usize::from(is_at_risk);
         is_at_risk
     }
--- a/crates/tinbay-core/tests/idle_reuse_test.rs
+++ b/crates/tinbay-core/tests/idle_reuse_test.rs
@@ -4,7 +4,8 @@
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 use tinbay_core::serving::idle_reuse::{
-    IdleReuseLimit, LEAST_MS, MAX_AT_RISK, MOST_MS, REUSES_PER_LOSS, Reuse, ReuseOutcome, START_MS,
+    INITIAL_IDLE_LIMIT_MS, IdleReuseLimit, LEAST_MS, MAX_AT_RISK, MOST_MS, REUSES_PER_LOSS, Reuse,
+    ReuseOutcome,
 };
 use tinbay_core::serving::servers::ServerKey;
 use tinbay_core::units::Millis;
@@ -57,7 +58,10 @@
 
 #[test]
 fn trusted_before_anything_is_learnt_is_the_start() {
-    assert_eq!(IdleReuseLimit::default().trusted_ms(), START_MS);
+    assert_eq!(
+        IdleReuseLimit::default().trusted_ms(),
+        INITIAL_IDLE_LIMIT_MS
+    );
 }
 
 /// One box uses each of 90 servers every three seconds: with an idle limit of half a second, six of
@@ -78,7 +82,7 @@
     for _ in 0..100 {
         note(&mut learner, 20, ReuseOutcome::Answered);
     }
-    assert_eq!(learner.trusted_ms(), START_MS);
+    assert_eq!(learner.trusted_ms(), INITIAL_IDLE_LIMIT_MS);
 }
 
 #[test]
@@ -122,7 +126,7 @@
 fn trusted_stays_where_a_connection_just_used_breaks() {
     let mut learner = IdleReuseLimit::default();
     assert!(!note(&mut learner, LEAST_MS, ReuseOutcome::Broken));
-    assert_eq!(learner.trusted_ms(), START_MS);
+    assert_eq!(learner.trusted_ms(), INITIAL_IDLE_LIMIT_MS);
 }
 
 /// A server that stops responding does not affect the connections of others.
@@ -177,7 +181,7 @@
         sent += 1;
     }
     assert_eq!(sent, MAX_AT_RISK);
-    assert_eq!(learner.trusted_ms(), START_MS);
+    assert_eq!(learner.trusted_ms(), INITIAL_IDLE_LIMIT_MS);
     learner.release();
     assert!(learner.trusted_ms() >= 2_000);
 }
@@ -185,7 +189,7 @@
 #[test]
 fn stake_of_a_short_rest_is_none() {
     let mut learner = IdleReuseLimit::default();
-    assert!(!learner.note_at_risk(START_MS));
+    assert!(!learner.note_at_risk(INITIAL_IDLE_LIMIT_MS));
 }
 
 /// Servers close idle connections after an arbitrary time: at most two requests are lost per
