--- a/crates/tinbay-core/src/serving/idle_reuse.rs
+++ b/crates/tinbay-core/src/serving/idle_reuse.rs
@@ -19,7 +19,7 @@
 
 /// Lower bound of the idle limit: no server closes a connection between two requests of one burst,
 /// so failures of connections with less idle time have other causes.
-pub const LEAST_MS: Millis = 100;
+pub const MIN_IDLE_LIMIT_MS: Millis = 100;
 
 /// Upper bound of the idle limit.
 pub const MOST_MS: Millis = 8_000;
@@ -157,12 +157,16 @@
     }
 
     fn record_loss(&mut self, rested_ms: Millis) {
-        if rested_ms <= LEAST_MS {
+        if rested_ms <= MIN_IDLE_LIMIT_MS {
             return;
         }
         let is_first = self.successes_since_loss >= REUSES_PER_LOSS;
-        let safe_ms = if is_first { rested_ms / 2 } else { LEAST_MS };
-        self.trusted_ms = self.trusted_ms.min(safe_ms).max(LEAST_MS);
+        let safe_ms = if is_first {
+            rested_ms / 2
+        } else {
+            MIN_IDLE_LIMIT_MS
+        };
+        self.trusted_ms = self.trusted_ms.min(safe_ms).max(MIN_IDLE_LIMIT_MS);
         self.ceiling_ms = self.trusted_ms;
         self.near_successes = 0;
         self.successes_since_loss = 0;
--- a/crates/tinbay-core/tests/idle_reuse_test.rs
+++ b/crates/tinbay-core/tests/idle_reuse_test.rs
@@ -4,8 +4,8 @@
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 use tinbay_core::serving::idle_reuse::{
-    INITIAL_IDLE_LIMIT_MS, IdleReuseLimit, LEAST_MS, MAX_AT_RISK, MOST_MS, REUSES_PER_LOSS, Reuse,
-    ReuseOutcome,
+    INITIAL_IDLE_LIMIT_MS, IdleReuseLimit, MAX_AT_RISK, MIN_IDLE_LIMIT_MS, MOST_MS,
+    REUSES_PER_LOSS, Reuse, ReuseOutcome,
 };
 use tinbay_core::serving::servers::ServerKey;
 use tinbay_core::units::Millis;
@@ -106,7 +106,7 @@
     grow(&mut learner, 4_000);
     note(&mut learner, 3_000, ReuseOutcome::Broken);
     note(&mut learner, 1_400, ReuseOutcome::Broken);
-    assert_eq!(learner.trusted_ms(), LEAST_MS);
+    assert_eq!(learner.trusted_ms(), MIN_IDLE_LIMIT_MS);
 }
 
 #[test]
@@ -125,7 +125,7 @@
 #[test]
 fn trusted_stays_where_a_connection_just_used_breaks() {
     let mut learner = IdleReuseLimit::default();
-    assert!(!note(&mut learner, LEAST_MS, ReuseOutcome::Broken));
+    assert!(!note(&mut learner, MIN_IDLE_LIMIT_MS, ReuseOutcome::Broken));
     assert_eq!(learner.trusted_ms(), INITIAL_IDLE_LIMIT_MS);
 }
 
@@ -197,7 +197,7 @@
 #[test]
 fn play_any_forgetting_keeps_the_bound() {
     fn holds(closed_after_ms: u16, seed: u64) -> bool {
-        let closed_after_ms = Millis::from(closed_after_ms).max(LEAST_MS);
+        let closed_after_ms = Millis::from(closed_after_ms).max(MIN_IDLE_LIMIT_MS);
         let (reused, lost) = play(closed_after_ms, seed);
         lost <= 2 * (1 + reused / REUSES_PER_LOSS)
     }
--- a/crates/tinbay-gateway/src/http/pool.rs
+++ b/crates/tinbay-gateway/src/http/pool.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use hyper::client::conn::http1::SendRequest;
-use tinbay_core::serving::idle_reuse::LEAST_MS;
+use tinbay_core::serving::idle_reuse::MIN_IDLE_LIMIT_MS;
 use tinbay_core::serving::servers::ServerKey;
 use tinbay_core::units::Millis;
 use tokio::task::AbortHandle;
@@ -134,12 +134,12 @@
         self.connect().await
     }
 
-    /// Whether the most recently used connection has been idle for more than `LEAST_MS`.
+    /// Whether the most recently used connection has been idle for more than `MIN_IDLE_LIMIT_MS`.
     fn has_rested(&self) -> bool {
         let now_ms = self.clock.now_ms();
         let idle = self.idle.borrow();
         idle.last()
-            .is_some_and(|last| last.since_ms + LEAST_MS < now_ms)
+            .is_some_and(|last| last.since_ms + MIN_IDLE_LIMIT_MS < now_ms)
     }
 
     fn is_trusted(&self, idle: &Idle) -> bool {
