--- a/crates/tinbay-core/src/serving/idle_reuse.rs
+++ b/crates/tinbay-core/src/serving/idle_reuse.rs
@@ -22,7 +22,7 @@
 pub const MIN_IDLE_LIMIT_MS: Millis = 100;
 
 /// Upper bound of the idle limit.
-pub const MOST_MS: Millis = 8_000;
+pub const MAX_IDLE_LIMIT_MS: Millis = 8_000;
 
 /// Upper bound of the requests without an answer yet that may run only once and were sent on
 /// connections idle for longer than [`INITIAL_IDLE_LIMIT_MS`]. If all connections break silently at once, this
@@ -96,7 +96,7 @@
     fn default() -> Self {
         Self {
             trusted_ms: INITIAL_IDLE_LIMIT_MS,
-            ceiling_ms: MOST_MS,
+            ceiling_ms: MAX_IDLE_LIMIT_MS,
             near_successes: 0,
             successes_since_loss: REUSES_PER_LOSS,
             at_risk: 0,
@@ -144,7 +144,7 @@
     fn record_success(&mut self, rested_ms: Millis) {
         self.successes_since_loss = self.successes_since_loss.saturating_add(1);
         if self.successes_since_loss >= REUSES_PER_LOSS {
-            self.ceiling_ms = MOST_MS;
+            self.ceiling_ms = MAX_IDLE_LIMIT_MS;
         }
         if rested_ms < self.trusted_ms / 2 {
             return;
--- a/crates/tinbay-core/tests/idle_reuse_test.rs
+++ b/crates/tinbay-core/tests/idle_reuse_test.rs
@@ -4,7 +4,7 @@
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 use tinbay_core::serving::idle_reuse::{
-    INITIAL_IDLE_LIMIT_MS, IdleReuseLimit, MAX_AT_RISK, MIN_IDLE_LIMIT_MS, MOST_MS,
+    INITIAL_IDLE_LIMIT_MS, IdleReuseLimit, MAX_AT_RISK, MAX_IDLE_LIMIT_MS, MIN_IDLE_LIMIT_MS,
     REUSES_PER_LOSS, Reuse, ReuseOutcome,
 };
 use tinbay_core::serving::servers::ServerKey;
@@ -206,7 +206,7 @@
 
 #[test]
 fn play_servers_that_forget_nothing_reuses_most() {
-    let (reused, lost) = play(MOST_MS, 1);
+    let (reused, lost) = play(MAX_IDLE_LIMIT_MS, 1);
     assert_eq!(lost, 0);
     assert!(reused >= REUSES * 9 / 10);
 }
