--- a/crates/tinbay-core/src/pace/slowness.rs
+++ b/crates/tinbay-core/src/pace/slowness.rs
@@ -17,7 +17,7 @@
 pub const SLOW_START: f64 = 2.0;
 
 /// Upper bound of the announced duration of a slow start.
-pub const MOST_SLOW_START_MS: Millis = 60_000;
+pub const MAX_SLOW_START_MS: Millis = 60_000;
 
 /// Weighted average of a server's response times relative to the usual time, with newer answers
 /// counting more.
--- a/crates/tinbay-gateway/src/servers/server.rs
+++ b/crates/tinbay-gateway/src/servers/server.rs
@@ -3,7 +3,7 @@
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 
-use tinbay_core::pace::slowness::{MOST_SLOW_START_MS, SLOW_START, Slowness, slowed_load};
+use tinbay_core::pace::slowness::{MAX_SLOW_START_MS, SLOW_START, Slowness, slowed_load};
 use tinbay_core::serving::contents::AdapterKey;
 use tinbay_core::serving::decay::decayed;
 use tinbay_core::serving::notices::AnswerNotice;
@@ -167,7 +167,7 @@
     }
 
     fn note_slow_start(&self, slow_for_ms: Millis) {
-        let slow_for_ms = slow_for_ms.min(MOST_SLOW_START_MS);
+        let slow_for_ms = slow_for_ms.min(MAX_SLOW_START_MS);
         self.slow_until_ms.set(self.clock.now_ms() + slow_for_ms);
     }
 
