--- a/crates/tinbay-core/src/serving/versions.rs
+++ b/crates/tinbay-core/src/serving/versions.rs
@@ -15,13 +15,13 @@
 
 /// The versions of one adapter that the operators published.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct NamedVersions {
+pub struct PublishedVersions {
     /// In ascending order.
     published: Vec<PublishedVersion>,
     learnt_ms: Option<Millis>,
 }
 
-impl NamedVersions {
+impl PublishedVersions {
     /// Records a version that had not been published at `earliest_ms`, if that time is known; older
     /// ones are forbidden `grace_ms` after it. Returns whether the version is the newest.
     pub fn note(
--- a/crates/tinbay-core/tests/serving_versions_test.rs
+++ b/crates/tinbay-core/tests/serving_versions_test.rs
@@ -1,14 +1,14 @@
 //! Until when older versions of an adapter may serve.
 
 use quickcheck::quickcheck;
-use tinbay_core::serving::versions::NamedVersions;
+use tinbay_core::serving::versions::PublishedVersions;
 use tinbay_core::units::Millis;
 
 const GRACE_MS: Millis = 5_000;
 
 #[test]
 fn begin_by_newest_is_unbounded() {
-    let mut versions = NamedVersions::default();
+    let mut versions = PublishedVersions::default();
     assert_eq!(versions.begin_by_ms(1), None);
     versions.note(2, Some(1_000), GRACE_MS, 1_010);
     assert_eq!(versions.begin_by_ms(2), None);
@@ -17,7 +17,7 @@
 
 #[test]
 fn begin_by_of_older_version_follows_first_newer_one() {
-    let mut versions = NamedVersions::default();
+    let mut versions = PublishedVersions::default();
     versions.note(2, Some(1_000), GRACE_MS, 1_010);
     versions.note(3, Some(2_500), GRACE_MS, 2_510);
     versions.note(4, Some(4_000), GRACE_MS, 4_010);
@@ -28,7 +28,7 @@
 
 #[test]
 fn begin_by_of_unknown_version_follows_first_one() {
-    let mut versions = NamedVersions::default();
+    let mut versions = PublishedVersions::default();
     versions.note(7, Some(1_000), GRACE_MS, 1_010);
     versions.note(9, Some(2_000), GRACE_MS, 2_010);
     assert_eq!(versions.begin_by_ms(0), Some(6_000));
@@ -36,7 +36,7 @@
 
 #[test]
 fn begin_by_of_version_found_at_start_is_past() {
-    let mut versions = NamedVersions::default();
+    let mut versions = PublishedVersions::default();
     versions.note(4, None, GRACE_MS, 60_000);
     assert_eq!(versions.begin_by_ms(3), Some(0));
     assert_eq!(versions.learnt_ms(), None);
@@ -44,7 +44,7 @@
 
 #[test]
 fn note_older_version_changes_nothing() {
-    let mut versions = NamedVersions::default();
+    let mut versions = PublishedVersions::default();
     versions.note(4, Some(1_000), GRACE_MS, 1_010);
     let before = versions.clone();
     assert!(!versions.note(3, Some(2_000), GRACE_MS, 2_010));
@@ -57,7 +57,7 @@
     /// a request is never later than the time allowed after any newer version was published, unless
     /// it has passed already.
     fn begin_by_is_never_after_a_newer_version_allows(steps: Vec<(u8, u16, u16)>) -> bool {
-        let mut versions = NamedVersions::default();
+        let mut versions = PublishedVersions::default();
         let mut published: Vec<(u64, Millis)> = Vec::new();
         let (mut version, mut published_ms, mut learnt_ms) = (1, 0, 0);
         for (step, interval_ms, delay_ms) in steps {
--- a/crates/tinbay-gateway/src/node.rs
+++ b/crates/tinbay-gateway/src/node.rs
@@ -17,7 +17,7 @@
 use tinbay_core::serving::prefill::PrefillRate;
 use tinbay_core::serving::routes::RouteTable;
 use tinbay_core::serving::servers::{Fingerprint, ServerKey};
-use tinbay_core::serving::versions::NamedVersions;
+use tinbay_core::serving::versions::PublishedVersions;
 use tinbay_core::serving::wanted_loads::WantedLoad;
 use tinbay_core::sharing::weights::AccountWeights;
 use tinbay_core::units::Millis;
@@ -163,7 +163,7 @@
     /// The configuration in force.
     pub in_force: RefCell<Option<Rc<InForce>>>,
     /// Named versions of adapters, by `model/name`.
-    pub versions: RefCell<HashMap<String, NamedVersions>>,
+    pub versions: RefCell<HashMap<String, PublishedVersions>>,
     /// Known backend servers.
     pub servers: RefCell<ServerTable>,
     /// Known boxes, with their liveness.
