--- a/crates/tinbay-core/src/memory/reader.rs
+++ b/crates/tinbay-core/src/memory/reader.rs
@@ -43,7 +43,7 @@
 /// For a stream, it is the time for which callers themselves wait on a silent stream. A plain answer
 /// is used as a whole, so that its caller may start to read at any time within the route's timeout.
 pub fn unread_limit_ms(route: &Route) -> Millis {
-    route.stream_patience_ms().unwrap_or(route.timeout_ms)
+    route.first_piece_timeout_ms().unwrap_or(route.timeout_ms)
 }
 
 /// Time limits of one answer.
--- a/crates/tinbay-core/src/serving/configuration.rs
+++ b/crates/tinbay-core/src/serving/configuration.rs
@@ -73,7 +73,7 @@
 impl Route {
     /// How long callers wait for the first piece of a stream before they abandon it; none on routes
     /// without streams.
-    pub fn stream_patience_ms(&self) -> Option<Millis> {
+    pub fn first_piece_timeout_ms(&self) -> Option<Millis> {
         if self.kind != RouteKind::Streaming {
             return None;
         }
--- a/crates/tinbay-core/tests/memory_test.rs
+++ b/crates/tinbay-core/tests/memory_test.rs
@@ -299,7 +299,10 @@
 #[test]
 fn unread_limit_stream_and_plain() {
     let stream = route(RouteKind::Streaming);
-    assert_eq!(Some(unread_limit_ms(&stream)), stream.stream_patience_ms());
+    assert_eq!(
+        Some(unread_limit_ms(&stream)),
+        stream.first_piece_timeout_ms()
+    );
     assert_eq!(unread_limit_ms(&route(RouteKind::Safe)), 30_000);
 }
 
--- a/crates/tinbay-core/tests/serving_routes_test.rs
+++ b/crates/tinbay-core/tests/serving_routes_test.rs
@@ -123,13 +123,13 @@
 #[test]
 fn stream_patience_is_the_longest_of_three() {
     let mut stream = route("r", "h", "/");
-    assert_eq!(stream.stream_patience_ms(), None);
+    assert_eq!(stream.first_piece_timeout_ms(), None);
     stream.kind = RouteKind::Streaming;
     stream.objective_ms = 600;
-    assert_eq!(stream.stream_patience_ms(), Some(2_400));
+    assert_eq!(stream.first_piece_timeout_ms(), Some(2_400));
     stream.objective_gap_ms = Some(500);
-    assert_eq!(stream.stream_patience_ms(), Some(4_000));
+    assert_eq!(stream.first_piece_timeout_ms(), Some(4_000));
     stream.objective_ms = 150;
     stream.objective_gap_ms = Some(100);
-    assert_eq!(stream.stream_patience_ms(), Some(2_000));
+    assert_eq!(stream.first_piece_timeout_ms(), Some(2_000));
 }
