--- a/crates/tinbay-core/src/serving/contents/mod.rs
+++ b/crates/tinbay-core/src/serving/contents/mod.rs
@@ -285,7 +285,7 @@
     }
 
     /// When [`Contents::next_action`] may next return a message without a new load request.
-    pub fn next_look_ms(&self) -> Option<Millis> {
+    pub fn next_action_ms(&self) -> Option<Millis> {
         if self.order_count.is_none() {
             return Some(self.report_after_ms);
         }
--- a/crates/tinbay-gateway/src/orders/holder.rs
+++ b/crates/tinbay-gateway/src/orders/holder.rs
@@ -219,7 +219,7 @@
         } else {
             PENDING_LOAD_PAUSE_MS
         };
-        let next_check_ms = self.held.contents.borrow().next_look_ms();
+        let next_check_ms = self.held.contents.borrow().next_action_ms();
         let pause_ms =
             next_check_ms.map_or(max_ms, |next_check_ms| next_check_ms.saturating_sub(now_ms));
         let pause = Duration::from_millis(pause_ms.clamp(1, max_ms));
