--- a/crates/tinbay-core/src/handover/transitions.rs
+++ b/crates/tinbay-core/src/handover/transitions.rs
@@ -5,7 +5,7 @@
 
 /// Answer of the source to the request to stop a run and copy it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum MoveAnswer {
+pub enum HandoverAnswer {
     /// The run's state has been copied to the target.
     Copied {
         /// Name of the copy at both servers.
@@ -23,12 +23,12 @@
     Unknown,
 }
 
-impl MoveAnswer {
+impl HandoverAnswer {
     /// Name by which the run can be resumed, if there is one.
     pub fn handle(&self) -> Option<&str> {
         match self {
-            MoveAnswer::Copied { handle } | MoveAnswer::Kept { handle } => Some(handle),
-            MoveAnswer::NotStopped | MoveAnswer::Unknown => None,
+            HandoverAnswer::Copied { handle } | HandoverAnswer::Kept { handle } => Some(handle),
+            HandoverAnswer::NotStopped | HandoverAnswer::Unknown => None,
         }
     }
 }
@@ -72,19 +72,19 @@
 }
 
 /// The step after the source's answer.
-pub fn after_move(answer: MoveAnswer) -> Step {
+pub fn after_move(answer: HandoverAnswer) -> Step {
     match answer {
-        MoveAnswer::Copied { handle } => Step::Resume {
+        HandoverAnswer::Copied { handle } => Step::Resume {
             at: Place::Target,
             handle,
         },
-        MoveAnswer::Kept { handle } => Step::Resume {
+        HandoverAnswer::Kept { handle } => Step::Resume {
             at: Place::Source,
             handle,
         },
         // If the run has stopped after all, its stream breaks off, and there is no handle to resume
         // it.
-        MoveAnswer::NotStopped | MoveAnswer::Unknown => Step::Continue,
+        HandoverAnswer::NotStopped | HandoverAnswer::Unknown => Step::Continue,
     }
 }
 
--- a/crates/tinbay-gateway/src/front/handover/actions.rs
+++ b/crates/tinbay-gateway/src/front/handover/actions.rs
@@ -9,7 +9,7 @@
 use hyper::{Method, Request, StatusCode};
 use log::Level;
 use serde::Serialize;
-use tinbay_core::handover::transitions::{MoveAnswer, Place};
+use tinbay_core::handover::transitions::{HandoverAnswer, Place};
 use tinbay_core::units::Millis;
 use tokio::sync::oneshot;
 
@@ -111,9 +111,9 @@
         false
     }
 
-    async fn move_run(&self) -> MoveAnswer {
+    async fn move_run(&self) -> HandoverAnswer {
         let Some(target) = self.target.borrow().clone() else {
-            return MoveAnswer::NotStopped;
+            return HandoverAnswer::NotStopped;
         };
         self.begun_ms.set(self.node.now_ms());
         self.inbound.handover.set(Some(Handover::Begun));
@@ -143,7 +143,7 @@
         });
         match receiver.await {
             Ok(mut copied) => copied.take(),
-            Err(_) => MoveAnswer::Unknown,
+            Err(_) => HandoverAnswer::Unknown,
         }
     }
 
@@ -261,7 +261,7 @@
         Box::pin(self.search())
     }
 
-    fn request_handover(&self) -> LocalFuture<'_, MoveAnswer> {
+    fn request_handover(&self) -> LocalFuture<'_, HandoverAnswer> {
         Box::pin(self.move_run())
     }
 
@@ -307,36 +307,36 @@
 
 /// The answer to a move request. If it is dropped before it is taken, the copy is freed.
 struct CopiedRun {
-    answer: Option<MoveAnswer>,
+    answer: Option<HandoverAnswer>,
     copies: SourceCopies,
 }
 
 impl CopiedRun {
-    fn take(&mut self) -> MoveAnswer {
-        self.answer.take().unwrap_or(MoveAnswer::Unknown)
+    fn take(&mut self) -> HandoverAnswer {
+        self.answer.take().unwrap_or(HandoverAnswer::Unknown)
     }
 }
 
 impl Drop for CopiedRun {
     fn drop(&mut self) {
-        let handle = self.answer.as_ref().and_then(MoveAnswer::handle);
+        let handle = self.answer.as_ref().and_then(HandoverAnswer::handle);
         if let Some(handle) = handle {
             self.copies.free(handle);
         }
     }
 }
 
-fn read_move(node: &Node, reply: Result<Reply, CallError>) -> MoveAnswer {
+fn read_move(node: &Node, reply: Result<Reply, CallError>) -> HandoverAnswer {
     let reply = match reply {
         Ok(reply) => reply,
-        Err(CallError::NotConnected) => return MoveAnswer::NotStopped,
-        Err(CallError::NoAnswer) => return MoveAnswer::Unknown,
+        Err(CallError::NotConnected) => return HandoverAnswer::NotStopped,
+        Err(CallError::NoAnswer) => return HandoverAnswer::Unknown,
     };
     let decoded = node.dialect.decode_move(&reply.body).unwrap_or_default();
     match (StatusCode::from_u16(reply.status), decoded.handle) {
-        (Ok(StatusCode::OK), Some(handle)) => MoveAnswer::Copied { handle },
-        (Ok(StatusCode::SERVICE_UNAVAILABLE), Some(handle)) => MoveAnswer::Kept { handle },
-        _ => MoveAnswer::NotStopped,
+        (Ok(StatusCode::OK), Some(handle)) => HandoverAnswer::Copied { handle },
+        (Ok(StatusCode::SERVICE_UNAVAILABLE), Some(handle)) => HandoverAnswer::Kept { handle },
+        _ => HandoverAnswer::NotStopped,
     }
 }
 
--- a/crates/tinbay-gateway/src/handover/drive.rs
+++ b/crates/tinbay-gateway/src/handover/drive.rs
@@ -3,7 +3,7 @@
 use std::pin::Pin;
 use std::time::Duration;
 
-use tinbay_core::handover::transitions::{self, MoveAnswer, Place, ResumeAnswer, Step};
+use tinbay_core::handover::transitions::{self, HandoverAnswer, Place, ResumeAnswer, Step};
 
 use super::event_gate::EventGate;
 
@@ -35,7 +35,7 @@
     fn find_target(&self) -> LocalFuture<'_, bool>;
 
     /// Asks the source to stop the run and copy it to the target.
-    fn request_handover(&self) -> LocalFuture<'_, MoveAnswer>;
+    fn request_handover(&self) -> LocalFuture<'_, HandoverAnswer>;
 
     /// Asks a server to resume the run after the event `last_id`.
     fn resume<'a>(
--- a/crates/tinbay-gateway/tests/handover_test.rs
+++ b/crates/tinbay-gateway/tests/handover_test.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 
 use bytes::Bytes;
-use tinbay_core::handover::transitions::{MoveAnswer, Place};
+use tinbay_core::handover::transitions::{HandoverAnswer, Place};
 use tinbay_gateway::handover::drive::{HandoverActions, LocalFuture, Outcome, Resumed, drive};
 use tinbay_gateway::handover::event_gate::EventGate;
 use tokio::sync::Notify;
@@ -13,7 +13,7 @@
 #[derive(Default)]
 struct FakeServers {
     has_target: bool,
-    move_answer: RefCell<Option<MoveAnswer>>,
+    move_answer: RefCell<Option<HandoverAnswer>>,
     target_takes_it: bool,
     source_takes_it: bool,
     answers_are_lost: bool,
@@ -31,10 +31,10 @@
         Box::pin(async { self.has_target })
     }
 
-    fn request_handover(&self) -> LocalFuture<'_, MoveAnswer> {
+    fn request_handover(&self) -> LocalFuture<'_, HandoverAnswer> {
         Box::pin(async {
             self.asked_to_move.set(true);
-            self.move_answer.take().unwrap_or(MoveAnswer::Unknown)
+            self.move_answer.take().unwrap_or(HandoverAnswer::Unknown)
         })
     }
 
@@ -66,9 +66,9 @@
     }
 }
 
-fn copied() -> RefCell<Option<MoveAnswer>> {
+fn copied() -> RefCell<Option<HandoverAnswer>> {
     let handle = "h1".to_string();
-    RefCell::new(Some(MoveAnswer::Copied { handle }))
+    RefCell::new(Some(HandoverAnswer::Copied { handle }))
 }
 
 /// A gate that has received one event and half of another.
@@ -166,7 +166,7 @@
     let gate = gate_amid_event();
     let servers = FakeServers {
         has_target: true,
-        move_answer: RefCell::new(Some(MoveAnswer::NotStopped)),
+        move_answer: RefCell::new(Some(HandoverAnswer::NotStopped)),
         ..FakeServers::default()
     };
     assert_eq!(drive(&servers, &gate).await, Outcome::Stays);
