--- a/crates/tinbay-core/src/handover/transitions.rs
+++ b/crates/tinbay-core/src/handover/transitions.rs
@@ -72,7 +72,7 @@
 }
 
 /// The step after the source's answer.
-pub fn after_move(answer: HandoverAnswer) -> Step {
+pub fn after_handover_answer(answer: HandoverAnswer) -> Step {
     match answer {
         HandoverAnswer::Copied { handle } => Step::Resume {
             at: Place::Target,
--- a/crates/tinbay-core/tests/handover_test.rs
+++ b/crates/tinbay-core/tests/handover_test.rs
@@ -7,7 +7,7 @@
 use tinbay_core::handover::prefill_limit::can_prefill_beside_streams;
 use tinbay_core::handover::roles::{Engine, Role, assign_roles, has_places_for_two};
 use tinbay_core::handover::transitions::{
-    HandoverAnswer, Place, ResumeAnswer, Step, after_move, after_resume,
+    HandoverAnswer, Place, ResumeAnswer, Step, after_handover_answer, after_resume,
 };
 
 const STREAM: &str = "id: 1\ndata: a\n\nweight-versions: 2\nid: 2\ndata: b\n\n";
@@ -202,7 +202,7 @@
 
 #[test]
 fn steps_copy_resumes_at_the_target() {
-    let step = after_move(HandoverAnswer::Copied { handle: "h".into() });
+    let step = after_handover_answer(HandoverAnswer::Copied { handle: "h".into() });
     assert_eq!(step, resume(Place::Target));
     let step = after_resume(Place::Target, "h", ResumeAnswer::Resumed);
     assert_eq!(step, Step::Done(Place::Target));
@@ -210,7 +210,7 @@
 
 #[test]
 fn steps_run_kept_by_the_source_resumes_there() {
-    let step = after_move(HandoverAnswer::Kept { handle: "h".into() });
+    let step = after_handover_answer(HandoverAnswer::Kept { handle: "h".into() });
     assert_eq!(step, resume(Place::Source));
 }
 
@@ -226,7 +226,10 @@
     for at in [Place::Target, Place::Source] {
         assert_eq!(after_resume(at, "h", ResumeAnswer::Unknown), Step::Lost);
     }
-    assert_eq!(after_move(HandoverAnswer::Unknown), Step::Continue);
+    assert_eq!(
+        after_handover_answer(HandoverAnswer::Unknown),
+        Step::Continue
+    );
 }
 
 #[test]
--- a/crates/tinbay-gateway/src/handover/drive.rs
+++ b/crates/tinbay-gateway/src/handover/drive.rs
@@ -91,7 +91,7 @@
         actions,
         handle: answer.handle().map(str::to_string),
     };
-    let mut step = transitions::after_move(answer);
+    let mut step = transitions::after_handover_answer(answer);
     if matches!(step, Step::Resume { .. }) {
         let broken_off = gate.wait_until_broken_off();
         let _ = tokio::time::timeout(MAX_END_WAIT, broken_off).await;
