--- a/crates/tinbay-core/src/handover/transitions.rs
+++ b/crates/tinbay-core/src/handover/transitions.rs
@@ -46,7 +46,7 @@
 
 /// Server at which a stopped run resumes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Place {
+pub enum ResumeServer {
     /// Server chosen to decode the rest.
     Target,
     /// Server that began the run.
@@ -59,14 +59,14 @@
     /// Ask a server to resume the run.
     Resume {
         /// Server to ask.
-        at: Place,
+        at: ResumeServer,
         /// Name of the copy.
         handle: String,
     },
     /// Keep reading from the source as if no handover had been requested.
     Continue,
     /// The handover is complete and the run continues at this server.
-    Done(Place),
+    Done(ResumeServer),
     /// The run cannot be resumed; the caller's answer is cut off.
     Lost,
 }
@@ -75,11 +75,11 @@
 pub fn after_handover_answer(answer: HandoverAnswer) -> Step {
     match answer {
         HandoverAnswer::Copied { handle } => Step::Resume {
-            at: Place::Target,
+            at: ResumeServer::Target,
             handle,
         },
         HandoverAnswer::Kept { handle } => Step::Resume {
-            at: Place::Source,
+            at: ResumeServer::Source,
             handle,
         },
         // If the run has stopped after all, its stream breaks off, and there is no handle to resume
@@ -92,13 +92,13 @@
 ///
 /// A handle serves once: after a lost answer the run may be continuing at the server that was
 /// asked, so no other one may be asked.
-pub fn after_resume(at: Place, handle: &str, answer: ResumeAnswer) -> Step {
+pub fn after_resume(at: ResumeServer, handle: &str, answer: ResumeAnswer) -> Step {
     match (at, answer) {
         (_, ResumeAnswer::Resumed) => Step::Done(at),
-        (Place::Target, ResumeAnswer::NotResumed) => Step::Resume {
-            at: Place::Source,
+        (ResumeServer::Target, ResumeAnswer::NotResumed) => Step::Resume {
+            at: ResumeServer::Source,
             handle: handle.to_string(),
         },
-        (Place::Source, ResumeAnswer::NotResumed) | (_, ResumeAnswer::Unknown) => Step::Lost,
+        (ResumeServer::Source, ResumeAnswer::NotResumed) | (_, ResumeAnswer::Unknown) => Step::Lost,
     }
 }
--- a/crates/tinbay-core/tests/handover_test.rs
+++ b/crates/tinbay-core/tests/handover_test.rs
@@ -7,7 +7,7 @@
 use tinbay_core::handover::prefill_limit::can_prefill_beside_streams;
 use tinbay_core::handover::roles::{Engine, Role, assign_roles, has_places_for_two};
 use tinbay_core::handover::transitions::{
-    HandoverAnswer, Place, ResumeAnswer, Step, after_handover_answer, after_resume,
+    HandoverAnswer, ResumeAnswer, ResumeServer, Step, after_handover_answer, after_resume,
 };
 
 const STREAM: &str = "id: 1\ndata: a\n\nweight-versions: 2\nid: 2\ndata: b\n\n";
@@ -193,7 +193,7 @@
     assert!(!has_places_for_two(1, 0, 11));
 }
 
-fn resume(at: Place) -> Step {
+fn resume(at: ResumeServer) -> Step {
     Step::Resume {
         at,
         handle: "h".into(),
@@ -203,27 +203,27 @@
 #[test]
 fn steps_copy_resumes_at_the_target() {
     let step = after_handover_answer(HandoverAnswer::Copied { handle: "h".into() });
-    assert_eq!(step, resume(Place::Target));
-    let step = after_resume(Place::Target, "h", ResumeAnswer::Resumed);
-    assert_eq!(step, Step::Done(Place::Target));
+    assert_eq!(step, resume(ResumeServer::Target));
+    let step = after_resume(ResumeServer::Target, "h", ResumeAnswer::Resumed);
+    assert_eq!(step, Step::Done(ResumeServer::Target));
 }
 
 #[test]
 fn steps_run_kept_by_the_source_resumes_there() {
     let step = after_handover_answer(HandoverAnswer::Kept { handle: "h".into() });
-    assert_eq!(step, resume(Place::Source));
+    assert_eq!(step, resume(ResumeServer::Source));
 }
 
 #[test]
 fn steps_refusing_target_resumes_at_the_source() {
-    let step = after_resume(Place::Target, "h", ResumeAnswer::NotResumed);
-    assert_eq!(step, resume(Place::Source));
+    let step = after_resume(ResumeServer::Target, "h", ResumeAnswer::NotResumed);
+    assert_eq!(step, resume(ResumeServer::Source));
 }
 
 /// A run that may be continuing at a server is not resumed at another one.
 #[test]
 fn steps_lost_answer_is_never_retried() {
-    for at in [Place::Target, Place::Source] {
+    for at in [ResumeServer::Target, ResumeServer::Source] {
         assert_eq!(after_resume(at, "h", ResumeAnswer::Unknown), Step::Lost);
     }
     assert_eq!(
@@ -234,6 +234,6 @@
 
 #[test]
 fn steps_refusing_source_loses_the_run() {
-    let step = after_resume(Place::Source, "h", ResumeAnswer::NotResumed);
+    let step = after_resume(ResumeServer::Source, "h", ResumeAnswer::NotResumed);
     assert_eq!(step, Step::Lost);
 }
--- a/crates/tinbay-gateway/src/front/handover/actions.rs
+++ b/crates/tinbay-gateway/src/front/handover/actions.rs
@@ -9,7 +9,7 @@
 use hyper::{Method, Request, StatusCode};
 use log::Level;
 use serde::Serialize;
-use tinbay_core::handover::transitions::{HandoverAnswer, Place};
+use tinbay_core::handover::transitions::{HandoverAnswer, ResumeServer};
 use tinbay_core::units::Millis;
 use tokio::sync::oneshot;
 
@@ -155,10 +155,15 @@
         }
     }
 
-    async fn resume_at(&self, at: Place, handle: &str, last_id: u64) -> Resumed<ContinuedAnswer> {
+    async fn resume_at(
+        &self,
+        at: ResumeServer,
+        handle: &str,
+        last_id: u64,
+    ) -> Resumed<ContinuedAnswer> {
         let server = match at {
-            Place::Source => Some(Rc::clone(&self.source)),
-            Place::Target => self.target.borrow().clone(),
+            ResumeServer::Source => Some(Rc::clone(&self.source)),
+            ResumeServer::Target => self.target.borrow().clone(),
         };
         let (Some(server), Some(body)) = (server, self.body.repeat()) else {
             return Resumed::Declined;
@@ -216,8 +221,8 @@
         let handover = match outcome {
             Outcome::Stays => Handover::Stayed,
             Outcome::GoesOn { at, .. } => match at {
-                Place::Target => Handover::Moved,
-                Place::Source => Handover::TakenBack,
+                ResumeServer::Target => Handover::Moved,
+                ResumeServer::Source => Handover::TakenBack,
             },
             Outcome::Lost => Handover::Lost,
         };
@@ -267,7 +272,7 @@
 
     fn resume<'a>(
         &'a self,
-        at: Place,
+        at: ResumeServer,
         handle: &'a str,
         last_id: u64,
     ) -> LocalFuture<'a, Resumed<ContinuedAnswer>> {
--- a/crates/tinbay-gateway/src/handover/drive.rs
+++ b/crates/tinbay-gateway/src/handover/drive.rs
@@ -3,7 +3,7 @@
 use std::pin::Pin;
 use std::time::Duration;
 
-use tinbay_core::handover::transitions::{self, HandoverAnswer, Place, ResumeAnswer, Step};
+use tinbay_core::handover::transitions::{self, HandoverAnswer, ResumeAnswer, ResumeServer, Step};
 
 use super::event_gate::EventGate;
 
@@ -40,7 +40,7 @@
     /// Asks a server to resume the run after the event `last_id`.
     fn resume<'a>(
         &'a self,
-        at: Place,
+        at: ResumeServer,
         handle: &'a str,
         last_id: u64,
     ) -> LocalFuture<'a, Resumed<Self::Answer>>;
@@ -57,7 +57,7 @@
     /// The run was stopped and resumed.
     GoesOn {
         /// Where it was resumed.
-        at: Place,
+        at: ResumeServer,
         /// The answer with the remaining events.
         answer: A,
     },
--- a/crates/tinbay-gateway/tests/handover_test.rs
+++ b/crates/tinbay-gateway/tests/handover_test.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 
 use bytes::Bytes;
-use tinbay_core::handover::transitions::{HandoverAnswer, Place};
+use tinbay_core::handover::transitions::{HandoverAnswer, ResumeServer};
 use tinbay_gateway::handover::drive::{HandoverActions, LocalFuture, Outcome, Resumed, drive};
 use tinbay_gateway::handover::event_gate::EventGate;
 use tokio::sync::Notify;
@@ -18,14 +18,14 @@
     source_takes_it: bool,
     answers_are_lost: bool,
     asked_to_move: Cell<bool>,
-    asked: RefCell<Vec<(Place, u64)>>,
+    asked: RefCell<Vec<(ResumeServer, u64)>>,
     freed: RefCell<Vec<String>>,
     holds_answer_back: bool,
     goes_on: Notify,
 }
 
 impl HandoverActions for FakeServers {
-    type Answer = Place;
+    type Answer = ResumeServer;
 
     fn find_target(&self) -> LocalFuture<'_, bool> {
         Box::pin(async { self.has_target })
@@ -40,18 +40,18 @@
 
     fn resume<'a>(
         &'a self,
-        at: Place,
+        at: ResumeServer,
         _handle: &'a str,
         last_id: u64,
-    ) -> LocalFuture<'a, Resumed<Place>> {
+    ) -> LocalFuture<'a, Resumed<ResumeServer>> {
         Box::pin(async move {
             self.asked.borrow_mut().push((at, last_id));
             if self.holds_answer_back {
                 self.goes_on.notified().await;
             }
             let takes_it = match at {
-                Place::Target => self.target_takes_it,
-                Place::Source => self.source_takes_it,
+                ResumeServer::Target => self.target_takes_it,
+                ResumeServer::Source => self.source_takes_it,
             };
             match (takes_it, self.answers_are_lost) {
                 (_, true) => Resumed::Unknown,
@@ -79,7 +79,7 @@
     gate
 }
 
-async fn run(servers: &FakeServers, gate: &EventGate) -> Outcome<Place> {
+async fn run(servers: &FakeServers, gate: &EventGate) -> Outcome<ResumeServer> {
     let breaking_off = async {
         while !servers.asked_to_move.get() {
             tokio::task::yield_now().await;
@@ -101,9 +101,9 @@
         ..FakeServers::default()
     };
     let outcome = run(&servers, &gate).await;
-    let at = Place::Target;
+    let at = ResumeServer::Target;
     assert_eq!(outcome, Outcome::GoesOn { at, answer: at });
-    assert_eq!(*servers.asked.borrow(), [(Place::Target, 1)]);
+    assert_eq!(*servers.asked.borrow(), [(ResumeServer::Target, 1)]);
     assert!(servers.freed.borrow().is_empty());
     let next = gate.pass(Bytes::from_static(b"id: 2\ndata: b\n\n"));
     assert_eq!(&next[..], b"id: 2\ndata: b\n\n");
@@ -119,9 +119,9 @@
         ..FakeServers::default()
     };
     let outcome = run(&servers, &gate).await;
-    let at = Place::Source;
+    let at = ResumeServer::Source;
     assert_eq!(outcome, Outcome::GoesOn { at, answer: at });
-    let asked = [(Place::Target, 1), (Place::Source, 1)];
+    let asked = [(ResumeServer::Target, 1), (ResumeServer::Source, 1)];
     assert_eq!(*servers.asked.borrow(), asked);
 }
 
@@ -149,7 +149,7 @@
         ..FakeServers::default()
     };
     assert_eq!(run(&servers, &gate).await, Outcome::Lost);
-    assert_eq!(*servers.asked.borrow(), [(Place::Target, 1)]);
+    assert_eq!(*servers.asked.borrow(), [(ResumeServer::Target, 1)]);
 }
 
 #[tokio::test(flavor = "current_thread")]
