--- a/crates/tinbay-core/src/handover/roles.rs
+++ b/crates/tinbay-core/src/handover/roles.rs
@@ -21,7 +21,7 @@
 const MAX_SLOTS_FRACTION: f64 = 0.5;
 
 /// Whether there are enough adapter slots to hold each adapter at two engines.
-pub fn has_places_for_two(adapters: usize, engines: usize, places_an_engine: usize) -> bool {
+pub fn has_slots_for_two_copies(adapters: usize, engines: usize, places_an_engine: usize) -> bool {
     let places = engines.saturating_mul(places_an_engine);
     adapters as f64 <= MAX_SLOTS_FRACTION * places as f64
 }
--- a/crates/tinbay-core/tests/handover_test.rs
+++ b/crates/tinbay-core/tests/handover_test.rs
@@ -5,7 +5,7 @@
 use tinbay_core::handover::events::EventScanner;
 use tinbay_core::handover::need::PrefillNeed;
 use tinbay_core::handover::prefill_limit::can_prefill_beside_streams;
-use tinbay_core::handover::roles::{Engine, Role, assign_roles, has_places_for_two};
+use tinbay_core::handover::roles::{Engine, Role, assign_roles, has_slots_for_two_copies};
 use tinbay_core::handover::transitions::{
     HandoverAnswer, ResumeAnswer, ResumeServer, Step, after_handover_answer, after_resume,
 };
@@ -186,11 +186,11 @@
 
 #[test]
 fn roles_need_slots_for_adapters_at_two_engines() {
-    assert!(has_places_for_two(0, 90, 11));
-    assert!(has_places_for_two(495, 90, 11));
-    assert!(!has_places_for_two(496, 90, 11));
-    assert!(!has_places_for_two(10_000, 90, 11));
-    assert!(!has_places_for_two(1, 0, 11));
+    assert!(has_slots_for_two_copies(0, 90, 11));
+    assert!(has_slots_for_two_copies(495, 90, 11));
+    assert!(!has_slots_for_two_copies(496, 90, 11));
+    assert!(!has_slots_for_two_copies(10_000, 90, 11));
+    assert!(!has_slots_for_two_copies(1, 0, 11));
 }
 
 fn resume(at: ResumeServer) -> Step {
--- a/crates/tinbay-gateway/src/front/handover/mod.rs
+++ b/crates/tinbay-gateway/src/front/handover/mod.rs
@@ -12,7 +12,7 @@
 use hyper::http::response::Parts;
 use log::Level;
 use serde::Serialize;
-use tinbay_core::handover::roles::has_places_for_two;
+use tinbay_core::handover::roles::has_slots_for_two_copies;
 use tinbay_core::serving::configuration::RouteKind;
 use tinbay_core::serving::stream_timing::StreamTiming;
 
@@ -112,7 +112,7 @@
         return false;
     };
     let engines = node.splits.engines(&node.servers, service, node.now_ms());
-    has_places_for_two(engine.adapters(), engines, engine.adapter_slots)
+    has_slots_for_two_copies(engine.adapters(), engines, engine.adapter_slots)
 }
 
 #[derive(Serialize)]
