--- a/crates/tinbay-core/src/serving/lateness.rs
+++ b/crates/tinbay-core/src/serving/lateness.rs
@@ -56,7 +56,7 @@
 impl AnswerTimes {
     /// The times of an answer to a request that arrived at `arrived_ms` and was answered completely
     /// by `ended_ms`.
-    pub fn of_sight(timing: &StreamTiming, arrived_ms: Millis, ended_ms: Millis) -> Self {
+    pub fn from_timing(timing: &StreamTiming, arrived_ms: Millis, ended_ms: Millis) -> Self {
         let first_ms = timing.first_ms();
         Self {
             first_piece_ms: first_ms.map(|first_ms| first_ms.saturating_sub(arrived_ms)),
--- a/crates/tinbay-core/tests/stream_timing_test.rs
+++ b/crates/tinbay-core/tests/stream_timing_test.rs
@@ -138,7 +138,7 @@
 #[test]
 fn times_are_counted_from_arrival() {
     let sight = sight_of(&[1_200, 1_250, 1_700]);
-    let times = AnswerTimes::of_sight(&sight, 1_000, 1_800);
+    let times = AnswerTimes::from_timing(&sight, 1_000, 1_800);
     assert_eq!(times.first_piece_ms, Some(200));
     assert_eq!(times.longest_pause_ms, 450);
     assert_eq!(times.end_ms, 800);
--- a/crates/tinbay-gateway/src/front/answer_timing.rs
+++ b/crates/tinbay-gateway/src/front/answer_timing.rs
@@ -68,7 +68,7 @@
         let sight = inbound.sight.get();
         let stream = Some(sight).filter(|sight| sight.pieces() > 1);
         let objective = AnswerObjective::of_route(&inbound.route);
-        let times = AnswerTimes::of_sight(&sight, inbound.arrived_ms, ended_ms);
+        let times = AnswerTimes::from_timing(&sight, inbound.arrived_ms, ended_ms);
         let judged = (end == AnswerEnd::Served).then(|| Lateness::judge(&times, &objective));
         let is_cut = end == AnswerEnd::Cut;
         Self {
