--- a/crates/tinbay-core/src/serving/contents/mod.rs
+++ b/crates/tinbay-core/src/serving/contents/mod.rs
@@ -442,7 +442,7 @@
         if matches!(answer, OrderAnswer::Accepted | OrderAnswer::Done) {
             self.unconfirmed.record_accepted(action);
         }
-        self.unconfirmed.note_answer(answer);
+        self.unconfirmed.record_answer(answer);
         answer
     }
 
@@ -459,7 +459,7 @@
     }
 
     /// Records the server's answer to an order.
-    pub fn note_answer(&mut self, action: &Action, answer: OrderAnswer, now_ms: Millis) {
+    pub fn record_answer(&mut self, action: &Action, answer: OrderAnswer, now_ms: Millis) {
         match (action, answer) {
             (_, OrderAnswer::NoAnswer | OrderAnswer::Conflict | OrderAnswer::Refused) => {
                 self.invalidate(now_ms);
--- a/crates/tinbay-core/src/serving/contents/unconfirmed.rs
+++ b/crates/tinbay-core/src/serving/contents/unconfirmed.rs
@@ -132,7 +132,7 @@
 
     /// Records an answer of the server. An accepted order proves that nothing sent by an earlier
     /// holder can still be carried out.
-    pub fn note_answer(&mut self, answer: OrderAnswer) {
+    pub fn record_answer(&mut self, answer: OrderAnswer) {
         if answer == OrderAnswer::Accepted {
             self.previous_holder_may_have_orders = false;
         }
--- a/crates/tinbay-core/src/serving/prefill.rs
+++ b/crates/tinbay-core/src/serving/prefill.rs
@@ -55,7 +55,7 @@
     /// The backlog is estimated from the rate: with a rate that is too low no engine would ever
     /// appear idle and the rate would never be corrected, so an answer that is faster than
     /// estimated always counts.
-    pub fn note_answer(&mut self, tokens: u32, backlog_ms: f64, took_ms: f64) {
+    pub fn record_answer(&mut self, tokens: u32, backlog_ms: f64, took_ms: f64) {
         let was_idle = backlog_ms <= MAX_SAMPLE_BACKLOG_MS;
         let is_faster = took_ms < self.time_ms(tokens);
         if tokens >= MIN_SAMPLE_TOKENS && (was_idle || is_faster) {
--- a/crates/tinbay-core/tests/serving_contents_test.rs
+++ b/crates/tinbay-core/tests/serving_contents_test.rs
@@ -139,9 +139,9 @@
         next(&mut contents, &[want("m/a")], true, 0),
         Some(load("m", 0))
     );
-    contents.note_answer(&load("m", 0), OrderAnswer::Accepted, 0);
+    contents.record_answer(&load("m", 0), OrderAnswer::Accepted, 0);
     assert_eq!(next(&mut contents, &[want("m/a")], true, 10), None);
-    contents.note_answer(&load("m", 1), OrderAnswer::Done, 600);
+    contents.record_answer(&load("m", 1), OrderAnswer::Done, 600);
     assert_eq!(
         next(&mut contents, &[want("m/a")], true, 610),
         Some(load("m/a", 1))
@@ -160,7 +160,7 @@
         next(&mut contents, &[want("m/c")], true, 1_000),
         Some(unload.clone())
     );
-    contents.note_answer(&unload, OrderAnswer::Done, 1_000);
+    contents.record_answer(&unload, OrderAnswer::Done, 1_000);
     assert_eq!(
         next(&mut contents, &[want("m/c")], true, 1_001),
         Some(load("m/c", 5))
@@ -275,7 +275,7 @@
         version: Some(2),
         expected_count: 4,
     };
-    contents.note_answer(&load, OrderAnswer::Accepted, 5_000);
+    contents.record_answer(&load, OrderAnswer::Accepted, 5_000);
     let mut known = report(&[("m/a", 1)]);
     known.order_count = 5;
     contents.note_report(&known, 6_000);
@@ -286,7 +286,7 @@
 #[test]
 fn note_answer_lost_requests_report_after_delay() {
     let mut contents = known_contents(2, &[]);
-    contents.note_answer(&load("m/a", 4), OrderAnswer::NoAnswer, 1_000);
+    contents.record_answer(&load("m/a", 4), OrderAnswer::NoAnswer, 1_000);
     assert_eq!(next(&mut contents, &[want("m/a")], true, 1_599), None);
     assert_eq!(
         next(&mut contents, &[want("m/a")], true, 1_600),
@@ -301,7 +301,7 @@
         adapter: "m/a".into(),
         expected_count: 4,
     };
-    contents.note_answer(&unload, OrderAnswer::Done, 500);
+    contents.record_answer(&unload, OrderAnswer::Done, 500);
     assert!(contents.is_cached(adapter_key("m/a"), None));
     assert!(!contents.is_cached(adapter_key("m/a"), Some(2)));
     assert!(!contents.is_cached(adapter_key("m/b"), None));
@@ -373,7 +373,7 @@
             } else {
                 answer
             };
-            contents.note_answer(&action, answer, now_ms);
+            contents.record_answer(&action, answer, now_ms);
         }
         let loading_or_ready = contents
             .held()
@@ -395,11 +395,11 @@
     for number in 0..6 {
         let adapter = format!("m/slow{number}");
         let action = load(&adapter, 4 + number);
-        contents.note_answer(&action, OrderAnswer::Accepted, now_ms);
+        contents.record_answer(&action, OrderAnswer::Accepted, now_ms);
         now_ms += 900;
-        contents.note_answer(&action, OrderAnswer::Accepted, now_ms);
+        contents.record_answer(&action, OrderAnswer::Accepted, now_ms);
         now_ms += 100;
-        contents.note_answer(&action, OrderAnswer::Done, now_ms);
+        contents.record_answer(&action, OrderAnswer::Done, now_ms);
     }
     let copy = WantedLoad {
         is_copy: true,
@@ -407,7 +407,7 @@
     };
     assert_eq!(next(&mut contents, &[copy], true, now_ms), None);
     let first = next(&mut contents, &[want("m/a")], true, now_ms).expect("a load");
-    contents.note_answer(&first, OrderAnswer::Accepted, now_ms);
+    contents.record_answer(&first, OrderAnswer::Accepted, now_ms);
     assert_eq!(next(&mut contents, &[want("m/b")], true, now_ms + 1), None);
 }
 
@@ -424,13 +424,13 @@
     for number in 0..10 {
         let adapter = format!("m/late{number}");
         let action = load(&adapter, 4 + number);
-        contents.note_answer(&action, OrderAnswer::Accepted, now_ms);
+        contents.record_answer(&action, OrderAnswer::Accepted, now_ms);
         now_ms += 1_500;
-        contents.note_answer(&action, OrderAnswer::Done, now_ms);
+        contents.record_answer(&action, OrderAnswer::Done, now_ms);
     }
     assert!(contents.load_wait_ms(0) <= 300.0);
     for adapter in ["m/a", "m/b", "m/c", "m/d"] {
         let action = next(&mut contents, &[want(adapter)], true, now_ms).expect("a load");
-        contents.note_answer(&action, OrderAnswer::Accepted, now_ms);
+        contents.record_answer(&action, OrderAnswer::Accepted, now_ms);
     }
 }
--- a/crates/tinbay-core/tests/serving_placement_test.rs
+++ b/crates/tinbay-core/tests/serving_placement_test.rs
@@ -333,11 +333,11 @@
 fn prefill_rate_too_low_is_corrected() {
     let mut rate = PrefillRate::default();
     for _ in 0..400 {
-        rate.note_answer(700, 0.0, 3_000.0);
+        rate.record_answer(700, 0.0, 3_000.0);
     }
     assert!(rate.tokens_per_ms() < 3.0);
     for _ in 0..2_000 {
-        rate.note_answer(700, 5_000.0, 20.0);
+        rate.record_answer(700, 5_000.0, 20.0);
     }
     assert!(rate.tokens_per_ms() > 20.0);
 }
@@ -346,8 +346,8 @@
 fn prefill_rate_ignores_busy_engine() {
     let mut rate = PrefillRate::default();
     let before = rate;
-    rate.note_answer(700, 21.0, 3_000.0);
-    rate.note_answer(499, 0.0, 3_000.0);
+    rate.record_answer(700, 21.0, 3_000.0);
+    rate.record_answer(499, 0.0, 3_000.0);
     assert_eq!(rate, before);
 }
 
--- a/crates/tinbay-gateway/src/node.rs
+++ b/crates/tinbay-gateway/src/node.rs
@@ -595,7 +595,7 @@
     pub fn note_prefill(&self, inbound: &InboundRequest, backlog_ms: f64, took_ms: Millis) {
         let mut rates = self.prefill_rates.borrow_mut();
         let rate = rates.entry(inbound.service.clone()).or_default();
-        rate.note_answer(inbound.prompt.tokens, backlog_ms, took_ms as f64);
+        rate.record_answer(inbound.prompt.tokens, backlog_ms, took_ms as f64);
     }
 
     /// Expected prefill time of `tokens` prompt tokens on an engine of a service.
--- a/crates/tinbay-gateway/src/orders/holder.rs
+++ b/crates/tinbay-gateway/src/orders/holder.rs
@@ -364,7 +364,7 @@
         let answer = self.send_until_answered(action, &order, token).await;
         let now_ms = self.node.now_ms();
         let mut contents = self.held.contents.borrow_mut();
-        contents.note_answer(action, answer, now_ms);
+        contents.record_answer(action, answer, now_ms);
         drop(contents);
         if let (OrderAction::Load { .. }, OrderAnswer::Done) = (&order.action, answer) {
             let mut wants = self.held.wants.borrow_mut();
