--- a/crates/tinbay-core/src/serving/idle_reuse.rs
+++ b/crates/tinbay-core/src/serving/idle_reuse.rs
@@ -118,7 +118,7 @@
     /// Records that a request that may run only once is sent on a connection that was idle for
     /// `rested_ms`. Returns whether it counts as at risk; if so, [`IdleReuseLimit::release`] must
     /// be called when its outcome is known.
-    pub fn note_at_risk(&mut self, rested_ms: Millis) -> bool {
+    pub fn record_at_risk(&mut self, rested_ms: Millis) -> bool {
         let is_at_risk = rested_ms > INITIAL_IDLE_LIMIT_MS;
         self.at_risk += usize::from(is_at_risk);
         is_at_risk
--- a/crates/tinbay-core/tests/idle_reuse_test.rs
+++ b/crates/tinbay-core/tests/idle_reuse_test.rs
@@ -177,7 +177,7 @@
     grow(&mut learner, 4_000);
     let mut sent = 0;
     while learner.trusted_ms() >= 2_000 {
-        assert!(learner.note_at_risk(2_000));
+        assert!(learner.record_at_risk(2_000));
         sent += 1;
     }
     assert_eq!(sent, MAX_AT_RISK);
@@ -189,7 +189,7 @@
 #[test]
 fn stake_of_a_short_rest_is_none() {
     let mut learner = IdleReuseLimit::default();
-    assert!(!learner.note_at_risk(INITIAL_IDLE_LIMIT_MS));
+    assert!(!learner.record_at_risk(INITIAL_IDLE_LIMIT_MS));
 }
 
 /// Servers close idle connections after an arbitrary time: at most two requests are lost per
--- a/crates/tinbay-gateway/src/http/reuse.rs
+++ b/crates/tinbay-gateway/src/http/reuse.rs
@@ -111,7 +111,7 @@
         runs_once: bool,
         silent_ms: &Rc<Cell<Millis>>,
     ) -> Self {
-        let is_at_risk = runs_once && ledger.trusted.borrow_mut().note_at_risk(rested_ms);
+        let is_at_risk = runs_once && ledger.trusted.borrow_mut().record_at_risk(rested_ms);
         Self {
             ledger: Rc::clone(ledger),
             server,
