--- a/crates/tinbay-core/src/serving/subscribers.rs
+++ b/crates/tinbay-core/src/serving/subscribers.rs
@@ -154,7 +154,7 @@
     }
 
     /// Records failed requests of a box.
-    pub fn note_failures(&mut self, failure_penalty: f64, now_ms: Millis) {
+    pub fn record_failures(&mut self, failure_penalty: f64, now_ms: Millis) {
         let sum = self.failure_penalty(now_ms) + failure_penalty;
         self.failure_penalty = DecayingValue::new(sum.min(MAX_FAILURE_PENALTY), now_ms);
     }
--- a/crates/tinbay-gateway/src/orders/held_server.rs
+++ b/crates/tinbay-gateway/src/orders/held_server.rs
@@ -87,14 +87,14 @@
     /// Records that the server doesn't answer orders, so that others are preferred for a while.
     pub fn note_unresponsive(&self, now_ms: Millis) {
         let mut subscribers = self.subscribers.borrow_mut();
-        subscribers.note_failures(UNRESPONSIVE_PENALTY, now_ms);
+        subscribers.record_failures(UNRESPONSIVE_PENALTY, now_ms);
     }
 
     /// Records that the server accepted no connection. This raises its failure penalty to the upper
     /// bound, so that others are preferred for a while.
     pub fn note_unreachable(&self, now_ms: Millis) {
         let mut subscribers = self.subscribers.borrow_mut();
-        subscribers.note_failures(MAX_FAILURE_PENALTY, now_ms);
+        subscribers.record_failures(MAX_FAILURE_PENALTY, now_ms);
     }
 
     /// Records that a box asked for the server's status.
@@ -136,7 +136,7 @@
         let begun = report.uses.iter().map(|of| usize::from(of.begun)).sum();
         let mut admission = self.admission.borrow_mut();
         admission.note_begun(box_fingerprint(box_id), begun, now_ms);
-        subscribers.note_failures(report.failure_penalty, now_ms);
+        subscribers.record_failures(report.failure_penalty, now_ms);
         if let Some(delay) = report.delay {
             subscribers.note_delay(delay, now_ms);
         }
