--- a/crates/tinbay-core/src/serving/budget.rs
+++ b/crates/tinbay-core/src/serving/budget.rs
@@ -34,7 +34,7 @@
 
 impl AttemptBudget {
     /// Records a first attempt.
-    pub fn note_first_attempt(&mut self, now_ms: Millis) {
+    pub fn record_first_attempt(&mut self, now_ms: Millis) {
         self.first_attempts.push_back(now_ms);
     }
 
--- a/crates/tinbay-core/tests/serving_routes_test.rs
+++ b/crates/tinbay-core/tests/serving_routes_test.rs
@@ -97,7 +97,7 @@
                 .collect();
             times.sort_unstable();
             for time in &times {
-                budget.note_first_attempt(*time);
+                budget.record_first_attempt(*time);
                 first_count += 1;
             }
             taken += (0..100)
--- a/crates/tinbay-gateway/src/front/filters/delivery.rs
+++ b/crates/tinbay-gateway/src/front/filters/delivery.rs
@@ -27,5 +27,5 @@
     let now_ms = node.now_ms();
     let mut budgets = node.budgets.borrow_mut();
     let budget = budgets.entry(inbound.service.clone()).or_default();
-    budget.note_first_attempt(now_ms);
+    budget.record_first_attempt(now_ms);
 }
