--- a/crates/tinbay-core/src/serving/notices.rs
+++ b/crates/tinbay-core/src/serving/notices.rs
@@ -47,7 +47,7 @@
     }
 
     /// Records that the server is shutting down according to its entry in the store.
-    pub fn note_leaving(&mut self) {
+    pub fn record_leaving(&mut self) {
         self.is_leaving = true;
     }
 
--- a/crates/tinbay-gateway/src/servers/departed.rs
+++ b/crates/tinbay-gateway/src/servers/departed.rs
@@ -64,7 +64,7 @@
         if is_earlier {
             // A later incarnation is known, so this one has ended.
             let mut notices = Announced::default();
-            notices.note_leaving();
+            notices.record_leaving();
             return Rc::new(RefCell::new(notices));
         }
         Rc::clone(&known.notices)
--- a/crates/tinbay-gateway/src/servers/server.rs
+++ b/crates/tinbay-gateway/src/servers/server.rs
@@ -152,7 +152,7 @@
     /// 24 requests.
     pub(super) fn set_record(&self, record: ServerRecord) {
         if record.state == ServerState::Draining {
-            self.notices.borrow_mut().note_leaving();
+            self.notices.borrow_mut().record_leaving();
         }
         // A repeated entry tells nothing new about the remaining time.
         if record.slow_for_ms != self.record().slow_for_ms {
