--- a/crates/tinbay-core/src/serving/contents/mod.rs
+++ b/crates/tinbay-core/src/serving/contents/mod.rs
@@ -587,7 +587,7 @@
     /// Applies the progress of loads and unloads that a report shows, if one arrived; returns the
     /// adapters that are loaded now. The report may be older than the last order, so only awaited
     /// changes are taken from it.
-    pub fn note_poll(&mut self, report: Option<&Report>, now_ms: Millis) -> Vec<AdapterKey> {
+    pub fn record_poll(&mut self, report: Option<&Report>, now_ms: Millis) -> Vec<AdapterKey> {
         self.poll_after_ms = now_ms + POLL_INTERVAL_MS;
         let Some(report) = report else {
             return Vec::new();
--- a/crates/tinbay-core/tests/serving_contents_test.rs
+++ b/crates/tinbay-core/tests/serving_contents_test.rs
@@ -335,7 +335,7 @@
                 Action::PollReport => {
                     let adapters: Vec<(&str, u64)> =
                         server.iter().map(|name| (name.as_str(), 1)).collect();
-                    contents.note_poll(Some(&report(&adapters)), now_ms);
+                    contents.record_poll(Some(&report(&adapters)), now_ms);
                     continue;
                 }
                 Action::Load {
--- a/crates/tinbay-core/tests/serving_late_orders_test.rs
+++ b/crates/tinbay-core/tests/serving_late_orders_test.rs
@@ -274,7 +274,7 @@
                 }
                 Some(Action::PollReport) => {
                     let report = self.server.report(self.now_ms);
-                    for key in self.contents.note_poll(Some(&report), self.now_ms) {
+                    for key in self.contents.record_poll(Some(&report), self.now_ms) {
                         self.wants.forget(key);
                     }
                     self.advance(2);
--- a/crates/tinbay-gateway/src/orders/holder.rs
+++ b/crates/tinbay-gateway/src/orders/holder.rs
@@ -264,7 +264,7 @@
         let report = self.fetch_report().await;
         let done = {
             let mut contents = self.held.contents.borrow_mut();
-            contents.note_poll(report.as_ref(), self.node.now_ms())
+            contents.record_poll(report.as_ref(), self.node.now_ms())
         };
         let mut wants = self.held.wants.borrow_mut();
         for key in done {
