--- a/crates/tinbay-core/src/serving/contents/mod.rs
+++ b/crates/tinbay-core/src/serving/contents/mod.rs
@@ -625,7 +625,7 @@
 
     /// Replaces the known contents by a report, which must have been requested after the delay that
     /// [`Action::FetchReport`] waits for.
-    pub fn note_report(&mut self, report: &Report, now_ms: Millis) {
+    pub fn record_report(&mut self, report: &Report, now_ms: Millis) {
         self.was_known = true;
         for adapter in self.unconfirmed.record_count(report.order_count) {
             self.unloading.insert(adapter_key(&adapter), now_ms);
@@ -638,7 +638,7 @@
         } else {
             self.order_count = Some(report.order_count);
         }
-        self.models.note_report(&report.models, now_ms);
+        self.models.record_report(&report.models, now_ms);
         let mut held = BTreeMap::new();
         let unloading = &self.unloading;
         let stays = |known: &&HeldAdapter| !unloading.contains_key(&adapter_key(&known.adapter));
--- a/crates/tinbay-core/src/serving/contents/models.rs
+++ b/crates/tinbay-core/src/serving/contents/models.rs
@@ -139,7 +139,7 @@
     }
 
     /// Replaces the held models by those of a report, which lists only loaded ones.
-    pub fn note_report(&mut self, models: &[String], now_ms: Millis) {
+    pub fn record_report(&mut self, models: &[String], now_ms: Millis) {
         self.held.clear();
         for model in models {
             self.record_ready(model, now_ms);
--- a/crates/tinbay-core/tests/serving_contents_test.rs
+++ b/crates/tinbay-core/tests/serving_contents_test.rs
@@ -40,7 +40,7 @@
 
 fn known_contents(adapter_slots: usize, adapters: &[(&str, u64)]) -> Contents {
     let mut contents = Contents::new(&spec(adapter_slots), 0);
-    contents.note_report(&report(adapters), 0);
+    contents.record_report(&report(adapters), 0);
     contents
 }
 
@@ -112,7 +112,7 @@
 #[test]
 fn next_action_model_waits_for_the_allowance() {
     let mut contents = Contents::new(&spec(2), 0);
-    contents.note_report(&Report::default(), 0);
+    contents.record_report(&Report::default(), 0);
     assert_eq!(next(&mut contents, &[want("m/a")], false, 0), None);
 }
 
@@ -134,7 +134,7 @@
 #[test]
 fn next_action_model_before_adapter() {
     let mut contents = Contents::new(&spec(2), 0);
-    contents.note_report(&Report::default(), 0);
+    contents.record_report(&Report::default(), 0);
     assert_eq!(
         next(&mut contents, &[want("m/a")], true, 0),
         Some(load("m", 0))
@@ -278,7 +278,7 @@
     contents.record_answer(&load, OrderAnswer::Accepted, 5_000);
     let mut known = report(&[("m/a", 1)]);
     known.order_count = 5;
-    contents.note_report(&known, 6_000);
+    contents.record_report(&known, 6_000);
     let states: Vec<HeldState> = contents.held().map(|(_, held)| held.state).collect();
     assert_eq!(states, [HeldState::Loading]);
 }
@@ -329,7 +329,7 @@
                         server.iter().map(|name| (name.as_str(), 1)).collect();
                     let mut known = report(&adapters);
                     known.order_count = order_count;
-                    contents.note_report(&known, now_ms);
+                    contents.record_report(&known, now_ms);
                     continue;
                 }
                 Action::PollReport => {
--- a/crates/tinbay-core/tests/serving_late_orders_test.rs
+++ b/crates/tinbay-core/tests/serving_late_orders_test.rs
@@ -269,7 +269,7 @@
                 None => self.advance(20),
                 Some(Action::FetchReport) => {
                     let report = self.server.report(self.now_ms);
-                    self.contents.note_report(&report, self.now_ms);
+                    self.contents.record_report(&report, self.now_ms);
                     self.advance(2);
                 }
                 Some(Action::PollReport) => {
--- a/crates/tinbay-gateway/src/orders/holder.rs
+++ b/crates/tinbay-gateway/src/orders/holder.rs
@@ -239,7 +239,7 @@
         self.held
             .contents
             .borrow_mut()
-            .note_report(&report, self.node.now_ms());
+            .record_report(&report, self.node.now_ms());
         self.publish(if is_first_report {
             Audience::Users
         } else {
