--- a/crates/tinbay-core/src/serving/claims.rs
+++ b/crates/tinbay-core/src/serving/claims.rs
@@ -118,7 +118,7 @@
     }
 
     /// Records that, according to the store, all proofs of eras before this one have expired.
-    pub fn note_settled(&mut self, era: Era) {
+    pub fn record_settled(&mut self, era: Era) {
         self.settled_era_in_store = Some(era);
     }
 
--- a/crates/tinbay-core/tests/serving_claims_test.rs
+++ b/crates/tinbay-core/tests/serving_claims_test.rs
@@ -31,7 +31,7 @@
 fn table(holder: &str, is_released: bool, seen_ms: u64) -> ClaimTable {
     let mut table = ClaimTable::default();
     table.begin_era(Era(1), 0, 0);
-    table.note_settled(Era(1));
+    table.record_settled(Era(1));
     table.note(SERVER, &value(holder, is_released, 1), at(7), seen_ms);
     table
 }
@@ -138,7 +138,7 @@
     let entry = HolderEntry::Listed;
     assert!(!started.may_take(SERVER, "a", entry, &TERMS, 13_999));
     assert!(started.may_take(SERVER, "a", entry, &TERMS, 14_000));
-    started.note_settled(Era(2));
+    started.record_settled(Era(2));
     assert!(started.may_take(SERVER, "a", entry, &TERMS, 700));
 }
 
--- a/crates/tinbay-core/tests/serving_returns_test.rs
+++ b/crates/tinbay-core/tests/serving_returns_test.rs
@@ -202,7 +202,7 @@
             member.era = Some(era);
         }
         if let Some(settled) = self.store.settled {
-            member.claims.note_settled(Era(settled));
+            member.claims.record_settled(Era(settled));
         }
         if let Some((value, revision)) = &self.store.claim {
             let position = Position::new(Era(era), *revision);
--- a/crates/tinbay-gateway/src/node.rs
+++ b/crates/tinbay-gateway/src/node.rs
@@ -372,7 +372,7 @@
             let is_first = claims.era().is_none();
             claims.begin_era(era, proof_end_ms, self.now_ms());
             if is_first && self.settings.borrow().is_first_start {
-                claims.note_settled(era);
+                claims.record_settled(era);
             }
         }
     }
