--- a/crates/tinbay-core/src/serving/contents/held.rs
+++ b/crates/tinbay-core/src/serving/contents/held.rs
@@ -96,7 +96,7 @@
         decayed(self.uses, self.used_ms, USE_HALF_LIFE_MS, now_ms)
     }
 
-    pub(super) fn note_uses(&mut self, uses: u32, now_ms: Millis) {
+    pub(super) fn record_uses(&mut self, uses: u32, now_ms: Millis) {
         self.uses = self.uses_at(now_ms) + f64::from(uses);
         self.used_ms = now_ms;
     }
--- a/crates/tinbay-core/src/serving/contents/mod.rs
+++ b/crates/tinbay-core/src/serving/contents/mod.rs
@@ -229,9 +229,9 @@
     }
 
     /// Records uses of an adapter.
-    pub fn note_uses(&mut self, key: AdapterKey, uses: u32, now_ms: Millis) {
+    pub fn record_uses(&mut self, key: AdapterKey, uses: u32, now_ms: Millis) {
         if let Some(held) = self.held.get_mut(&key) {
-            held.note_uses(uses, now_ms);
+            held.record_uses(uses, now_ms);
         }
     }
 
@@ -240,7 +240,7 @@
         let has_fingerprint =
             |(key, _): &(&AdapterKey, &mut Held)| **key as Fingerprint == fingerprint;
         if let Some((_, held)) = self.held.iter_mut().find(has_fingerprint) {
-            held.note_uses(uses, now_ms);
+            held.record_uses(uses, now_ms);
         }
     }
 
--- a/crates/tinbay-core/src/serving/subscribers.rs
+++ b/crates/tinbay-core/src/serving/subscribers.rs
@@ -109,7 +109,7 @@
     }
 
     /// Replaces the requests that a box has running at the server.
-    pub fn note_uses(&mut self, box_id: &str, uses: Vec<AdapterUse>, now_ms: Millis) {
+    pub fn record_uses(&mut self, box_id: &str, uses: Vec<AdapterUse>, now_ms: Millis) {
         self.subscriber(box_id, now_ms).uses = uses;
     }
 
--- a/crates/tinbay-core/tests/serving_contents_test.rs
+++ b/crates/tinbay-core/tests/serving_contents_test.rs
@@ -151,7 +151,7 @@
 #[test]
 fn next_action_unloads_least_used_when_full() {
     let mut contents = known_contents(2, &[("m/a", 1), ("m/b", 1)]);
-    contents.note_uses(adapter_key("m/a"), 3, 0);
+    contents.record_uses(adapter_key("m/a"), 3, 0);
     let unload = Action::Unload {
         adapter: "m/b".into(),
         expected_count: 4,
@@ -170,7 +170,7 @@
 #[test]
 fn next_action_keeps_a_recently_used_adapter() {
     let mut contents = known_contents(1, &[("m/a", 1)]);
-    contents.note_uses(adapter_key("m/a"), 1, 1_000);
+    contents.record_uses(adapter_key("m/a"), 1, 1_000);
     assert_eq!(next(&mut contents, &[want("m/b")], true, 1_050), None);
 }
 
@@ -238,7 +238,7 @@
 #[test]
 fn next_action_never_replaces_a_busy_version() {
     let mut contents = known_contents(2, &[("m/a", 1)]);
-    contents.note_uses(adapter_key("m/a"), 1, 4_600);
+    contents.record_uses(adapter_key("m/a"), 1, 4_600);
     let wants = [second_version_of("m/a")];
     assert_eq!(next(&mut contents, &wants, true, 5_000), None);
 }
@@ -246,7 +246,7 @@
 #[test]
 fn next_action_unloads_old_version_first() {
     let mut contents = known_contents(2, &[("m/a", 1), ("m/b", 1)]);
-    contents.note_uses(adapter_key("m/a"), 9, 100);
+    contents.record_uses(adapter_key("m/a"), 9, 100);
     let named = |adapter: &str| (adapter == "m/a").then_some(2);
     let mut allowance = FakeAllowance {
         is_left: true,
--- a/crates/tinbay-core/tests/serving_placement_test.rs
+++ b/crates/tinbay-core/tests/serving_placement_test.rs
@@ -211,10 +211,10 @@
 #[test]
 fn running_of_others_excludes_own_requests() {
     let mut subscribers = Subscribers::default();
-    subscribers.note_uses("box-1", uses("m/a", 3), 0);
-    subscribers.note_uses("box-2", uses("m/a", 4), 0);
+    subscribers.record_uses("box-1", uses("m/a", 3), 0);
+    subscribers.record_uses("box-2", uses("m/a", 4), 0);
     assert_eq!(subscribers.running_of_others("box-1", 100), 4);
-    subscribers.note_uses("box-2", uses("m/a", 1), 200);
+    subscribers.record_uses("box-2", uses("m/a", 1), 200);
     assert_eq!(subscribers.running_of_others("box-1", 300), 1);
 }
 
@@ -222,11 +222,11 @@
 fn is_in_use_until_the_box_reports_otherwise_or_expires() {
     let adapter = adapter_key("m/a") as u32;
     let mut subscribers = Subscribers::default();
-    subscribers.note_uses("box-1", uses("m/a", 1), 0);
+    subscribers.record_uses("box-1", uses("m/a", 1), 0);
     assert!(subscribers.is_in_use(adapter, 2_900));
     assert!(!subscribers.is_in_use(adapter, 3_000));
-    subscribers.note_uses("box-1", uses("m/a", 1), 3_100);
-    subscribers.note_uses("box-1", uses("m/a", 0), 3_200);
+    subscribers.record_uses("box-1", uses("m/a", 1), 3_100);
+    subscribers.record_uses("box-1", uses("m/a", 0), 3_200);
     assert!(!subscribers.is_in_use(adapter, 3_200));
 }
 
@@ -255,7 +255,7 @@
     let mut subscribers = Subscribers::default();
     subscribers.note_wait("box-1", 7, 0);
     subscribers.note_wait("box-2", 8, 0);
-    subscribers.note_uses("box-3", uses("m/a", 1), 0);
+    subscribers.record_uses("box-3", uses("m/a", 1), 0);
     subscribers.record_status_sent("box-3", 0);
     assert_eq!(boxes_affected_by(&subscribers, &ready(7), 999), ["box-1"]);
     assert!(boxes_affected_by(&subscribers, &ready(7), 1_000).is_empty());
--- a/crates/tinbay-gateway/src/orders/held_server.rs
+++ b/crates/tinbay-gateway/src/orders/held_server.rs
@@ -114,7 +114,7 @@
         }
         let mut contents = self.contents.borrow_mut();
         if contents.holding(key, want.version) == Holding::Current {
-            contents.note_uses(key, 0, now_ms);
+            contents.record_uses(key, 0, now_ms);
             return;
         }
         self.wants.borrow_mut().ask(want, now_ms);
@@ -140,7 +140,7 @@
         if let Some(delay) = report.delay {
             subscribers.note_delay(delay, now_ms);
         }
-        subscribers.note_uses(box_id, report.uses, now_ms);
+        subscribers.record_uses(box_id, report.uses, now_ms);
     }
 
     /// Whether load requests are pending.
