--- a/crates/tinbay-core/src/serving/contents/mod.rs
+++ b/crates/tinbay-core/src/serving/contents/mod.rs
@@ -236,7 +236,7 @@
     }
 
     /// Records uses of an adapter given by its fingerprint.
-    pub fn note_uses_of(&mut self, fingerprint: Fingerprint, uses: u32, now_ms: Millis) {
+    pub fn record_uses_of(&mut self, fingerprint: Fingerprint, uses: u32, now_ms: Millis) {
         let has_fingerprint =
             |(key, _): &(&AdapterKey, &mut Held)| **key as Fingerprint == fingerprint;
         if let Some((_, held)) = self.held.iter_mut().find(has_fingerprint) {
--- a/crates/tinbay-core/tests/serving_contents_test.rs
+++ b/crates/tinbay-core/tests/serving_contents_test.rs
@@ -203,7 +203,7 @@
 #[test]
 fn note_uses_of_finds_adapter_by_fingerprint() {
     let mut contents = known_contents(2, &[("m/a", 1), ("m/b", 1)]);
-    contents.note_uses_of(adapter_key("m/b") as u32, 3, 1_000);
+    contents.record_uses_of(adapter_key("m/b") as u32, 3, 1_000);
     let unload = Action::Unload {
         adapter: "m/a".into(),
         expected_count: 4,
--- a/crates/tinbay-gateway/src/orders/held_server.rs
+++ b/crates/tinbay-gateway/src/orders/held_server.rs
@@ -128,7 +128,7 @@
         let mut spreads = self.spreads.borrow_mut();
         let service = &server.record().service;
         for of in report.uses.iter().filter(|of| of.begun > 0) {
-            contents.note_uses_of(of.adapter, u32::from(of.begun), now_ms);
+            contents.record_uses_of(of.adapter, u32::from(of.begun), now_ms);
             let prefill_ms = node.prefill_ms(service, of.begun_tokens);
             subscribers.note_begun(prefill_ms, now_ms);
             spreads.note_begun(of.adapter, prefill_ms, now_ms);
