--- a/crates/tinbay-core/src/serving/contents/mod.rs
+++ b/crates/tinbay-core/src/serving/contents/mod.rs
@@ -421,7 +421,7 @@
     /// Returns the outcome of an order from its last answer and the number of attempts before it
     /// that got no answer, `unanswered`. A conflict may prove that one of those attempts was
     /// accepted.
-    pub fn settle(
+    pub fn resolve_answer(
         &mut self,
         action: &Action,
         answer: OrderAnswer,
--- a/crates/tinbay-core/tests/serving_late_orders_test.rs
+++ b/crates/tinbay-core/tests/serving_late_orders_test.rs
@@ -336,7 +336,7 @@
         }
         let settled = self
             .contents
-            .settle(action, answer, unanswered, self.now_ms);
+            .resolve_answer(action, answer, unanswered, self.now_ms);
         self.contents.record_answer(action, settled, self.now_ms);
         if let (Action::Load { adapter, .. }, OrderAnswer::Done) = (action, settled) {
             self.wants.forget(adapter_key(adapter));
--- a/crates/tinbay-gateway/src/orders/holder.rs
+++ b/crates/tinbay-gateway/src/orders/holder.rs
@@ -390,7 +390,7 @@
             answer = self.send_copies(order).await;
         }
         let mut contents = self.held.contents.borrow_mut();
-        contents.settle(action, answer, unanswered, self.node.now_ms())
+        contents.resolve_answer(action, answer, unanswered, self.node.now_ms())
     }
 
     /// Sends an order several times in parallel and returns the first conclusive answer.
