--- a/crates/tinbay-core/src/serving/capacity.rs
+++ b/crates/tinbay-core/src/serving/capacity.rs
@@ -24,7 +24,7 @@
 ///
 /// A weak box that relays the store uses most of a 10 Mbit/s link for it, and configuration changes
 /// reach the boxes behind it seconds late.
-pub fn draw<'a>(job: &str, boxes: &[RankedBox<'a>], count: usize) -> Vec<&'a str> {
+pub fn select_boxes<'a>(job: &str, boxes: &[RankedBox<'a>], count: usize) -> Vec<&'a str> {
     let largest = boxes.iter().map(|candidate| candidate.capacity).max();
     let least_strong = (largest.unwrap_or_default() as f64 * STRONG_FRACTION) as u64;
     let is_strong = |candidate: &&RankedBox<'a>| candidate.capacity >= least_strong;
--- a/crates/tinbay-core/src/serving/relays.rs
+++ b/crates/tinbay-core/src/serving/relays.rs
@@ -15,7 +15,7 @@
 /// Selects the relays of a zone among its boxes.
 pub fn relays_of<'a>(zone: &str, boxes: &[RankedBox<'a>]) -> Vec<&'a str> {
     let count = 1 + boxes.len() / BOXES_PER_RELAY;
-    capacity::draw(zone, boxes, count)
+    capacity::select_boxes(zone, boxes, count)
 }
 
 /// The order in which a box asks relays: those of its own zone first. The order differs between
--- a/crates/tinbay-gateway/src/crashes/spread.rs
+++ b/crates/tinbay-gateway/src/crashes/spread.rs
@@ -77,7 +77,7 @@
         capacity: settings.resources.capacity(),
     };
     let boxes: Vec<RankedBox<'_>> = others.chain([own]).collect();
-    capacity::draw(&digest.to_string(), &boxes, TRACKERS)
+    capacity::select_boxes(&digest.to_string(), &boxes, TRACKERS)
         .into_iter()
         .filter(|id| *id != settings.box_id)
         .map(str::to_string)
--- a/crates/tinbay-gateway/src/limits/home.rs
+++ b/crates/tinbay-gateway/src/limits/home.rs
@@ -141,7 +141,7 @@
     });
     let is_eligible = |ranked: &RankedBox<'_>| !excluded.contains(&box_fingerprint(ranked.id));
     let boxes: Vec<RankedBox<'_>> = others.chain(own).filter(is_eligible).collect();
-    let home = *capacity::draw(name, &boxes, 1).first()?;
+    let home = *capacity::select_boxes(name, &boxes, 1).first()?;
     let home = if home == settings.box_id {
         Home::Own
     } else {
