--- a/crates/tinbay-core/src/serving/stream_timing.rs
+++ b/crates/tinbay-core/src/serving/stream_timing.rs
@@ -23,7 +23,7 @@
 
 impl StreamTiming {
     /// Records the arrival of a piece.
-    pub fn note_piece(&mut self, now_ms: Millis) {
+    pub fn record_piece(&mut self, now_ms: Millis) {
         if self.first_ms.is_none() {
             self.first_ms = Some(now_ms);
         } else {
@@ -41,7 +41,7 @@
 
     /// Records that the caller's side begins to wait for the next piece. From the last piece until
     /// then it read nothing, and data that had arrived from the server waited.
-    pub fn note_asked(&mut self, now_ms: Millis) {
+    pub fn record_read_start(&mut self, now_ms: Millis) {
         if self.first_ms.is_none() || self.read_began_ms.is_some() {
             return;
         }
--- a/crates/tinbay-core/tests/stream_timing_test.rs
+++ b/crates/tinbay-core/tests/stream_timing_test.rs
@@ -29,7 +29,7 @@
 fn sight_of(pieces_ms: &[Millis]) -> StreamTiming {
     let mut sight = StreamTiming::default();
     for piece_ms in pieces_ms {
-        sight.note_piece(*piece_ms);
+        sight.record_piece(*piece_ms);
     }
     sight
 }
@@ -174,7 +174,7 @@
         let mut sight = sight_of(&[now_ms]);
         for gap_ms in &gaps_ms {
             now_ms += Millis::from(*gap_ms);
-            sight.note_piece(now_ms);
+            sight.record_piece(now_ms);
         }
         let largest_ms = gaps_ms.iter().copied().max().unwrap_or_default();
         let sum_ms: Millis = gaps_ms.iter().copied().map(Millis::from).sum();
@@ -193,10 +193,10 @@
 #[test]
 fn untaken_caller_reads_at_once_is_none() {
     let mut sight = StreamTiming::default();
-    sight.note_asked(0);
+    sight.record_read_start(0);
     for now_ms in [100, 500] {
-        sight.note_piece(now_ms);
-        sight.note_asked(now_ms);
+        sight.record_piece(now_ms);
+        sight.record_read_start(now_ms);
     }
     assert_eq!(sight.longest_pause_ms(), 400);
     assert_eq!(sight.longest_pause_untaken_ms(), 0);
@@ -206,10 +206,10 @@
 #[test]
 fn untaken_caller_reads_late_is_its_part_of_the_pause() {
     let mut sight = sight_of(&[100]);
-    sight.note_asked(400);
-    sight.note_asked(450);
-    sight.note_piece(500);
-    sight.note_asked(500);
+    sight.record_read_start(400);
+    sight.record_read_start(450);
+    sight.record_piece(500);
+    sight.record_read_start(500);
     assert_eq!(sight.longest_pause_ms(), 400);
     assert_eq!(sight.longest_pause_untaken_ms(), 300);
     assert_eq!(sight.untaken_ms(10_000), 300);
@@ -237,9 +237,9 @@
         let mut sight = sight_of(&[0]);
         for (gap_ms, has_piece) in steps {
             now_ms += Millis::from(gap_ms);
-            sight.note_asked(now_ms);
+            sight.record_read_start(now_ms);
             if has_piece {
-                sight.note_piece(now_ms);
+                sight.record_piece(now_ms);
             }
         }
         sight.longest_pause_untaken_ms() <= sight.longest_pause_ms()
