--- a/crates/tinbay-core/src/handover/need.rs
+++ b/crates/tinbay-core/src/handover/need.rs
@@ -32,7 +32,7 @@
 
 impl PrefillNeed {
     /// Records a stream that was not handed over, and whether a pause made it late.
-    pub fn note_stream(&mut self, is_late_by_pause: bool, now_ms: Millis) {
+    pub fn record_stream(&mut self, is_late_by_pause: bool, now_ms: Millis) {
         self.streams.add(1.0, COUNT_HALF_LIFE_MS, now_ms);
         if is_late_by_pause {
             self.late_streams.add(1.0, COUNT_HALF_LIFE_MS, now_ms);
--- a/crates/tinbay-core/tests/handover_test.rs
+++ b/crates/tinbay-core/tests/handover_test.rs
@@ -65,7 +65,7 @@
 fn need_after(streams: usize, late_one_of: usize) -> PrefillNeed {
     let mut need = PrefillNeed::default();
     for number in 0..streams {
-        need.note_stream(number % late_one_of == 0, 1_000 + number as u64 * 50);
+        need.record_stream(number % late_one_of == 0, 1_000 + number as u64 * 50);
     }
     need
 }
@@ -94,7 +94,7 @@
 fn need_ends_when_nothing_is_late_any_more() {
     let mut need = need_after(40, 2);
     for number in 0..1_300 {
-        need.note_stream(false, 3_000 + number * 50);
+        need.record_stream(false, 3_000 + number * 50);
     }
     assert!(!need.is_needed(68_000));
 }
--- a/crates/tinbay-gateway/src/handover/split.rs
+++ b/crates/tinbay-gateway/src/handover/split.rs
@@ -52,7 +52,7 @@
         let mut needs = self.needs.borrow_mut();
         let need = needs.entry(service.to_string()).or_default();
         let was_needed = need.is_needed(now_ms);
-        need.note_stream(has_long_pause, now_ms);
+        need.record_stream(has_long_pause, now_ms);
         need.is_needed(now_ms) && !was_needed
     }
 
