--- a/crates/tinbay-core/src/serving/contents/mod.rs
+++ b/crates/tinbay-core/src/serving/contents/mod.rs
@@ -483,10 +483,10 @@
             (Action::Unload { adapter, .. }, OrderAnswer::Accepted) => {
                 self.unloading.insert(adapter_key(adapter), now_ms);
                 self.poll_after_ms = now_ms + POLL_INTERVAL_MS;
-                self.note_unloaded(adapter, now_ms);
+                self.record_unloaded(adapter, now_ms);
             }
             (Action::Unload { adapter, .. }, OrderAnswer::Done) => {
-                self.note_unloaded(adapter, now_ms);
+                self.record_unloaded(adapter, now_ms);
             }
             (Action::FetchReport | Action::PollReport, _) => {}
         }
@@ -558,7 +558,7 @@
         self.recently_held.insert(key, (version, now_ms));
     }
 
-    fn note_unloaded(&mut self, adapter: &str, now_ms: Millis) {
+    fn record_unloaded(&mut self, adapter: &str, now_ms: Millis) {
         let key = adapter_key(adapter);
         if let Some(held) = self.held.remove(&key) {
             self.recently_held.insert(key, (held.version, now_ms));
--- a/crates/tinbay-core/src/serving/idle_reuse.rs
+++ b/crates/tinbay-core/src/serving/idle_reuse.rs
@@ -136,7 +136,7 @@
             ReuseOutcome::Answered => self.record_success(reuse.rested_ms),
             ReuseOutcome::FoundClosed => self.near_successes = 0,
             ReuseOutcome::Broken => self.record_loss(reuse.rested_ms),
-            ReuseOutcome::Silent => self.note_silent(reuse, now_ms),
+            ReuseOutcome::Silent => self.record_silent(reuse, now_ms),
         }
         self.trusted_ms < before_ms
     }
@@ -174,7 +174,7 @@
 
     /// A silent connection counts as a loss only if another server's connection fell silent as
     /// well: a single server may have crashed, which says nothing about the others.
-    fn note_silent(&mut self, reuse: &Reuse, now_ms: Millis) {
+    fn record_silent(&mut self, reuse: &Reuse, now_ms: Millis) {
         let before = self.last_silent.replace((reuse.server, now_ms));
         let is_shared = before.is_some_and(|(server, silent_ms)| {
             server != reuse.server && now_ms < silent_ms + SILENCE_WINDOW_MS
