--- a/crates/tinbay-core/src/serving/spread.rs
+++ b/crates/tinbay-core/src/serving/spread.rs
@@ -52,7 +52,7 @@
 impl Spreads {
     /// Records requests for an adapter that began at the server, by the time to prefill their
     /// prompts.
-    pub fn note_begun(&mut self, adapter: Fingerprint, prefill_ms: f64, now_ms: Millis) {
+    pub fn record_started(&mut self, adapter: Fingerprint, prefill_ms: f64, now_ms: Millis) {
         let spread = self.by_adapter.entry(adapter).or_insert_with(|| Spread {
             prefill: DecayingValue::default(),
             copies: 1.0,
--- a/crates/tinbay-core/src/serving/subscribers.rs
+++ b/crates/tinbay-core/src/serving/subscribers.rs
@@ -98,12 +98,12 @@
 
 impl Subscribers {
     /// Records that a box sent a message.
-    pub fn hear(&mut self, box_id: &str, now_ms: Millis) {
+    pub fn record_message(&mut self, box_id: &str, now_ms: Millis) {
         self.subscriber(box_id, now_ms);
     }
 
     /// Records that a box waits for an adapter and is to be notified when it is ready.
-    pub fn note_wait(&mut self, box_id: &str, adapter: Fingerprint, now_ms: Millis) {
+    pub fn record_wait(&mut self, box_id: &str, adapter: Fingerprint, now_ms: Millis) {
         let subscriber = self.subscriber(box_id, now_ms);
         subscriber.awaited_adapters.insert(adapter, now_ms);
     }
@@ -132,7 +132,7 @@
     }
 
     /// Records a box's latest time to the first byte as a fraction of its objective.
-    pub fn note_delay(&mut self, fraction_of_objective: f64, now_ms: Millis) {
+    pub fn record_delay(&mut self, fraction_of_objective: f64, now_ms: Millis) {
         let known = self.delay(now_ms);
         let delay = known + DELAY_WEIGHT * (fraction_of_objective - known);
         self.delay = DecayingValue::new(delay, now_ms);
@@ -144,7 +144,7 @@
     }
 
     /// Records requests that began, by the time to prefill their prompts.
-    pub fn note_begun(&mut self, prefill_ms: f64, now_ms: Millis) {
+    pub fn record_started(&mut self, prefill_ms: f64, now_ms: Millis) {
         self.backlog.add(prefill_ms, now_ms);
     }
 
--- a/crates/tinbay-core/src/serving/wanted_loads.rs
+++ b/crates/tinbay-core/src/serving/wanted_loads.rs
@@ -39,7 +39,7 @@
 impl WantedLoads {
     /// Adds a load request, or renews it with the newer version of the two. If any box has a
     /// request waiting for the adapter, the load no longer counts as a copy.
-    pub fn ask(&mut self, want: WantedLoad, now_ms: Millis) {
+    pub fn add(&mut self, want: WantedLoad, now_ms: Millis) {
         let key = adapter_key(&want.adapter);
         let Some(request) = self.by_adapter.get_mut(&key) else {
             let request = LoadRequest {
--- a/crates/tinbay-core/tests/serving_late_orders_test.rs
+++ b/crates/tinbay-core/tests/serving_late_orders_test.rs
@@ -324,7 +324,7 @@
             version: None,
             is_copy: false,
         };
-        self.wants.ask(want, self.now_ms);
+        self.wants.add(want, self.now_ms);
     }
 
     fn order(&mut self, action: &Action) {
--- a/crates/tinbay-core/tests/serving_placement_test.rs
+++ b/crates/tinbay-core/tests/serving_placement_test.rs
@@ -161,41 +161,41 @@
 #[test]
 fn current_awaited_before_copies_and_oldest_first() {
     let mut wants = WantedLoads::default();
-    wants.ask(want("m/copy", true), 0);
-    wants.ask(want("m/late", false), 200);
-    wants.ask(want("m/early", false), 100);
+    wants.add(want("m/copy", true), 0);
+    wants.add(want("m/late", false), 200);
+    wants.add(want("m/early", false), 100);
     assert_eq!(names(&mut wants, 300), ["m/early", "m/late", "m/copy"]);
 }
 
 #[test]
 fn current_drops_requests_that_are_not_repeated() {
     let mut wants = WantedLoads::default();
-    wants.ask(want("m/a", false), 0);
-    wants.ask(want("m/b", false), 0);
-    wants.ask(want("m/b", false), 900);
+    wants.add(want("m/a", false), 0);
+    wants.add(want("m/b", false), 0);
+    wants.add(want("m/b", false), 900);
     assert_eq!(names(&mut wants, 1_500), ["m/b"]);
 }
 
 #[test]
 fn ask_waiting_request_makes_a_copy_awaited() {
     let mut wants = WantedLoads::default();
-    wants.ask(want("m/a", true), 0);
-    wants.ask(want("m/a", false), 10);
+    wants.add(want("m/a", true), 0);
+    wants.add(want("m/a", false), 10);
     assert!(!wants.current(20)[0].is_copy);
-    wants.ask(want("m/a", true), 30);
+    wants.add(want("m/a", true), 30);
     assert!(!wants.current(40)[0].is_copy);
 }
 
 #[test]
 fn ask_newest_version_counts() {
     let mut wants = WantedLoads::default();
-    wants.ask(want("m/a", false), 0);
+    wants.add(want("m/a", false), 0);
     let newer = WantedLoad {
         version: Some(2),
         ..want("m/a", false)
     };
-    wants.ask(newer, 10);
-    wants.ask(want("m/a", false), 20);
+    wants.add(newer, 10);
+    wants.add(want("m/a", false), 20);
     assert_eq!(wants.current(30)[0].version, Some(2));
 }
 
@@ -253,8 +253,8 @@
 #[test]
 fn concerned_by_ready_adapter_are_waiting_boxes() {
     let mut subscribers = Subscribers::default();
-    subscribers.note_wait("box-1", 7, 0);
-    subscribers.note_wait("box-2", 8, 0);
+    subscribers.record_wait("box-1", 7, 0);
+    subscribers.record_wait("box-2", 8, 0);
     subscribers.record_uses("box-3", uses("m/a", 1), 0);
     subscribers.record_status_sent("box-3", 0);
     assert_eq!(boxes_affected_by(&subscribers, &ready(7), 999), ["box-1"]);
@@ -269,8 +269,8 @@
         has_lost_adapter: true,
     };
     let mut subscribers = Subscribers::default();
-    subscribers.note_wait("box-1", 7, 0);
-    subscribers.hear("box-2", 0);
+    subscribers.record_wait("box-1", 7, 0);
+    subscribers.record_message("box-2", 0);
     subscribers.record_status_sent("box-2", 0);
     assert_eq!(boxes_affected_by(&subscribers, &lost, 299), ["box-2"]);
     assert!(boxes_affected_by(&subscribers, &lost, 300).is_empty());
@@ -281,7 +281,7 @@
     let mut spreads = Spreads::default();
     assert_eq!(spreads.copies(1, 0.0, 0), 1);
     for now_ms in (0..3_000).step_by(100) {
-        spreads.note_begun(1, 90.0, now_ms);
+        spreads.record_started(1, 90.0, now_ms);
         spreads.copies(1, 0.0, now_ms);
     }
     let grown = spreads.copies(1, 0.0, 3_000);
@@ -295,14 +295,14 @@
 #[test]
 fn copies_grow_where_requests_take_the_slots() {
     let mut spreads = Spreads::default();
-    spreads.note_begun(1, 1.0, 0);
+    spreads.record_started(1, 1.0, 0);
     assert_eq!(spreads.copies(1, 0.8, 500), 2);
 }
 
 #[test]
 fn copies_stay_for_a_rare_adapter() {
     let mut spreads = Spreads::default();
-    spreads.note_begun(1, 240.0, 0);
+    spreads.record_started(1, 240.0, 0);
     for now_ms in (0..2_000).step_by(100) {
         assert_eq!(spreads.copies(1, 0.02, now_ms), 1);
     }
--- a/crates/tinbay-gateway/src/orders/held_server.rs
+++ b/crates/tinbay-gateway/src/orders/held_server.rs
@@ -99,7 +99,7 @@
 
     /// Records that a box asked for the server's status.
     pub fn note_status_request(&self, box_id: &str, now_ms: Millis) {
-        self.subscribers.borrow_mut().hear(box_id, now_ms);
+        self.subscribers.borrow_mut().record_message(box_id, now_ms);
     }
 
     /// Records the adapter that a box's request needs. An adapter that is loaded already is kept
@@ -108,16 +108,16 @@
         let key = adapter_key(&want.adapter);
         let mut subscribers = self.subscribers.borrow_mut();
         if want.is_copy {
-            subscribers.hear(box_id, now_ms);
+            subscribers.record_message(box_id, now_ms);
         } else {
-            subscribers.note_wait(box_id, key as Fingerprint, now_ms);
+            subscribers.record_wait(box_id, key as Fingerprint, now_ms);
         }
         let mut contents = self.contents.borrow_mut();
         if contents.holding(key, want.version) == Holding::Current {
             contents.record_uses(key, 0, now_ms);
             return;
         }
-        self.wants.borrow_mut().ask(want, now_ms);
+        self.wants.borrow_mut().add(want, now_ms);
     }
 
     /// Records the requests that a box has running at the server.
@@ -130,15 +130,15 @@
         for of in report.uses.iter().filter(|of| of.begun > 0) {
             contents.record_uses_of(of.adapter, u32::from(of.begun), now_ms);
             let prefill_ms = node.prefill_ms(service, of.begun_tokens);
-            subscribers.note_begun(prefill_ms, now_ms);
-            spreads.note_begun(of.adapter, prefill_ms, now_ms);
+            subscribers.record_started(prefill_ms, now_ms);
+            spreads.record_started(of.adapter, prefill_ms, now_ms);
         }
         let begun = report.uses.iter().map(|of| usize::from(of.begun)).sum();
         let mut admission = self.admission.borrow_mut();
         admission.note_begun(box_fingerprint(box_id), begun, now_ms);
         subscribers.record_failures(report.failure_penalty, now_ms);
         if let Some(delay) = report.delay {
-            subscribers.note_delay(delay, now_ms);
+            subscribers.record_delay(delay, now_ms);
         }
         subscribers.record_uses(box_id, report.uses, now_ms);
     }
