--- a/crates/tinbay-core/src/pace/answer_times.rs
+++ b/crates/tinbay-core/src/pace/answer_times.rs
@@ -41,7 +41,7 @@
 impl ResponseTimes {
     /// Records the response time of an answer, or the time after which an answer was no longer
     /// awaited.
-    pub fn note(&mut self, took_ms: f64, now_ms: Millis) {
+    pub fn record(&mut self, took_ms: f64, now_ms: Millis) {
         if now_ms >= self.newest_began_ms + 2 * HALF_WINDOW_MS {
             *self = Self::default();
             self.newest_began_ms = now_ms;
--- a/crates/tinbay-core/src/pace/slowness.rs
+++ b/crates/tinbay-core/src/pace/slowness.rs
@@ -31,7 +31,7 @@
 
 impl Slowness {
     /// Records the expected and the actual response time of an answer.
-    pub fn note(&mut self, expected_ms: f64, took_ms: f64, now_ms: Millis) {
+    pub fn record(&mut self, expected_ms: f64, took_ms: f64, now_ms: Millis) {
         let (fastest, slowest) = PLAUSIBLE_RATIOS.into_inner();
         let factor = (took_ms.max(1.0) / expected_ms.max(1.0)).clamp(fastest, slowest);
         self.sum = self.remaining(self.sum, now_ms) + factor.ln();
--- a/crates/tinbay-core/src/retry.rs
+++ b/crates/tinbay-core/src/retry.rs
@@ -86,7 +86,7 @@
 
 impl AttemptEnds {
     /// Adds the outcome of an attempt.
-    pub fn note(&mut self, end: AttemptEnd) {
+    pub fn record(&mut self, end: AttemptEnd) {
         self.may_have_run |= end != AttemptEnd::NotRun;
     }
 
--- a/crates/tinbay-core/src/serving/claims.rs
+++ b/crates/tinbay-core/src/serving/claims.rs
@@ -137,7 +137,7 @@
 
     /// Records a claim read from the store; older revisions and revisions of a former era are
     /// ignored.
-    pub fn note(&mut self, address: &str, value: &[u8], position: Position, now_ms: Millis) {
+    pub fn record(&mut self, address: &str, value: &[u8], position: Position, now_ms: Millis) {
         let Ok(value) = serde_json::from_slice::<ClaimValue>(value) else {
             return;
         };
--- a/crates/tinbay-core/src/serving/contents/fetching.rs
+++ b/crates/tinbay-core/src/serving/contents/fetching.rs
@@ -65,7 +65,7 @@
     }
 
     /// Records the duration of a load from the weight store.
-    pub fn note(&mut self, took: LoadTime) {
+    pub fn record(&mut self, took: LoadTime) {
         self.best_ms = (self.best_ms * BEST_TIME_GROWTH).min(took.most_ms.max(1.0));
         let busy_ms = self.best_ms * BUSY_FACTOR;
         if took.least_ms > busy_ms {
--- a/crates/tinbay-core/src/serving/contents/mod.rs
+++ b/crates/tinbay-core/src/serving/contents/mod.rs
@@ -542,7 +542,7 @@
             held.used_ms = now_ms;
             let took = held.load_time(now_ms);
             if held.is_fetch {
-                self.fetches.note(took);
+                self.fetches.record(took);
             }
             let known_ms = if held.is_fetch {
                 &mut self.fetch_ms
--- a/crates/tinbay-core/src/serving/idle_reuse.rs
+++ b/crates/tinbay-core/src/serving/idle_reuse.rs
@@ -130,7 +130,7 @@
     }
 
     /// Adjusts the limit after one reuse; returns whether it was reduced.
-    pub fn note(&mut self, reuse: &Reuse, now_ms: Millis) -> bool {
+    pub fn record(&mut self, reuse: &Reuse, now_ms: Millis) -> bool {
         let before_ms = self.trusted_ms;
         match reuse.end {
             ReuseOutcome::Answered => self.record_success(reuse.rested_ms),
--- a/crates/tinbay-core/src/serving/notices.rs
+++ b/crates/tinbay-core/src/serving/notices.rs
@@ -33,7 +33,7 @@
 impl Announced {
     /// Records the notice of an answer received now. A shutdown or a back-off is never withdrawn: a
     /// later answer may only lengthen the back-off. A limit lasts for as long as answers name it.
-    pub fn note(&mut self, notice: AnswerNotice, now_ms: Millis) {
+    pub fn record(&mut self, notice: AnswerNotice, now_ms: Millis) {
         self.is_leaving |= notice.is_leaving;
         if let Some(back_off_ms) = notice.back_off_ms.filter(|back_off_ms| *back_off_ms > 0) {
             let until_ms = now_ms
@@ -42,7 +42,7 @@
             self.back_off_until_ms = self.back_off_until_ms.max(until_ms);
         }
         if let Some(limit) = notice.limit {
-            self.limit.note(limit);
+            self.limit.record(limit);
         }
     }
 
--- a/crates/tinbay-core/src/serving/prefill.rs
+++ b/crates/tinbay-core/src/serving/prefill.rs
@@ -59,12 +59,12 @@
         let was_idle = backlog_ms <= MAX_SAMPLE_BACKLOG_MS;
         let is_faster = took_ms < self.time_ms(tokens);
         if tokens >= MIN_SAMPLE_TOKENS && (was_idle || is_faster) {
-            self.note(tokens, took_ms);
+            self.record(tokens, took_ms);
         }
     }
 
     /// Records the time to first token, counted from the end of the backlog before the request.
-    pub fn note(&mut self, tokens: u32, took_ms: f64) {
+    pub fn record(&mut self, tokens: u32, took_ms: f64) {
         self.tokens += f64::from(tokens);
         let (slowest, fastest) = PLAUSIBLE_TOKENS_PER_MS.into_inner();
         let (least_ms, most_ms) = (self.tokens / fastest, self.tokens / slowest);
--- a/crates/tinbay-core/src/serving/server_limit.rs
+++ b/crates/tinbay-core/src/serving/server_limit.rs
@@ -56,7 +56,7 @@
     /// Applies a notice. One that was certainly made later replaces the known one. Of two that may
     /// have been made in either order the stricter one applies, until a request sent after its
     /// receipt is answered.
-    pub fn note(&mut self, notice: LimitNotice) {
+    pub fn record(&mut self, notice: LimitNotice) {
         if self.notice.is_some_and(|known| !replaces(&notice, &known)) {
             return;
         }
--- a/crates/tinbay-core/src/serving/versions.rs
+++ b/crates/tinbay-core/src/serving/versions.rs
@@ -24,7 +24,7 @@
 impl PublishedVersions {
     /// Records a version that had not been published at `earliest_ms`, if that time is known; older
     /// ones are forbidden `grace_ms` after it. Returns whether the version is the newest.
-    pub fn note(
+    pub fn record(
         &mut self,
         version: u64,
         earliest_ms: Option<Millis>,
--- a/crates/tinbay-core/tests/hedge_test.rs
+++ b/crates/tinbay-core/tests/hedge_test.rs
@@ -26,7 +26,7 @@
     let mut times = ResponseTimes::default();
     for number in 0..100 {
         let took_ms = if number % 10 == 0 { 60.0 } else { 20.0 };
-        times.note(took_ms, 0);
+        times.record(took_ms, 0);
     }
     times
 }
--- a/crates/tinbay-core/tests/idle_reuse_test.rs
+++ b/crates/tinbay-core/tests/idle_reuse_test.rs
@@ -22,7 +22,7 @@
 }
 
 fn note(learner: &mut IdleReuseLimit, rested_ms: Millis, end: ReuseOutcome) -> bool {
-    learner.note(&reuse(rested_ms, end), 0)
+    learner.record(&reuse(rested_ms, end), 0)
 }
 
 fn grow(learner: &mut IdleReuseLimit, to_ms: Millis) {
@@ -149,8 +149,8 @@
         rested_ms: 2_000,
         end: ReuseOutcome::Silent,
     };
-    assert!(!learner.note(&silent(1), 10_000));
-    assert!(learner.note(&silent(2), 10_500));
+    assert!(!learner.record(&silent(1), 10_000));
+    assert!(learner.record(&silent(2), 10_500));
     assert_eq!(learner.trusted_ms(), 1_000);
 }
 
@@ -164,7 +164,7 @@
             server,
             ..reuse(2_000, ReuseOutcome::Silent)
         };
-        is_shrunk |= learner.note(&silent, now_ms);
+        is_shrunk |= learner.record(&silent, now_ms);
     }
     assert!(!is_shrunk);
 }
--- a/crates/tinbay-core/tests/pace_test.rs
+++ b/crates/tinbay-core/tests/pace_test.rs
@@ -21,7 +21,7 @@
 fn times_of(answers: impl Iterator<Item = f64>) -> ResponseTimes {
     let mut times = ResponseTimes::default();
     for took_ms in answers {
-        times.note(took_ms, 0);
+        times.record(took_ms, 0);
     }
     times
 }
@@ -49,7 +49,7 @@
 fn quantile_drops_answers_before_the_window() {
     let mut times = times_of((0..100).map(|_| 500.0));
     for number in 0..100 {
-        times.note(10.0, 31_000 + number);
+        times.record(10.0, 31_000 + number);
     }
     let observed_ms = times.quantile_ms(0.95).expect("enough answers");
     assert!(observed_ms <= 11.0, "{observed_ms}");
@@ -64,7 +64,7 @@
 fn slowness_follows_a_slow_period_within_some_answers() {
     let mut slowness = Slowness::default();
     for number in 0..3 {
-        slowness.note(
+        slowness.record(
             USUAL_MS,
             USUAL_MS * SLOW_FACTOR,
             number * REQUEST_INTERVAL_MS,
@@ -78,7 +78,7 @@
 fn slowness_fades_within_two_seconds() {
     let mut slowness = Slowness::default();
     for number in 0..10 {
-        slowness.note(
+        slowness.record(
             USUAL_MS,
             USUAL_MS * SLOW_FACTOR,
             number * REQUEST_INTERVAL_MS,
@@ -90,7 +90,7 @@
 #[test]
 fn slowness_of_one_outlier_is_bounded() {
     let mut slowness = Slowness::default();
-    slowness.note(USUAL_MS, 1e9, 0);
+    slowness.record(USUAL_MS, 1e9, 0);
     assert!(slowness.factor(0) <= 8.0);
 }
 
@@ -135,7 +135,7 @@
             1.0
         };
         let took_ms = factor * rng.random_range(0.5..2.5) * USUAL_MS;
-        servers[server].note(USUAL_MS * 1.5, took_ms, now_ms);
+        servers[server].record(USUAL_MS * 1.5, took_ms, now_ms);
         in_time += u32::from(took_ms <= OBJECTIVE_MS);
         sum += 1;
     }
--- a/crates/tinbay-core/tests/serving_claims_test.rs
+++ b/crates/tinbay-core/tests/serving_claims_test.rs
@@ -32,7 +32,7 @@
     let mut table = ClaimTable::default();
     table.begin_era(Era(1), 0, 0);
     table.record_settled(Era(1));
-    table.note(SERVER, &value(holder, is_released, 1), at(7), seen_ms);
+    table.record(SERVER, &value(holder, is_released, 1), at(7), seen_ms);
     table
 }
 
@@ -73,7 +73,7 @@
 #[test]
 fn note_ignores_older_revision() {
     let mut table = table("b", false, 0);
-    table.note(SERVER, &value("a", false, 1), at(6), 1);
+    table.record(SERVER, &value("a", false, 1), at(6), 1);
     assert_eq!(table.token_of(SERVER, "b", 2), Some(at(7).fencing_token()));
     assert_eq!(table.token_of(SERVER, "a", 2), None);
 }
@@ -103,7 +103,7 @@
     let entry = HolderEntry::MissingSince(0);
     assert!(!held.may_take(SERVER, "b", entry, &TERMS, 14_499));
     assert!(held.may_take(SERVER, "b", entry, &TERMS, 14_500));
-    held.note(
+    held.record(
         SERVER,
         &value("a", false, 2),
         Position::new(Era(2), 3),
@@ -119,7 +119,7 @@
 fn note_claim_of_former_era_is_not_binding() {
     let mut running_before = table("b", false, 0);
     running_before.begin_era(Era(2), 9_000, 1_000);
-    running_before.note(
+    running_before.record(
         SERVER,
         &value("a", false, 1),
         Position::new(Era(2), 3),
@@ -133,7 +133,7 @@
     );
     let mut started = ClaimTable::default();
     started.begin_era(Era(2), 0, 500);
-    started.note(SERVER, &value("a", false, 1), Position::new(Era(2), 3), 600);
+    started.record(SERVER, &value("a", false, 1), Position::new(Era(2), 3), 600);
     assert_eq!(started.token_of(SERVER, "a", 700), None);
     let entry = HolderEntry::Listed;
     assert!(!started.may_take(SERVER, "a", entry, &TERMS, 13_999));
@@ -146,7 +146,7 @@
 fn note_claim_of_late_answer_is_ignored() {
     let mut table = table("b", false, 0);
     table.begin_era(Era(2), 0, 1_000);
-    table.note(SERVER, &value("a", false, 1), at(9), 1_100);
+    table.record(SERVER, &value("a", false, 1), at(9), 1_100);
     assert_eq!(table.stored_position(SERVER), Position::missing(Era(2)));
 }
 
--- a/crates/tinbay-core/tests/serving_notices_test.rs
+++ b/crates/tinbay-core/tests/serving_notices_test.rs
@@ -14,7 +14,7 @@
 #[test]
 fn note_back_off_expires() {
     let mut announced = Announced::default();
-    announced.note(back_off(3_000), 1_000);
+    announced.record(back_off(3_000), 1_000);
     // The true time may be almost a millisecond ahead of the clock reading.
     assert_eq!(announced.back_off_until_ms(4_000), Some(4_001));
     assert_eq!(announced.back_off_until_ms(4_001), None);
@@ -24,16 +24,16 @@
 #[test]
 fn note_without_back_off_does_not_end_one() {
     let mut announced = Announced::default();
-    announced.note(back_off(3_000), 0);
-    announced.note(AnswerNotice::default(), 100);
-    announced.note(back_off(0), 200);
+    announced.record(back_off(3_000), 0);
+    announced.record(AnswerNotice::default(), 100);
+    announced.record(back_off(0), 200);
     assert_eq!(announced.back_off_until_ms(2_999), Some(3_001));
 }
 
 #[test]
 fn note_endless_back_off_does_not_overflow() {
     let mut announced = Announced::default();
-    announced.note(back_off(u64::MAX), 5);
+    announced.record(back_off(u64::MAX), 5);
     assert_eq!(announced.back_off_until_ms(u64::MAX - 1), Some(u64::MAX));
 }
 
@@ -60,7 +60,7 @@
                 back_off_ms: back_off_ms.map(u64::from),
                 ..AnswerNotice::default()
             };
-            announced.note(notice, now_ms);
+            announced.record(notice, now_ms);
             let back_off_ends_ms = announced.back_off_until_ms(now_ms);
             announced.is_leaving() == was_leaving
                 && back_off_ends_ms == Some(until_ms).filter(|until_ms| now_ms < *until_ms)
--- a/crates/tinbay-core/tests/serving_placement_test.rs
+++ b/crates/tinbay-core/tests/serving_placement_test.rs
@@ -321,7 +321,7 @@
 fn prefill_rate_follows_measurements() {
     let mut rate = PrefillRate::default();
     for _ in 0..400 {
-        rate.note(4_000, 100.0);
+        rate.record(4_000, 100.0);
     }
     assert!((rate.tokens_per_ms() - 40.0).abs() < 1.0);
     assert!((rate.time_ms(8_000) - 200.0).abs() < 10.0);
@@ -355,8 +355,8 @@
 #[test]
 fn prefill_rate_stays_in_bounds_when_sums_are_rounded() {
     let mut rate = PrefillRate::default();
-    rate.note(1_602, 0.0);
-    rate.note(15_689, 0.0);
+    rate.record(1_602, 0.0);
+    rate.record(15_689, 0.0);
     assert!(rate.tokens_per_ms() <= 400.0);
 }
 
@@ -365,7 +365,7 @@
     fn property(notes: Vec<(u16, u16)>) -> bool {
         let mut rate = PrefillRate::default();
         for (tokens, took_ms) in notes {
-            rate.note(u32::from(tokens) * 40, f64::from(took_ms));
+            rate.record(u32::from(tokens) * 40, f64::from(took_ms));
         }
         (2.0..=400.0).contains(&rate.tokens_per_ms())
     }
--- a/crates/tinbay-core/tests/serving_returns_test.rs
+++ b/crates/tinbay-core/tests/serving_returns_test.rs
@@ -206,7 +206,9 @@
         }
         if let Some((value, revision)) = &self.store.claim {
             let position = Position::new(Era(era), *revision);
-            member.claims.note(SERVER, &encode(value), position, now_ms);
+            member
+                .claims
+                .record(SERVER, &encode(value), position, now_ms);
         }
         // Absence counts only without an interruption of the watch: after one, a box relists and
         // absence begins anew.
--- a/crates/tinbay-core/tests/serving_server_limit_test.rs
+++ b/crates/tinbay-core/tests/serving_server_limit_test.rs
@@ -23,7 +23,7 @@
 fn limit_after(notices: &[LimitNotice]) -> Option<f64> {
     let mut limit = AnnouncedLimit::default();
     for notice in notices {
-        limit.note(*notice);
+        limit.record(*notice);
     }
     limit.per_s()
 }
@@ -236,14 +236,14 @@
         // The home combines what its own box learned with what it receives with requests.
         let mut known = self.announced[home];
         let own = self.announced[at].notice();
-        own.into_iter().for_each(|notice| known.note(notice));
+        own.into_iter().for_each(|notice| known.record(notice));
         self.announced[home] = known;
         let Some(per_s) = known.per_s() else {
             self.homes.remove(&home);
             known
                 .notice()
                 .into_iter()
-                .for_each(|notice| self.announced[at].note(notice));
+                .for_each(|notice| self.announced[at].record(notice));
             return self.announced[at].per_s().is_none();
         };
         let terms = self.terms(home, per_s, now_ms);
@@ -261,7 +261,7 @@
         known
             .notice()
             .into_iter()
-            .for_each(|notice| self.announced[at].note(notice));
+            .for_each(|notice| self.announced[at].record(notice));
         self.shares[at].note_given(grant.units, now_ms);
         match grant.retry_after_ms {
             Some(retry_after_ms) => {
@@ -292,7 +292,7 @@
             }
             let (at, notice) = entry.remove();
             let before = self.announced[at].per_s();
-            self.announced[at].note(notice);
+            self.announced[at].record(notice);
             let after = self.announced[at].per_s();
             if before == after {
                 continue;
@@ -310,7 +310,7 @@
             return;
         };
         if let Some((home, _)) = self.home_of(at, now_ms) {
-            self.announced[home].note(notice);
+            self.announced[home].record(notice);
             if self.announced[home].per_s().is_none() {
                 self.homes.remove(&home);
             }
@@ -336,7 +336,7 @@
             }
             let (at, notice) = entry.remove();
             let before = self.announced[at].per_s();
-            self.announced[at].note(notice);
+            self.announced[at].record(notice);
             self.begin_share(at, before, now_ms);
         }
     }
@@ -457,9 +457,9 @@
 #[test]
 fn notice_only_of_a_server_that_has_named_a_limit() {
     let mut limit = AnnouncedLimit::default();
-    limit.note(notice(None, 0, 10));
+    limit.record(notice(None, 0, 10));
     assert_eq!(limit.notice(), None);
-    limit.note(notice(Some(4.0), 10, 20));
-    limit.note(notice(None, 20, 30));
+    limit.record(notice(Some(4.0), 10, 20));
+    limit.record(notice(None, 20, 30));
     assert_eq!(limit.notice(), Some(notice(None, 20, 30)));
 }
--- a/crates/tinbay-core/tests/serving_versions_test.rs
+++ b/crates/tinbay-core/tests/serving_versions_test.rs
@@ -10,7 +10,7 @@
 fn begin_by_newest_is_unbounded() {
     let mut versions = PublishedVersions::default();
     assert_eq!(versions.begin_by_ms(1), None);
-    versions.note(2, Some(1_000), GRACE_MS, 1_010);
+    versions.record(2, Some(1_000), GRACE_MS, 1_010);
     assert_eq!(versions.begin_by_ms(2), None);
     assert_eq!(versions.begin_by_ms(3), None);
 }
@@ -18,9 +18,9 @@
 #[test]
 fn begin_by_of_older_version_follows_first_newer_one() {
     let mut versions = PublishedVersions::default();
-    versions.note(2, Some(1_000), GRACE_MS, 1_010);
-    versions.note(3, Some(2_500), GRACE_MS, 2_510);
-    versions.note(4, Some(4_000), GRACE_MS, 4_010);
+    versions.record(2, Some(1_000), GRACE_MS, 1_010);
+    versions.record(3, Some(2_500), GRACE_MS, 2_510);
+    versions.record(4, Some(4_000), GRACE_MS, 4_010);
     assert_eq!(versions.begin_by_ms(1), Some(6_000));
     assert_eq!(versions.begin_by_ms(2), Some(7_500));
     assert_eq!(versions.begin_by_ms(3), Some(9_000));
@@ -29,15 +29,15 @@
 #[test]
 fn begin_by_of_unknown_version_follows_first_one() {
     let mut versions = PublishedVersions::default();
-    versions.note(7, Some(1_000), GRACE_MS, 1_010);
-    versions.note(9, Some(2_000), GRACE_MS, 2_010);
+    versions.record(7, Some(1_000), GRACE_MS, 1_010);
+    versions.record(9, Some(2_000), GRACE_MS, 2_010);
     assert_eq!(versions.begin_by_ms(0), Some(6_000));
 }
 
 #[test]
 fn begin_by_of_version_found_at_start_is_past() {
     let mut versions = PublishedVersions::default();
-    versions.note(4, None, GRACE_MS, 60_000);
+    versions.record(4, None, GRACE_MS, 60_000);
     assert_eq!(versions.begin_by_ms(3), Some(0));
     assert_eq!(versions.learnt_ms(), None);
 }
@@ -45,10 +45,10 @@
 #[test]
 fn note_older_version_changes_nothing() {
     let mut versions = PublishedVersions::default();
-    versions.note(4, Some(1_000), GRACE_MS, 1_010);
+    versions.record(4, Some(1_000), GRACE_MS, 1_010);
     let before = versions.clone();
-    assert!(!versions.note(3, Some(2_000), GRACE_MS, 2_010));
-    assert!(!versions.note(4, Some(2_000), GRACE_MS, 2_010));
+    assert!(!versions.record(3, Some(2_000), GRACE_MS, 2_010));
+    assert!(!versions.record(4, Some(2_000), GRACE_MS, 2_010));
     assert_eq!(versions, before);
 }
 
@@ -66,7 +66,7 @@
             let earliest_ms = published_ms.saturating_sub(Millis::from(delay_ms % 900));
             learnt_ms = learnt_ms.max(published_ms + Millis::from(delay_ms % 1_500));
             published.push((version, published_ms));
-            versions.note(version, Some(earliest_ms), GRACE_MS, learnt_ms);
+            versions.record(version, Some(earliest_ms), GRACE_MS, learnt_ms);
         }
         (0..=version).all(|held| {
             let allows_ms = published
--- a/crates/tinbay-gateway/src/http/reuse.rs
+++ b/crates/tinbay-gateway/src/http/reuse.rs
@@ -75,7 +75,10 @@
             rested_ms,
             end,
         };
-        let is_less = self.trusted.borrow_mut().note(&reuse, self.clock.now_ms());
+        let is_less = self
+            .trusted
+            .borrow_mut()
+            .record(&reuse, self.clock.now_ms());
         if is_less {
             let event = TrustedRestEvent {
                 service: &self.service,
--- a/crates/tinbay-gateway/src/node.rs
+++ b/crates/tinbay-gateway/src/node.rs
@@ -394,7 +394,7 @@
     pub fn note_claim(&self, address: &str, item: &Item) {
         self.sync_era();
         let mut claims = self.claims.borrow_mut();
-        claims.note(address, &item.value, item.position, self.now_ms());
+        claims.record(address, &item.value, item.position, self.now_ms());
     }
 
     /// Timing rules for holding and taking over claims.
--- a/crates/tinbay-gateway/src/servers/server.rs
+++ b/crates/tinbay-gateway/src/servers/server.rs
@@ -176,10 +176,10 @@
         let mut times = self.service.times.borrow_mut();
         if let Some(usual_ms) = times.quantile_ms(MEDIAN) {
             let mut slowness = self.slowness.get();
-            slowness.note(usual_ms, took_ms, now_ms);
+            slowness.record(usual_ms, took_ms, now_ms);
             self.slowness.set(slowness);
         }
-        times.note(took_ms, now_ms);
+        times.record(took_ms, now_ms);
     }
 
     /// Adjusts a load by the server's speed relative to its service.
@@ -206,7 +206,7 @@
 
     /// Applies a notice that it sent about itself.
     pub fn apply_notice(&self, notice: AnswerNotice, now_ms: Millis) {
-        self.notices.borrow_mut().note(notice, now_ms);
+        self.notices.borrow_mut().record(notice, now_ms);
         if notice.is_leaving {
             let record = ServerRecord::clone(&self.record());
             self.set_record(record);
--- a/crates/tinbay-gateway/src/watch/configuration.rs
+++ b/crates/tinbay-gateway/src/watch/configuration.rs
@@ -178,7 +178,7 @@
         let now_ms = self.node.now_ms();
         let mut versions = self.node.versions.borrow_mut();
         let known = versions.entry(named.adapter.clone()).or_default();
-        if !known.note(named.version, earliest_ms, allowed_ms, now_ms) {
+        if !known.record(named.version, earliest_ms, allowed_ms, now_ms) {
             return;
         }
         let event = VersionEvent {
--- a/crates/tinbay-node/src/entry/attempts.rs
+++ b/crates/tinbay-node/src/entry/attempts.rs
@@ -217,7 +217,7 @@
     }
 
     fn record_error(&mut self, engine: &EngineId, error: &AttemptError) {
-        self.ends.note(error.end);
+        self.ends.record(error.end);
         if error.failure == Failure::EngineLeaves {
             self.note_wait(engine, LEAVING_ENGINE_WAIT_MS);
         }
--- a/crates/tinbay-node/src/entry/services.rs
+++ b/crates/tinbay-node/src/entry/services.rs
@@ -122,7 +122,7 @@
             now_ms: node.clock.now_ms(),
             deadline_ms: context.arrived_ms + spec.timeout_ms,
         };
-        ends.note(failure.attempt_end());
+        ends.record(failure.attempt_end());
         // A failed connection put no load on the service, so it does not count against the retry
         // budget.
         let is_free = failure == CallFailure::NotSent;
