--- a/crates/tinbay-core/tests/serving_claims_test.rs
+++ b/crates/tinbay-core/tests/serving_claims_test.rs
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn note_ignores_older_revision() {
+fn record_ignores_older_revision() {
     let mut table = table("b", false, 0);
     table.record(SERVER, &value("a", false, 1), at(6), 1);
     assert_eq!(table.token_of(SERVER, "b", 2), Some(at(7).fencing_token()));
@@ -116,7 +116,7 @@
 /// The store was restored with an older claim of a box that had since lost the server: that box
 /// must not treat it as its own, whether it ran during the restore or starts after it.
 #[test]
-fn note_claim_of_former_era_is_not_binding() {
+fn record_claim_of_former_era_is_not_binding() {
     let mut running_before = table("b", false, 0);
     running_before.begin_era(Era(2), 9_000, 1_000);
     running_before.record(
@@ -143,7 +143,7 @@
 }
 
 #[test]
-fn note_claim_of_late_answer_is_ignored() {
+fn record_claim_of_late_answer_is_ignored() {
     let mut table = table("b", false, 0);
     table.begin_era(Era(2), 0, 1_000);
     table.record(SERVER, &value("a", false, 1), at(9), 1_100);
--- a/crates/tinbay-core/tests/serving_contents_test.rs
+++ b/crates/tinbay-core/tests/serving_contents_test.rs
@@ -201,7 +201,7 @@
 }
 
 #[test]
-fn note_uses_of_finds_adapter_by_fingerprint() {
+fn record_uses_of_finds_adapter_by_fingerprint() {
     let mut contents = known_contents(2, &[("m/a", 1), ("m/b", 1)]);
     contents.record_uses_of(adapter_key("m/b") as u32, 3, 1_000);
     let unload = Action::Unload {
@@ -268,7 +268,7 @@
 /// A report shows a replaced adapter in its old version until the last running request is done; the
 /// order must not be counted again.
 #[test]
-fn note_report_keeps_a_replacement_under_way() {
+fn record_report_keeps_a_replacement_under_way() {
     let mut contents = known_contents(2, &[("m/a", 1)]);
     let load = Action::Load {
         adapter: "m/a".into(),
@@ -284,7 +284,7 @@
 }
 
 #[test]
-fn note_answer_lost_requests_report_after_delay() {
+fn record_answer_lost_requests_report_after_delay() {
     let mut contents = known_contents(2, &[]);
     contents.record_answer(&load("m/a", 4), OrderAnswer::NoAnswer, 1_000);
     assert_eq!(next(&mut contents, &[want("m/a")], true, 1_599), None);
--- a/crates/tinbay-core/tests/serving_notices_test.rs
+++ b/crates/tinbay-core/tests/serving_notices_test.rs
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn note_back_off_expires() {
+fn record_back_off_expires() {
     let mut announced = Announced::default();
     announced.record(back_off(3_000), 1_000);
     // The true time may be almost a millisecond ahead of the clock reading.
@@ -22,7 +22,7 @@
 
 /// Answers to requests sent before the back-off carry none; they must not end it.
 #[test]
-fn note_without_back_off_does_not_end_one() {
+fn record_without_back_off_does_not_end_one() {
     let mut announced = Announced::default();
     announced.record(back_off(3_000), 0);
     announced.record(AnswerNotice::default(), 100);
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn note_endless_back_off_does_not_overflow() {
+fn record_endless_back_off_does_not_overflow() {
     let mut announced = Announced::default();
     announced.record(back_off(u64::MAX), 5);
     assert_eq!(announced.back_off_until_ms(u64::MAX - 1), Some(u64::MAX));
@@ -39,7 +39,7 @@
 
 /// Whatever answers arrive in whatever order, no answer withdraws what another one announced.
 #[test]
-fn note_any_answers_keeps_all_that_was_announced() {
+fn record_any_answers_keeps_all_that_was_announced() {
     fn keeps(answers: Vec<(bool, Option<u16>, u8)>) -> bool {
         let mut announced = Announced::default();
         let mut now_ms = 0;
--- a/crates/tinbay-core/tests/serving_placement_test.rs
+++ b/crates/tinbay-core/tests/serving_placement_test.rs
@@ -177,7 +177,7 @@
 }
 
 #[test]
-fn ask_waiting_request_makes_a_copy_awaited() {
+fn add_waiting_request_makes_a_copy_awaited() {
     let mut wants = WantedLoads::default();
     wants.add(want("m/a", true), 0);
     wants.add(want("m/a", false), 10);
@@ -187,7 +187,7 @@
 }
 
 #[test]
-fn ask_newest_version_counts() {
+fn add_newest_version_counts() {
     let mut wants = WantedLoads::default();
     wants.add(want("m/a", false), 0);
     let newer = WantedLoad {
@@ -251,7 +251,7 @@
 }
 
 #[test]
-fn concerned_by_ready_adapter_are_waiting_boxes() {
+fn boxes_affected_by_ready_adapter_are_waiting_boxes() {
     let mut subscribers = Subscribers::default();
     subscribers.record_wait("box-1", 7, 0);
     subscribers.record_wait("box-2", 8, 0);
@@ -263,7 +263,7 @@
 }
 
 #[test]
-fn concerned_by_lost_adapter_are_boxes_with_fresh_status() {
+fn boxes_affected_by_lost_adapter_are_boxes_with_fresh_status() {
     let lost = ContentsChange {
         ready: Vec::new(),
         has_lost_adapter: true,
--- a/crates/tinbay-core/tests/serving_server_limit_test.rs
+++ b/crates/tinbay-core/tests/serving_server_limit_test.rs
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn note_answer_to_a_later_request_ends_a_limit() {
+fn record_answer_to_a_later_request_ends_a_limit() {
     let named = notice(Some(4.0), 0, 100);
     assert_eq!(limit_after(&[named]), Some(4.0));
     assert_eq!(limit_after(&[named, notice(None, 100, 200)]), None);
@@ -38,7 +38,7 @@
 /// The request of the answer without a limit was sent before the answer with the limit arrived, so
 /// the former may be the older one.
 #[test]
-fn note_answer_that_may_be_older_ends_no_limit() {
+fn record_answer_that_may_be_older_ends_no_limit() {
     let named = notice(Some(4.0), 0, 100);
     assert_eq!(limit_after(&[named, notice(None, 99, 200)]), Some(4.0));
     assert_eq!(limit_after(&[notice(None, 0, 150), named]), Some(4.0));
@@ -46,14 +46,14 @@
 
 /// Overlapping requests, of which one is always in flight, must not keep a limit that has ended.
 #[test]
-fn note_answers_that_overlap_end_a_limit() {
+fn record_answers_that_overlap_end_a_limit() {
     let named = notice(Some(4.0), 0, 100);
     let (first, second) = (notice(None, 60, 160), notice(None, 120, 220));
     assert_eq!(limit_after(&[named, first, second]), None);
 }
 
 #[test]
-fn note_of_two_limits_in_either_order_the_lower_one_holds() {
+fn record_of_two_limits_in_either_order_the_lower_one_holds() {
     let (high, low) = (notice(Some(8.0), 0, 200), notice(Some(2.0), 50, 150));
     assert_eq!(limit_after(&[high, low]), Some(2.0));
     assert_eq!(limit_after(&[low, high]), Some(2.0));
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn note_certainly_older_notice_changes_nothing() {
+fn record_certainly_older_notice_changes_nothing() {
     let named = notice(Some(4.0), 500, 600);
     assert_eq!(
         limit_after(&[named, notice(Some(1.0), 100, 400)]),
--- a/crates/tinbay-core/tests/serving_versions_test.rs
+++ b/crates/tinbay-core/tests/serving_versions_test.rs
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn note_older_version_changes_nothing() {
+fn record_older_version_changes_nothing() {
     let mut versions = PublishedVersions::default();
     versions.record(4, Some(1_000), GRACE_MS, 1_010);
     let before = versions.clone();
