--- a/crates/tinbay-core/src/serving/contents/mod.rs
+++ b/crates/tinbay-core/src/serving/contents/mod.rs
@@ -62,7 +62,7 @@
 /// Inputs of the choice of the next order.
 pub struct OrderContext<'a> {
     /// Returns the newest version of an adapter that the operators published.
-    pub named: &'a dyn Fn(&str) -> Option<u64>,
+    pub published_version: &'a dyn Fn(&str) -> Option<u64>,
     /// Returns whether requests for an adapter are running at the server.
     pub is_in_use: &'a dyn Fn(AdapterKey) -> bool,
     /// Current time.
@@ -392,7 +392,7 @@
 
     /// The adapter to evict: one in an outdated version, or else the least used.
     fn victim(&self, context: &OrderContext<'_>) -> Option<&Held> {
-        let is_current = |held: &Held| (context.named)(&held.adapter) <= held.version;
+        let is_current = |held: &Held| (context.published_version)(&held.adapter) <= held.version;
         let evicted_before = |left: &&Held, right: &&Held| {
             let by_version = is_current(left).cmp(&is_current(right));
             let uses = |held: &Held| held.uses_at(context.now_ms);
--- a/crates/tinbay-core/tests/serving_contents_test.rs
+++ b/crates/tinbay-core/tests/serving_contents_test.rs
@@ -77,7 +77,7 @@
 
 fn context(is_in_use: &dyn Fn(AdapterKey) -> bool, now_ms: u64) -> OrderContext<'_> {
     OrderContext {
-        named: &|_| None,
+        published_version: &|_| None,
         is_in_use,
         now_ms,
     }
@@ -247,13 +247,13 @@
 fn next_action_unloads_old_version_first() {
     let mut contents = known_contents(2, &[("m/a", 1), ("m/b", 1)]);
     contents.record_uses(adapter_key("m/a"), 9, 100);
-    let named = |adapter: &str| (adapter == "m/a").then_some(2);
+    let published_version = |adapter: &str| (adapter == "m/a").then_some(2);
     let mut allowance = FakeAllowance {
         is_left: true,
         taken: 0,
     };
     let context = OrderContext {
-        named: &named,
+        published_version: &published_version,
         is_in_use: &|_| false,
         now_ms: 5_000,
     };
--- a/crates/tinbay-core/tests/serving_late_orders_test.rs
+++ b/crates/tinbay-core/tests/serving_late_orders_test.rs
@@ -295,7 +295,7 @@
             .map(|run| adapter_key(&run.adapter))
             .collect();
         let context = OrderContext {
-            named: &|_| None,
+            published_version: &|_| None,
             is_in_use: &|key| in_use.contains(&key),
             now_ms: self.now_ms,
         };
--- a/crates/tinbay-gateway/src/orders/holder.rs
+++ b/crates/tinbay-gateway/src/orders/holder.rs
@@ -200,7 +200,7 @@
 
     fn next_action(&self, wants: &[WantedLoad], now_ms: Millis) -> Option<Action> {
         let look = OrderContext {
-            named: &|adapter: &str| self.node.named_version(adapter),
+            published_version: &|adapter: &str| self.node.named_version(adapter),
             is_in_use: &|key| self.held.is_in_use(&self.server, key, now_ms),
             now_ms,
         };
