--- a/crates/tinbay-core/src/retry.rs
+++ b/crates/tinbay-core/src/retry.rs
@@ -81,18 +81,18 @@
 /// The request as a whole did not run only if none of its attempts did.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct AttemptEnds {
-    may_have_run: bool,
+    maybe_ran: bool,
 }
 
 impl AttemptEnds {
     /// Adds the outcome of an attempt.
     pub fn record(&mut self, end: AttemptEnd) {
-        self.may_have_run |= end != AttemptEnd::NotRun;
+        self.maybe_ran |= end != AttemptEnd::NotRun;
     }
 
     /// Whether certainly none of the attempts ran.
     pub fn are_all_not_run(&self) -> bool {
-        !self.may_have_run
+        !self.maybe_ran
     }
 }
 
--- a/crates/tinbay-core/src/serving/claims.rs
+++ b/crates/tinbay-core/src/serving/claims.rs
@@ -1,10 +1,11 @@
 //! Claims in the key-value store that let one box at a time, the holder, send orders to a server.
 //!
-//! Orders load and unload base models and adapters. Servers do not check who sends orders, so safety rests on time. A holder sends orders only while
-//! its last proof (its own leased entry seen in the store) is recent. Another box overwrites a
-//! claim only after it has itself seen the holder's entry missing for longer than a proof lasts,
-//! and in one transaction that requires the entry to be still missing. Only durations on each box's
-//! own monotonic clock are compared, never times of two boxes.
+//! Orders load and unload base models and adapters. Servers do not check who sends orders, so
+//! safety rests on time. A holder sends orders only while its last proof (its own leased entry seen
+//! in the store) is recent. Another box overwrites a claim only after it has itself seen the
+//! holder's entry missing for longer than a proof lasts, and in one transaction that requires the
+//! entry to be still missing. Only durations on each box's own monotonic clock are compared, never
+//! times of two boxes.
 //!
 //! A store restored from a backup has lost claims or shows older ones. A claim names the era in
 //! which it was written, and only claims of the current era bind. The holder of a server continues
--- a/crates/tinbay-core/src/serving/idle_reuse.rs
+++ b/crates/tinbay-core/src/serving/idle_reuse.rs
@@ -8,8 +8,8 @@
 //! alike.
 //!
 //! Guarantee: of the requests that may run only once and are sent on a connection that was idle
-//! longer than [`INITIAL_IDLE_LIMIT_MS`], at most two are lost per thousand reuses, besides those already in
-//! flight at the first loss, of which there are at most [`MAX_AT_RISK`].
+//! longer than [`INITIAL_IDLE_LIMIT_MS`], at most two are lost per thousand reuses, besides those
+//! already in flight at the first loss, of which there are at most [`MAX_AT_RISK`].
 
 use super::servers::ServerKey;
 use crate::units::Millis;
@@ -25,8 +25,8 @@
 pub const MAX_IDLE_LIMIT_MS: Millis = 8_000;
 
 /// Upper bound of the requests without an answer yet that may run only once and were sent on
-/// connections idle for longer than [`INITIAL_IDLE_LIMIT_MS`]. If all connections break silently at once, this
-/// many are lost.
+/// connections idle for longer than [`INITIAL_IDLE_LIMIT_MS`]. If all connections break silently at
+/// once, this many are lost.
 pub const MAX_AT_RISK: usize = 4;
 
 /// Successful reuses after a loss before the idle limit may grow again.
--- a/crates/tinbay-core/src/serving/position.rs
+++ b/crates/tinbay-core/src/serving/position.rs
@@ -11,8 +11,8 @@
 /// A revision within one era; every change of the store raises it.
 pub type Revision = u64;
 
-/// Bits of a fencing token that hold the revision: 6.9e10 changes in one era. With up to 16 bits for
-/// the era, a token is exact where numbers are parsed as 64-bit floating point.
+/// Bits of a fencing token that hold the revision: 6.9e10 changes in one era. With up to 16 bits
+/// for the era, a token is exact where numbers are parsed as 64-bit floating point.
 const REVISION_BITS: u32 = 36;
 
 /// Number of restores of the store from a backup, counted from an arbitrary start.
--- a/crates/tinbay-core/tests/serving_contents_test.rs
+++ b/crates/tinbay-core/tests/serving_contents_test.rs
@@ -414,9 +414,9 @@
 /// Guards against servers that lose orders being limited to one load at a time, so that some
 /// adapters are never served and requests are refused as their adapter would be loaded too late.
 ///
-/// Whether a load is complete is seen by the answer to an order. Where most orders are answered late
-/// or never, a load of 250 ms is seen to be complete a second late. This delay must not count as
-/// part of the load, which would indicate a slow weight store.
+/// Whether a load is complete is seen by the answer to an order. Where most orders are answered
+/// late or never, a load of 250 ms is seen to be complete a second late. This delay must not count
+/// as part of the load, which would indicate a slow weight store.
 #[test]
 fn load_seen_late_is_not_a_slow_load() {
     let mut contents = known_contents(16, &[]);
