--- a/crates/tinbay-core/src/handover/transitions.rs
+++ b/crates/tinbay-core/src/handover/transitions.rs
@@ -1,18 +1,18 @@
-//! Steps of one hand-over: what to do after each answer, lost answer or refusal.
+//! Steps of one handover: what to do after each answer, lost answer or refusal.
 //!
 //! A run is at one server at a time: the source is stopped before any other server is asked to
 //! resume, and no server is asked after one that may have resumed the run.
 
 /// Answer of the source to the request to stop a run and copy it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum MoveAnswer {
+pub enum HandoverAnswer {
     /// The run's state has been copied to the target.
     Copied {
         /// Name of the copy at both servers.
         handle: String,
     },
-    /// The run is stopped but could not be copied, for lack of room or connection; the source keeps
-    /// it.
+    /// The run is stopped but could not be copied, as the target has no space or cannot be reached;
+    /// the source keeps it.
     Kept {
         /// Name of the stopped run.
         handle: String,
@@ -23,12 +23,12 @@
     Unknown,
 }
 
-impl MoveAnswer {
+impl HandoverAnswer {
     /// Name by which the run can be resumed, if there is one.
     pub fn handle(&self) -> Option<&str> {
         match self {
-            MoveAnswer::Copied { handle } | MoveAnswer::Kept { handle } => Some(handle),
-            MoveAnswer::NotStopped | MoveAnswer::Unknown => None,
+            HandoverAnswer::Copied { handle } | HandoverAnswer::Kept { handle } => Some(handle),
+            HandoverAnswer::NotStopped | HandoverAnswer::Unknown => None,
         }
     }
 }
@@ -46,45 +46,45 @@
 
 /// Server at which a stopped run resumes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Place {
+pub enum ResumeServer {
     /// Server chosen to decode the rest.
     Target,
     /// Server that began the run.
     Source,
 }
 
-/// Next step of the hand-over.
+/// Next step of the handover.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Step {
     /// Ask a server to resume the run.
     Resume {
         /// Server to ask.
-        at: Place,
+        at: ResumeServer,
         /// Name of the copy.
         handle: String,
     },
-    /// Keep reading from the source as if no hand-over had been requested.
+    /// Keep reading from the source as if no handover had been requested.
     Continue,
-    /// The hand-over is complete and the run continues at this server.
-    Done(Place),
+    /// The handover is complete and the run continues at this server.
+    Done(ResumeServer),
     /// The run cannot be resumed; the caller's answer is cut off.
     Lost,
 }
 
 /// The step after the source's answer.
-pub fn after_move(answer: MoveAnswer) -> Step {
+pub fn after_handover_answer(answer: HandoverAnswer) -> Step {
     match answer {
-        MoveAnswer::Copied { handle } => Step::Resume {
-            at: Place::Target,
+        HandoverAnswer::Copied { handle } => Step::Resume {
+            at: ResumeServer::Target,
             handle,
         },
-        MoveAnswer::Kept { handle } => Step::Resume {
-            at: Place::Source,
+        HandoverAnswer::Kept { handle } => Step::Resume {
+            at: ResumeServer::Source,
             handle,
         },
         // If the run has stopped after all, its stream breaks off, and there is no handle to resume
         // it.
-        MoveAnswer::NotStopped | MoveAnswer::Unknown => Step::Continue,
+        HandoverAnswer::NotStopped | HandoverAnswer::Unknown => Step::Continue,
     }
 }
 
@@ -92,13 +92,13 @@
 ///
 /// A handle serves once: after a lost answer the run may be continuing at the server that was
 /// asked, so no other one may be asked.
-pub fn after_resume(at: Place, handle: &str, answer: ResumeAnswer) -> Step {
+pub fn after_resume(at: ResumeServer, handle: &str, answer: ResumeAnswer) -> Step {
     match (at, answer) {
         (_, ResumeAnswer::Resumed) => Step::Done(at),
-        (Place::Target, ResumeAnswer::NotResumed) => Step::Resume {
-            at: Place::Source,
+        (ResumeServer::Target, ResumeAnswer::NotResumed) => Step::Resume {
+            at: ResumeServer::Source,
             handle: handle.to_string(),
         },
-        (Place::Source, ResumeAnswer::NotResumed) | (_, ResumeAnswer::Unknown) => Step::Lost,
+        (ResumeServer::Source, ResumeAnswer::NotResumed) | (_, ResumeAnswer::Unknown) => Step::Lost,
     }
 }
--- a/crates/tinbay-core/src/retry.rs
+++ b/crates/tinbay-core/src/retry.rs
@@ -61,7 +61,7 @@
     }
 }
 
-/// State of a request after an attempt, which decides about a retry.
+/// State of a request after an attempt, from which it is decided whether it is retried.
 #[derive(Debug, Clone, Copy)]
 pub struct RetryCase {
     /// Outcome of the attempt.
@@ -86,7 +86,7 @@
 
 impl AttemptEnds {
     /// Adds the outcome of an attempt.
-    pub fn note(&mut self, end: AttemptEnd) {
+    pub fn record(&mut self, end: AttemptEnd) {
         self.maybe_ran |= end != AttemptEnd::NotRun;
     }
 
@@ -96,7 +96,7 @@
     }
 }
 
-/// A request is not retried.
+/// Reason why a request is not retried.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum NoRetry {
     /// Part of the answer was already sent to the caller, or the answer is complete.
--- a/crates/tinbay-core/src/serving/claims.rs
+++ b/crates/tinbay-core/src/serving/claims.rs
@@ -1,10 +1,11 @@
-//! Claims in the store that let one box at a time send orders to a server.
+//! Claims in the key-value store that let one box at a time, the holder, send orders to a server.
 //!
-//! Servers do not check who sends orders, so safety rests on time. A holder sends orders only while
-//! its last proof (its own leased entry seen in the store) is recent. Another box overwrites a
-//! claim only after it has itself seen the holder's entry missing for longer than a proof lasts,
-//! and in one transaction that requires the entry to be still missing. Only durations on each box's
-//! own monotonic clock are compared, never times of two boxes.
+//! Orders load and unload base models and adapters. Servers do not check who sends orders, so
+//! safety rests on time. A holder sends orders only while its last proof (its own leased entry seen
+//! in the store) is recent. Another box overwrites a claim only after it has itself seen the
+//! holder's entry missing for longer than a proof lasts, and in one transaction that requires the
+//! entry to be still missing. Only durations on each box's own monotonic clock are compared, never
+//! times of two boxes.
 //!
 //! A store restored from a backup has lost claims or shows older ones. A claim names the era in
 //! which it was written, and only claims of the current era bind. The holder of a server continues
@@ -118,7 +119,7 @@
     }
 
     /// Records that, according to the store, all proofs of eras before this one have expired.
-    pub fn note_settled(&mut self, era: Era) {
+    pub fn record_settled(&mut self, era: Era) {
         self.settled_era_in_store = Some(era);
     }
 
@@ -137,25 +138,25 @@
 
     /// Records a claim read from the store; older revisions and revisions of a former era are
     /// ignored.
-    pub fn note(&mut self, address: &str, value: &[u8], position: Position, now_ms: Millis) {
+    pub fn record(&mut self, address: &str, value: &[u8], position: Position, now_ms: Millis) {
         let Ok(value) = serde_json::from_slice::<ClaimValue>(value) else {
             return;
         };
         if position.era != self.era {
             return;
         }
-        let stored_revisions = self
+        let stored_revision = self
             .stored_revisions
             .entry(address.to_string())
             .or_default();
-        if *stored_revisions >= position.revision && *stored_revisions > 0 {
+        if *stored_revision >= position.revision && *stored_revision > 0 {
             return;
         }
-        *stored_revisions = position.revision;
+        *stored_revision = position.revision;
         let is_current = value.era == position.era;
         let known = self.by_address.get(address);
-        let is_known_better = known.is_some_and(|known| known.validity != ClaimValidity::Restored);
-        if !is_current && is_known_better {
+        let has_valid_claim = known.is_some_and(|known| known.validity != ClaimValidity::Restored);
+        if !is_current && has_valid_claim {
             // The backup holds an older state than this box has seen.
             return;
         }
@@ -288,18 +289,18 @@
 /// A box's proof that its own entry was in the store.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Proof {
-    asked_ms: Option<Millis>,
+    query_sent_ms: Option<Millis>,
 }
 
 impl Proof {
-    /// Extends the proof: a query sent at `asked_ms` found the entry.
-    pub fn renew(&mut self, asked_ms: Millis) {
-        self.asked_ms = self.asked_ms.max(Some(asked_ms));
+    /// Extends the proof: a query sent at `query_sent_ms` found the entry.
+    pub fn renew(&mut self, query_sent_ms: Millis) {
+        self.query_sent_ms = self.query_sent_ms.max(Some(query_sent_ms));
     }
 
     /// Withdraws the proof, so that no more orders are sent under it.
     pub fn revoke(&mut self) {
-        self.asked_ms = None;
+        self.query_sent_ms = None;
     }
 
     /// Whether orders may be sent now.
@@ -309,7 +310,7 @@
 
     /// When the proof ends; 0 where there is none.
     pub fn end_ms(&self, terms: &ClaimTerms) -> Millis {
-        self.asked_ms
-            .map_or(0, |asked_ms| asked_ms + terms.proof_life_ms)
+        self.query_sent_ms
+            .map_or(0, |query_sent_ms| query_sent_ms + terms.proof_life_ms)
     }
 }
--- a/crates/tinbay-core/src/serving/contents/held.rs
+++ b/crates/tinbay-core/src/serving/contents/held.rs
@@ -53,9 +53,11 @@
     pub(super) uses: f64,
     pub(super) used_ms: Millis,
     pub(super) ordered_ms: Millis,
+    /// When its load is to be polled next.
     pub(super) check_ms: Millis,
     /// When its load was last seen to be in progress.
     pub(super) seen_loading_ms: Millis,
+    /// Whether it is loaded from the weight store rather than from the server's own cache.
     pub(super) is_fetch: bool,
 }
 
@@ -94,7 +96,7 @@
         decayed(self.uses, self.used_ms, USE_HALF_LIFE_MS, now_ms)
     }
 
-    pub(super) fn note_uses(&mut self, uses: u32, now_ms: Millis) {
+    pub(super) fn record_uses(&mut self, uses: u32, now_ms: Millis) {
         self.uses = self.uses_at(now_ms) + f64::from(uses);
         self.used_ms = now_ms;
     }
--- a/crates/tinbay-core/src/serving/notices.rs
+++ b/crates/tinbay-core/src/serving/notices.rs
@@ -1,14 +1,14 @@
 //! What servers announce about themselves in the heads of their answers.
 //!
-//! Servers announce it to every caller, in answers to requests, orders and report queries alike. It
-//! arrives sooner than their entries in the store, which may be unavailable, and it is final where
-//! an entry is not: a listing may be old, and an entry may disappear and reappear.
+//! Answers to requests, orders and report queries all carry these notices. A notice arrives sooner
+//! than a change of the server's entry in the store, which may be unavailable. A notice is also
+//! final: a listing of entries may be old, and an entry may disappear and reappear.
 
 use super::server_limit::{AnnouncedLimit, LimitNotice};
 use crate::units::Millis;
 
-/// Rounding error of a time in whole milliseconds. Without it a back-off could end up to that much
-/// too early.
+/// Largest error of a clock reading in whole milliseconds, added to a back-off so that it does not
+/// end too early.
 const ROUNDING_MS: Millis = 1;
 
 /// What a server announces in the head of one answer.
@@ -18,7 +18,7 @@
     pub is_leaving: bool,
     /// The server rejected the request and asks this box to send nothing for this long.
     pub back_off_ms: Option<Millis>,
-    /// What the answer says about the server's rate limit; none where the answer does not tell.
+    /// What the answer says about the server's rate limit; none where it says nothing about one.
     pub limit: Option<LimitNotice>,
 }
 
@@ -33,7 +33,7 @@
 impl Announced {
     /// Records the notice of an answer received now. A shutdown or a back-off is never withdrawn: a
     /// later answer may only lengthen the back-off. A limit lasts for as long as answers name it.
-    pub fn note(&mut self, notice: AnswerNotice, now_ms: Millis) {
+    pub fn record(&mut self, notice: AnswerNotice, now_ms: Millis) {
         self.is_leaving |= notice.is_leaving;
         if let Some(back_off_ms) = notice.back_off_ms.filter(|back_off_ms| *back_off_ms > 0) {
             let until_ms = now_ms
@@ -42,12 +42,12 @@
             self.back_off_until_ms = self.back_off_until_ms.max(until_ms);
         }
         if let Some(limit) = notice.limit {
-            self.limit.note(limit);
+            self.limit.record(limit);
         }
     }
 
     /// Records that the server is shutting down according to its entry in the store.
-    pub fn note_leaving(&mut self) {
+    pub fn record_leaving(&mut self) {
         self.is_leaving = true;
     }
 
--- a/crates/tinbay-core/src/serving/spread.rs
+++ b/crates/tinbay-core/src/serving/spread.rs
@@ -52,7 +52,7 @@
 impl Spreads {
     /// Records requests for an adapter that began at the server, by the time to prefill their
     /// prompts.
-    pub fn note_begun(&mut self, adapter: Fingerprint, prefill_ms: f64, now_ms: Millis) {
+    pub fn record_started(&mut self, adapter: Fingerprint, prefill_ms: f64, now_ms: Millis) {
         let spread = self.by_adapter.entry(adapter).or_insert_with(|| Spread {
             prefill: DecayingValue::default(),
             copies: 1.0,
@@ -61,8 +61,8 @@
         spread.prefill.add(prefill_ms, PREFILL_HALF_LIFE_MS, now_ms);
     }
 
-    /// Number of servers over which an adapter is spread now; `slots_fraction` is the fraction of the
-    /// server's request slots that it uses.
+    /// Number of servers over which an adapter is spread now; `slots_fraction` is the fraction of
+    /// the server's request slots that it uses.
     pub fn copies(&mut self, adapter: Fingerprint, slots_fraction: f64, now_ms: Millis) -> usize {
         let Some(spread) = self.by_adapter.get_mut(&adapter) else {
             return 1;
--- a/crates/tinbay-core/src/serving/subscribers.rs
+++ b/crates/tinbay-core/src/serving/subscribers.rs
@@ -1,4 +1,4 @@
-//! The boxes that send requests to one server, as its holder tracks them.
+//! The boxes that send requests to one server, as the box that holds the claim on it tracks them.
 //!
 //! Each box reports to the holder what it has running there and queries the server's status before
 //! it sends a request. A change is sent only to boxes that it affects: those that wait for an
@@ -55,7 +55,7 @@
     /// Adapters that became ready, or ready in another version.
     pub ready: Vec<Fingerprint>,
     /// Whether an adapter that was ready no longer is.
-    pub has_lost: bool,
+    pub has_lost_adapter: bool,
 }
 
 #[derive(Debug)]
@@ -69,7 +69,10 @@
 
 impl Subscriber {
     fn running(&self) -> usize {
-        self.uses.iter().map(|of| usize::from(of.running)).sum()
+        self.uses
+            .iter()
+            .map(|usage| usize::from(usage.running))
+            .sum()
     }
 
     fn is_affected_by(&self, change: &ContentsChange, now_ms: Millis) -> bool {
@@ -80,7 +83,7 @@
         let is_fresh = self
             .status_sent_ms
             .is_some_and(|status_sent_ms| now_ms < status_sent_ms + FRESH_MS);
-        (change.has_lost && is_fresh) || change.ready.iter().any(is_waiting)
+        (change.has_lost_adapter && is_fresh) || change.ready.iter().any(is_waiting)
     }
 }
 
@@ -95,23 +98,23 @@
 
 impl Subscribers {
     /// Records that a box sent a message.
-    pub fn hear(&mut self, box_id: &str, now_ms: Millis) {
+    pub fn record_message(&mut self, box_id: &str, now_ms: Millis) {
         self.subscriber(box_id, now_ms);
     }
 
     /// Records that a box waits for an adapter and is to be notified when it is ready.
-    pub fn note_wait(&mut self, box_id: &str, adapter: Fingerprint, now_ms: Millis) {
+    pub fn record_wait(&mut self, box_id: &str, adapter: Fingerprint, now_ms: Millis) {
         let subscriber = self.subscriber(box_id, now_ms);
         subscriber.awaited_adapters.insert(adapter, now_ms);
     }
 
     /// Replaces the requests that a box has running at the server.
-    pub fn note_uses(&mut self, box_id: &str, uses: Vec<AdapterUse>, now_ms: Millis) {
+    pub fn record_uses(&mut self, box_id: &str, uses: Vec<AdapterUse>, now_ms: Millis) {
         self.subscriber(box_id, now_ms).uses = uses;
     }
 
     /// Records that a box was sent the server's status.
-    pub fn note_told(&mut self, box_id: &str, now_ms: Millis) {
+    pub fn record_status_sent(&mut self, box_id: &str, now_ms: Millis) {
         if let Some(subscriber) = self.by_box.get_mut(box_id) {
             subscriber.status_sent_ms = Some(now_ms);
         }
@@ -129,9 +132,9 @@
     }
 
     /// Records a box's latest time to the first byte as a fraction of its objective.
-    pub fn note_delay(&mut self, part_of_objective: f64, now_ms: Millis) {
+    pub fn record_delay(&mut self, fraction_of_objective: f64, now_ms: Millis) {
         let known = self.delay(now_ms);
-        let delay = known + DELAY_WEIGHT * (part_of_objective - known);
+        let delay = known + DELAY_WEIGHT * (fraction_of_objective - known);
         self.delay = DecayingValue::new(delay, now_ms);
     }
 
@@ -141,7 +144,7 @@
     }
 
     /// Records requests that began, by the time to prefill their prompts.
-    pub fn note_begun(&mut self, prefill_ms: f64, now_ms: Millis) {
+    pub fn record_started(&mut self, prefill_ms: f64, now_ms: Millis) {
         self.backlog.add(prefill_ms, now_ms);
     }
 
@@ -151,7 +154,7 @@
     }
 
     /// Records failed requests of a box.
-    pub fn note_failures(&mut self, failure_penalty: f64, now_ms: Millis) {
+    pub fn record_failures(&mut self, failure_penalty: f64, now_ms: Millis) {
         let sum = self.failure_penalty(now_ms) + failure_penalty;
         self.failure_penalty = DecayingValue::new(sum.min(MAX_FAILURE_PENALTY), now_ms);
     }
@@ -164,10 +167,10 @@
 
     /// Number of running requests of all boxes for one adapter.
     pub fn running_for(&self, adapter: Fingerprint, now_ms: Millis) -> usize {
-        let is_same_adapter = |of: &&AdapterUse| of.adapter == adapter;
+        let is_same_adapter = |usage: &&AdapterUse| usage.adapter == adapter;
         self.active(now_ms)
             .flat_map(|(_, subscriber)| subscriber.uses.iter().filter(is_same_adapter))
-            .map(|of| usize::from(of.running))
+            .map(|usage| usize::from(usage.running))
             .sum()
     }
 
@@ -188,7 +191,7 @@
 
     /// Whether any box has a running request for the adapter.
     pub fn is_in_use(&self, adapter: Fingerprint, now_ms: Millis) -> bool {
-        let has_running = |of: &AdapterUse| of.adapter == adapter && of.running > 0;
+        let has_running = |usage: &AdapterUse| usage.adapter == adapter && usage.running > 0;
         self.active(now_ms)
             .any(|(_, subscriber)| subscriber.uses.iter().any(has_running))
     }
@@ -199,7 +202,7 @@
     }
 
     /// Boxes that are to be notified of a change of the server's contents.
-    pub fn concerned<'a>(
+    pub fn boxes_affected_by<'a>(
         &'a self,
         change: &'a ContentsChange,
         now_ms: Millis,
--- a/crates/tinbay-core/tests/handover_test.rs
+++ b/crates/tinbay-core/tests/handover_test.rs
@@ -1,13 +1,13 @@
-//! Hand-over of running streams: scanning events, detecting the need, assigning roles, and the
+//! Handover of running streams: scanning events, detecting the need, assigning roles, and the
 //! steps.
 
 use quickcheck::quickcheck;
 use tinbay_core::handover::events::EventScanner;
 use tinbay_core::handover::need::PrefillNeed;
 use tinbay_core::handover::prefill_limit::can_prefill_beside_streams;
-use tinbay_core::handover::roles::{Engine, Role, assign_roles, has_places_for_two};
+use tinbay_core::handover::roles::{Engine, Role, assign_roles, has_slots_for_two_copies};
 use tinbay_core::handover::transitions::{
-    MoveAnswer, Place, ResumeAnswer, Step, after_move, after_resume,
+    HandoverAnswer, ResumeAnswer, ResumeServer, Step, after_handover_answer, after_resume,
 };
 
 const STREAM: &str = "id: 1\ndata: a\n\nweight-versions: 2\nid: 2\ndata: b\n\n";
@@ -65,7 +65,7 @@
 fn need_after(streams: usize, late_one_of: usize) -> PrefillNeed {
     let mut need = PrefillNeed::default();
     for number in 0..streams {
-        need.note_stream(number % late_one_of == 0, 1_000 + number as u64 * 50);
+        need.record_stream(number % late_one_of == 0, 1_000 + number as u64 * 50);
     }
     need
 }
@@ -94,13 +94,13 @@
 fn need_ends_when_nothing_is_late_any_more() {
     let mut need = need_after(40, 2);
     for number in 0..1_300 {
-        need.note_stream(false, 3_000 + number * 50);
+        need.record_stream(false, 3_000 + number * 50);
     }
     assert!(!need.is_needed(68_000));
 }
 
 #[test]
-fn reads_beside_short_prompts_alone() {
+fn only_short_prompts_are_prefilled_beside_streams() {
     assert!(can_prefill_beside_streams(40.0, 300));
     assert!(!can_prefill_beside_streams(110.0, 300));
     assert!(!can_prefill_beside_streams(f64::NAN, 300));
@@ -127,7 +127,7 @@
 }
 
 fn count(roles: &[Role], role: Role) -> usize {
-    roles.iter().filter(|of| **of == role).count()
+    roles.iter().filter(|other| **other == role).count()
 }
 
 #[test]
@@ -138,7 +138,7 @@
     for zone in ["a", "b", "c", "d"] {
         for role in [Role::Prefill, Role::Decode] {
             let mut of_zone = engines.iter().zip(&roles);
-            assert!(of_zone.any(|(engine, of)| engine.zone == zone && *of == role));
+            assert!(of_zone.any(|(engine, assigned)| engine.zone == zone && *assigned == role));
         }
     }
 }
@@ -170,15 +170,15 @@
     let engines = engines(&addresses);
     let before = assign_roles(&engines);
     let after = assign_roles(&engines[1..]);
-    let moved = before[1..]
+    let changed = before[1..]
         .iter()
         .zip(&after)
         .filter(|(left, right)| left != right);
-    assert!(moved.count() <= 3);
+    assert!(changed.count() <= 3);
 }
 
 #[test]
-fn roles_of_few_servers_are_the_same() {
+fn roles_in_small_zones_are_all_decode() {
     let addresses = addresses(8);
     let roles = assign_roles(&engines(&addresses));
     assert_eq!(count(&roles, Role::Decode), 8);
@@ -186,14 +186,14 @@
 
 #[test]
 fn roles_need_slots_for_adapters_at_two_engines() {
-    assert!(has_places_for_two(0, 90, 11));
-    assert!(has_places_for_two(495, 90, 11));
-    assert!(!has_places_for_two(496, 90, 11));
-    assert!(!has_places_for_two(10_000, 90, 11));
-    assert!(!has_places_for_two(1, 0, 11));
+    assert!(has_slots_for_two_copies(0, 90, 11));
+    assert!(has_slots_for_two_copies(495, 90, 11));
+    assert!(!has_slots_for_two_copies(496, 90, 11));
+    assert!(!has_slots_for_two_copies(10_000, 90, 11));
+    assert!(!has_slots_for_two_copies(1, 0, 11));
 }
 
-fn resume(at: Place) -> Step {
+fn resume(at: ResumeServer) -> Step {
     Step::Resume {
         at,
         handle: "h".into(),
@@ -202,35 +202,38 @@
 
 #[test]
 fn steps_copy_resumes_at_the_target() {
-    let step = after_move(MoveAnswer::Copied { handle: "h".into() });
-    assert_eq!(step, resume(Place::Target));
-    let step = after_resume(Place::Target, "h", ResumeAnswer::Resumed);
-    assert_eq!(step, Step::Done(Place::Target));
+    let step = after_handover_answer(HandoverAnswer::Copied { handle: "h".into() });
+    assert_eq!(step, resume(ResumeServer::Target));
+    let step = after_resume(ResumeServer::Target, "h", ResumeAnswer::Resumed);
+    assert_eq!(step, Step::Done(ResumeServer::Target));
 }
 
 #[test]
-fn steps_no_room_at_the_target_resumes_at_the_source() {
-    let step = after_move(MoveAnswer::Kept { handle: "h".into() });
-    assert_eq!(step, resume(Place::Source));
+fn steps_run_kept_by_the_source_resumes_there() {
+    let step = after_handover_answer(HandoverAnswer::Kept { handle: "h".into() });
+    assert_eq!(step, resume(ResumeServer::Source));
 }
 
 #[test]
 fn steps_refusing_target_resumes_at_the_source() {
-    let step = after_resume(Place::Target, "h", ResumeAnswer::NotResumed);
-    assert_eq!(step, resume(Place::Source));
+    let step = after_resume(ResumeServer::Target, "h", ResumeAnswer::NotResumed);
+    assert_eq!(step, resume(ResumeServer::Source));
 }
 
 /// A run that may be continuing at a server is not resumed at another one.
 #[test]
 fn steps_lost_answer_is_never_retried() {
-    for at in [Place::Target, Place::Source] {
+    for at in [ResumeServer::Target, ResumeServer::Source] {
         assert_eq!(after_resume(at, "h", ResumeAnswer::Unknown), Step::Lost);
     }
-    assert_eq!(after_move(MoveAnswer::Unknown), Step::Continue);
+    assert_eq!(
+        after_handover_answer(HandoverAnswer::Unknown),
+        Step::Continue
+    );
 }
 
 #[test]
 fn steps_refusing_source_loses_the_run() {
-    let step = after_resume(Place::Source, "h", ResumeAnswer::NotResumed);
+    let step = after_resume(ResumeServer::Source, "h", ResumeAnswer::NotResumed);
     assert_eq!(step, Step::Lost);
 }
--- a/crates/tinbay-core/tests/idle_reuse_test.rs
+++ b/crates/tinbay-core/tests/idle_reuse_test.rs
@@ -4,7 +4,8 @@
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 use tinbay_core::serving::idle_reuse::{
-    IdleReuseLimit, LEAST_MS, MOST_AT_STAKE, MOST_MS, REUSES_A_LOSS, Reuse, ReuseOutcome, START_MS,
+    INITIAL_IDLE_LIMIT_MS, IdleReuseLimit, MAX_AT_RISK, MAX_IDLE_LIMIT_MS, MIN_IDLE_LIMIT_MS,
+    REUSES_PER_LOSS, Reuse, ReuseOutcome,
 };
 use tinbay_core::serving::servers::ServerKey;
 use tinbay_core::units::Millis;
@@ -21,7 +22,7 @@
 }
 
 fn note(learner: &mut IdleReuseLimit, rested_ms: Millis, end: ReuseOutcome) -> bool {
-    learner.note(&reuse(rested_ms, end), 0)
+    learner.record(&reuse(rested_ms, end), 0)
 }
 
 fn grow(learner: &mut IdleReuseLimit, to_ms: Millis) {
@@ -57,7 +58,10 @@
 
 #[test]
 fn trusted_before_anything_is_learnt_is_the_start() {
-    assert_eq!(IdleReuseLimit::default().trusted_ms(), START_MS);
+    assert_eq!(
+        IdleReuseLimit::default().trusted_ms(),
+        INITIAL_IDLE_LIMIT_MS
+    );
 }
 
 /// One box uses each of 90 servers every three seconds: with an idle limit of half a second, six of
@@ -78,7 +82,7 @@
     for _ in 0..100 {
         note(&mut learner, 20, ReuseOutcome::Answered);
     }
-    assert_eq!(learner.trusted_ms(), START_MS);
+    assert_eq!(learner.trusted_ms(), INITIAL_IDLE_LIMIT_MS);
 }
 
 #[test]
@@ -102,14 +106,14 @@
     grow(&mut learner, 4_000);
     note(&mut learner, 3_000, ReuseOutcome::Broken);
     note(&mut learner, 1_400, ReuseOutcome::Broken);
-    assert_eq!(learner.trusted_ms(), LEAST_MS);
+    assert_eq!(learner.trusted_ms(), MIN_IDLE_LIMIT_MS);
 }
 
 #[test]
 fn trusted_grows_again_only_after_many_reuses() {
     let mut learner = IdleReuseLimit::default();
     note(&mut learner, 400, ReuseOutcome::Broken);
-    for _ in 1..REUSES_A_LOSS {
+    for _ in 1..REUSES_PER_LOSS {
         note(&mut learner, 200, ReuseOutcome::Answered);
     }
     assert_eq!(learner.trusted_ms(), 200);
@@ -121,8 +125,8 @@
 #[test]
 fn trusted_stays_where_a_connection_just_used_breaks() {
     let mut learner = IdleReuseLimit::default();
-    assert!(!note(&mut learner, LEAST_MS, ReuseOutcome::Broken));
-    assert_eq!(learner.trusted_ms(), START_MS);
+    assert!(!note(&mut learner, MIN_IDLE_LIMIT_MS, ReuseOutcome::Broken));
+    assert_eq!(learner.trusted_ms(), INITIAL_IDLE_LIMIT_MS);
 }
 
 /// A server that stops responding does not affect the connections of others.
@@ -145,8 +149,8 @@
         rested_ms: 2_000,
         end: ReuseOutcome::Silent,
     };
-    assert!(!learner.note(&silent(1), 10_000));
-    assert!(learner.note(&silent(2), 10_500));
+    assert!(!learner.record(&silent(1), 10_000));
+    assert!(learner.record(&silent(2), 10_500));
     assert_eq!(learner.trusted_ms(), 1_000);
 }
 
@@ -160,7 +164,7 @@
             server,
             ..reuse(2_000, ReuseOutcome::Silent)
         };
-        is_shrunk |= learner.note(&silent, now_ms);
+        is_shrunk |= learner.record(&silent, now_ms);
     }
     assert!(!is_shrunk);
 }
@@ -173,11 +177,11 @@
     grow(&mut learner, 4_000);
     let mut sent = 0;
     while learner.trusted_ms() >= 2_000 {
-        assert!(learner.note_at_risk(2_000));
+        assert!(learner.record_at_risk(2_000));
         sent += 1;
     }
-    assert_eq!(sent, MOST_AT_STAKE);
-    assert_eq!(learner.trusted_ms(), START_MS);
+    assert_eq!(sent, MAX_AT_RISK);
+    assert_eq!(learner.trusted_ms(), INITIAL_IDLE_LIMIT_MS);
     learner.release();
     assert!(learner.trusted_ms() >= 2_000);
 }
@@ -185,7 +189,7 @@
 #[test]
 fn stake_of_a_short_rest_is_none() {
     let mut learner = IdleReuseLimit::default();
-    assert!(!learner.note_at_risk(START_MS));
+    assert!(!learner.record_at_risk(INITIAL_IDLE_LIMIT_MS));
 }
 
 /// Servers close idle connections after an arbitrary time: at most two requests are lost per
@@ -193,16 +197,16 @@
 #[test]
 fn play_any_forgetting_keeps_the_bound() {
     fn holds(closed_after_ms: u16, seed: u64) -> bool {
-        let closed_after_ms = Millis::from(closed_after_ms).max(LEAST_MS);
+        let closed_after_ms = Millis::from(closed_after_ms).max(MIN_IDLE_LIMIT_MS);
         let (reused, lost) = play(closed_after_ms, seed);
-        lost <= 2 * (1 + reused / REUSES_A_LOSS)
+        lost <= 2 * (1 + reused / REUSES_PER_LOSS)
     }
     QuickCheck::new().quickcheck(holds as fn(u16, u64) -> bool);
 }
 
 #[test]
 fn play_servers_that_forget_nothing_reuses_most() {
-    let (reused, lost) = play(MOST_MS, 1);
+    let (reused, lost) = play(MAX_IDLE_LIMIT_MS, 1);
     assert_eq!(lost, 0);
     assert!(reused >= REUSES * 9 / 10);
 }
--- a/crates/tinbay-core/tests/pace_test.rs
+++ b/crates/tinbay-core/tests/pace_test.rs
@@ -21,7 +21,7 @@
 fn times_of(answers: impl Iterator<Item = f64>) -> ResponseTimes {
     let mut times = ResponseTimes::default();
     for took_ms in answers {
-        times.note(took_ms, 0);
+        times.record(took_ms, 0);
     }
     times
 }
@@ -35,23 +35,23 @@
 #[test]
 fn quantile_is_near_the_true_one() {
     let times = times_of((1..=1_000).map(f64::from));
-    for part in [0.1, 0.5, 0.95] {
-        let observed_ms = times.quantile_ms(part).expect("answers enough");
-        let true_ms = part * 1_000.0;
+    for quantile in [0.1, 0.5, 0.95] {
+        let observed_ms = times.quantile_ms(quantile).expect("enough answers");
+        let true_ms = quantile * 1_000.0;
         assert!(
             (observed_ms / true_ms - 1.0).abs() <= 0.11,
-            "{part}: {observed_ms}"
+            "{quantile}: {observed_ms}"
         );
     }
 }
 
 #[test]
-fn quantile_forgets_what_is_long_past() {
+fn quantile_drops_answers_before_the_window() {
     let mut times = times_of((0..100).map(|_| 500.0));
     for number in 0..100 {
-        times.note(10.0, 31_000 + number);
+        times.record(10.0, 31_000 + number);
     }
-    let observed_ms = times.quantile_ms(0.95).expect("answers enough");
+    let observed_ms = times.quantile_ms(0.95).expect("enough answers");
     assert!(observed_ms <= 11.0, "{observed_ms}");
 }
 
@@ -64,7 +64,7 @@
 fn slowness_follows_a_slow_period_within_some_answers() {
     let mut slowness = Slowness::default();
     for number in 0..3 {
-        slowness.note(
+        slowness.record(
             USUAL_MS,
             USUAL_MS * SLOW_FACTOR,
             number * REQUEST_INTERVAL_MS,
@@ -78,7 +78,7 @@
 fn slowness_fades_within_two_seconds() {
     let mut slowness = Slowness::default();
     for number in 0..10 {
-        slowness.note(
+        slowness.record(
             USUAL_MS,
             USUAL_MS * SLOW_FACTOR,
             number * REQUEST_INTERVAL_MS,
@@ -90,12 +90,12 @@
 #[test]
 fn slowness_of_one_outlier_is_bounded() {
     let mut slowness = Slowness::default();
-    slowness.note(USUAL_MS, 1e9, 0);
+    slowness.record(USUAL_MS, 1e9, 0);
     assert!(slowness.factor(0) <= 8.0);
 }
 
 #[test]
-fn slowed_load_of_servers_alike_is_their_load() {
+fn slowed_load_without_slowness_is_the_load() {
     assert_eq!(slowed_load(0.7, 0.2, 1.0), 0.7);
 }
 
@@ -108,7 +108,7 @@
 
 /// Fraction of answers within the objective, with each request sent either to the least loaded
 /// server or to a random one.
-fn fraction_in_time(is_chosen: bool) -> f64 {
+fn fraction_in_time(chooses_least_loaded: bool) -> f64 {
     let mut rng = SmallRng::seed_from_u64(3);
     let mut servers = [Slowness::default(); 4];
     let mut slow_until_ms = [0; 4];
@@ -128,14 +128,14 @@
             .map(|offset| (any + offset) % servers.len())
             .min_by(|left, right| load(&servers[*left]).total_cmp(&load(&servers[*right])))
             .unwrap_or(any);
-        let server = if is_chosen { best } else { any };
+        let server = if chooses_least_loaded { best } else { any };
         let factor = if now_ms < slow_until_ms[server] {
             SLOW_FACTOR
         } else {
             1.0
         };
         let took_ms = factor * rng.random_range(0.5..2.5) * USUAL_MS;
-        servers[server].note(USUAL_MS * 1.5, took_ms, now_ms);
+        servers[server].record(USUAL_MS * 1.5, took_ms, now_ms);
         in_time += u32::from(took_ms <= OBJECTIVE_MS);
         sum += 1;
     }
@@ -146,6 +146,6 @@
 /// the least loaded server must halve the late answers.
 #[test]
 fn choosing_by_slowness_halves_late_answers() {
-    let (any, chosen) = (fraction_in_time(false), fraction_in_time(true));
-    assert!(1.0 - chosen <= 0.5 * (1.0 - any), "{any} {chosen}");
+    let (random, chosen) = (fraction_in_time(false), fraction_in_time(true));
+    assert!(1.0 - chosen <= 0.5 * (1.0 - random), "{random} {chosen}");
 }
--- a/crates/tinbay-core/tests/serving_claims_test.rs
+++ b/crates/tinbay-core/tests/serving_claims_test.rs
@@ -31,8 +31,8 @@
 fn table(holder: &str, is_released: bool, seen_ms: u64) -> ClaimTable {
     let mut table = ClaimTable::default();
     table.begin_era(Era(1), 0, 0);
-    table.note_settled(Era(1));
-    table.note(SERVER, &value(holder, is_released, 1), at(7), seen_ms);
+    table.record_settled(Era(1));
+    table.record(SERVER, &value(holder, is_released, 1), at(7), seen_ms);
     table
 }
 
@@ -71,9 +71,9 @@
 }
 
 #[test]
-fn note_ignores_older_revision() {
+fn record_ignores_older_revision() {
     let mut table = table("b", false, 0);
-    table.note(SERVER, &value("a", false, 1), at(6), 1);
+    table.record(SERVER, &value("a", false, 1), at(6), 1);
     assert_eq!(table.token_of(SERVER, "b", 2), Some(at(7).fencing_token()));
     assert_eq!(table.token_of(SERVER, "a", 2), None);
 }
@@ -103,7 +103,7 @@
     let entry = HolderEntry::MissingSince(0);
     assert!(!held.may_take(SERVER, "b", entry, &TERMS, 14_499));
     assert!(held.may_take(SERVER, "b", entry, &TERMS, 14_500));
-    held.note(
+    held.record(
         SERVER,
         &value("a", false, 2),
         Position::new(Era(2), 3),
@@ -116,10 +116,10 @@
 /// The store was restored with an older claim of a box that had since lost the server: that box
 /// must not treat it as its own, whether it ran during the restore or starts after it.
 #[test]
-fn note_claim_of_former_era_is_not_binding() {
+fn record_claim_of_former_era_is_not_binding() {
     let mut running_before = table("b", false, 0);
     running_before.begin_era(Era(2), 9_000, 1_000);
-    running_before.note(
+    running_before.record(
         SERVER,
         &value("a", false, 1),
         Position::new(Era(2), 3),
@@ -133,20 +133,20 @@
     );
     let mut started = ClaimTable::default();
     started.begin_era(Era(2), 0, 500);
-    started.note(SERVER, &value("a", false, 1), Position::new(Era(2), 3), 600);
+    started.record(SERVER, &value("a", false, 1), Position::new(Era(2), 3), 600);
     assert_eq!(started.token_of(SERVER, "a", 700), None);
     let entry = HolderEntry::Listed;
     assert!(!started.may_take(SERVER, "a", entry, &TERMS, 13_999));
     assert!(started.may_take(SERVER, "a", entry, &TERMS, 14_000));
-    started.note_settled(Era(2));
+    started.record_settled(Era(2));
     assert!(started.may_take(SERVER, "a", entry, &TERMS, 700));
 }
 
 #[test]
-fn note_claim_of_late_answer_is_ignored() {
+fn record_claim_of_late_answer_is_ignored() {
     let mut table = table("b", false, 0);
     table.begin_era(Era(2), 0, 1_000);
-    table.note(SERVER, &value("a", false, 1), at(9), 1_100);
+    table.record(SERVER, &value("a", false, 1), at(9), 1_100);
     assert_eq!(table.stored_position(SERVER), Position::missing(Era(2)));
 }
 
@@ -166,15 +166,20 @@
 /// different origins.
 #[test]
 fn may_take_never_within_gap_of_last_order() {
-    fn property(queries: Vec<u16>, gone_after: u16, seen_later: u16, offset: u16) -> TestResult {
-        let gone_ms = u64::from(gone_after);
+    fn property(
+        queries: Vec<u16>,
+        missing_after_ms: u16,
+        seen_after_ms: u16,
+        offset_ms: u16,
+    ) -> TestResult {
+        let missing_ms = u64::from(missing_after_ms);
         let mut proof = Proof::default();
-        for asked in queries.iter().map(|asked| u64::from(*asked)) {
-            if asked <= gone_ms {
-                proof.renew(asked);
+        for sent_ms in queries.iter().map(|sent_ms| u64::from(*sent_ms)) {
+            if sent_ms <= missing_ms {
+                proof.renew(sent_ms);
             }
         }
-        let last_order_ms = (0..=gone_ms + TERMS.proof_life_ms)
+        let last_order_ms = (0..=missing_ms + TERMS.proof_life_ms)
             .rev()
             .step_by(50)
             .find(|now_ms| proof.holds(&TERMS, *now_ms));
@@ -182,8 +187,8 @@
             return TestResult::discard();
         };
         let held = table("holder", false, 0);
-        let offset_ms = u64::from(offset);
-        let since_ms = gone_ms + u64::from(seen_later) + offset_ms;
+        let offset_ms = u64::from(offset_ms);
+        let since_ms = missing_ms + u64::from(seen_after_ms) + offset_ms;
         let first_order_ms = (since_ms..)
             .step_by(50)
             .find(|now_ms| {
--- a/crates/tinbay-core/tests/serving_contents_test.rs
+++ b/crates/tinbay-core/tests/serving_contents_test.rs
@@ -1,4 +1,5 @@
-//! What a holder orders: never more adapters than slots, no adapter twice, and the newest versions.
+//! Orders that a holder sends: never more adapters than slots, no adapter twice, and the newest
+//! versions.
 
 use quickcheck::QuickCheck;
 use tinbay_core::serving::configuration::{EngineProperties, ModelSpec};
@@ -39,7 +40,7 @@
 
 fn known_contents(adapter_slots: usize, adapters: &[(&str, u64)]) -> Contents {
     let mut contents = Contents::new(&spec(adapter_slots), 0);
-    contents.note_report(&report(adapters), 0);
+    contents.record_report(&report(adapters), 0);
     contents
 }
 
@@ -71,12 +72,12 @@
     now_ms: u64,
 ) -> Option<Action> {
     let mut allowance = FakeAllowance { is_left, taken: 0 };
-    contents.next_action(wants, &look(&|_| false, now_ms), &mut allowance)
+    contents.next_action(wants, &context(&|_| false, now_ms), &mut allowance)
 }
 
-fn look(is_in_use: &dyn Fn(AdapterKey) -> bool, now_ms: u64) -> OrderContext<'_> {
+fn context(is_in_use: &dyn Fn(AdapterKey) -> bool, now_ms: u64) -> OrderContext<'_> {
     OrderContext {
-        named: &|_| None,
+        published_version: &|_| None,
         is_in_use,
         now_ms,
     }
@@ -111,7 +112,7 @@
 #[test]
 fn next_action_model_waits_for_the_allowance() {
     let mut contents = Contents::new(&spec(2), 0);
-    contents.note_report(&Report::default(), 0);
+    contents.record_report(&Report::default(), 0);
     assert_eq!(next(&mut contents, &[want("m/a")], false, 0), None);
 }
 
@@ -123,7 +124,7 @@
         is_left: true,
         taken: 0,
     };
-    let action = contents.next_action(&[want("m/a")], &look(&|_| false, 0), &mut allowance);
+    let action = contents.next_action(&[want("m/a")], &context(&|_| false, 0), &mut allowance);
     assert_eq!(action, Some(load("m/a", 4)));
     assert_eq!(allowance.taken, 0);
     let mut contents = known_contents(2, &[]);
@@ -133,14 +134,14 @@
 #[test]
 fn next_action_model_before_adapter() {
     let mut contents = Contents::new(&spec(2), 0);
-    contents.note_report(&Report::default(), 0);
+    contents.record_report(&Report::default(), 0);
     assert_eq!(
         next(&mut contents, &[want("m/a")], true, 0),
         Some(load("m", 0))
     );
-    contents.note_answer(&load("m", 0), OrderAnswer::Accepted, 0);
+    contents.record_answer(&load("m", 0), OrderAnswer::Accepted, 0);
     assert_eq!(next(&mut contents, &[want("m/a")], true, 10), None);
-    contents.note_answer(&load("m", 1), OrderAnswer::Done, 600);
+    contents.record_answer(&load("m", 1), OrderAnswer::Done, 600);
     assert_eq!(
         next(&mut contents, &[want("m/a")], true, 610),
         Some(load("m/a", 1))
@@ -150,7 +151,7 @@
 #[test]
 fn next_action_unloads_least_used_when_full() {
     let mut contents = known_contents(2, &[("m/a", 1), ("m/b", 1)]);
-    contents.note_uses(adapter_key("m/a"), 3, 0);
+    contents.record_uses(adapter_key("m/a"), 3, 0);
     let unload = Action::Unload {
         adapter: "m/b".into(),
         expected_count: 4,
@@ -159,7 +160,7 @@
         next(&mut contents, &[want("m/c")], true, 1_000),
         Some(unload.clone())
     );
-    contents.note_answer(&unload, OrderAnswer::Done, 1_000);
+    contents.record_answer(&unload, OrderAnswer::Done, 1_000);
     assert_eq!(
         next(&mut contents, &[want("m/c")], true, 1_001),
         Some(load("m/c", 5))
@@ -167,26 +168,26 @@
 }
 
 #[test]
-fn next_action_keeps_what_was_just_used() {
+fn next_action_keeps_a_recently_used_adapter() {
     let mut contents = known_contents(1, &[("m/a", 1)]);
-    contents.note_uses(adapter_key("m/a"), 1, 1_000);
+    contents.record_uses(adapter_key("m/a"), 1, 1_000);
     assert_eq!(next(&mut contents, &[want("m/b")], true, 1_050), None);
 }
 
 /// An adapter in use is kept however long ago its last request began, as that request may still
 /// run.
 #[test]
-fn next_action_never_unloads_what_is_in_use() {
+fn next_action_never_unloads_an_adapter_in_use() {
     let contents = known_contents(1, &[("m/a", 1)]);
     let mut allowance = FakeAllowance {
         is_left: true,
         taken: 0,
     };
     let is_in_use = |key| key == adapter_key("m/a");
-    let look = look(&is_in_use, 60_000);
+    let context = context(&is_in_use, 60_000);
     assert!(!contents.takes_loads(&is_in_use, 60_000));
     assert_eq!(
-        contents.next_action(&[want("m/b")], &look, &mut allowance),
+        contents.next_action(&[want("m/b")], &context, &mut allowance),
         None
     );
 }
@@ -200,9 +201,9 @@
 }
 
 #[test]
-fn note_uses_of_finds_adapter_by_fingerprint() {
+fn record_uses_of_finds_adapter_by_fingerprint() {
     let mut contents = known_contents(2, &[("m/a", 1), ("m/b", 1)]);
-    contents.note_uses_of(adapter_key("m/b") as u32, 3, 1_000);
+    contents.record_uses_of(adapter_key("m/b") as u32, 3, 1_000);
     let unload = Action::Unload {
         adapter: "m/a".into(),
         expected_count: 4,
@@ -232,12 +233,12 @@
     assert_eq!(action, Some(expected));
 }
 
-/// Otherwise the server would delay the order, and all requests for the adapter, until the last
-/// running request ends.
+/// The server would delay the order to replace the version, and all requests for the adapter, until
+/// the last running request ends.
 #[test]
 fn next_action_never_replaces_a_busy_version() {
     let mut contents = known_contents(2, &[("m/a", 1)]);
-    contents.note_uses(adapter_key("m/a"), 1, 4_600);
+    contents.record_uses(adapter_key("m/a"), 1, 4_600);
     let wants = [second_version_of("m/a")];
     assert_eq!(next(&mut contents, &wants, true, 5_000), None);
 }
@@ -245,18 +246,18 @@
 #[test]
 fn next_action_unloads_old_version_first() {
     let mut contents = known_contents(2, &[("m/a", 1), ("m/b", 1)]);
-    contents.note_uses(adapter_key("m/a"), 9, 100);
-    let named = |adapter: &str| (adapter == "m/a").then_some(2);
+    contents.record_uses(adapter_key("m/a"), 9, 100);
+    let published_version = |adapter: &str| (adapter == "m/a").then_some(2);
     let mut allowance = FakeAllowance {
         is_left: true,
         taken: 0,
     };
-    let look = OrderContext {
-        named: &named,
+    let context = OrderContext {
+        published_version: &published_version,
         is_in_use: &|_| false,
         now_ms: 5_000,
     };
-    let action = contents.next_action(&[want("m/c")], &look, &mut allowance);
+    let action = contents.next_action(&[want("m/c")], &context, &mut allowance);
     let expected = Action::Unload {
         adapter: "m/a".into(),
         expected_count: 4,
@@ -267,25 +268,25 @@
 /// A report shows a replaced adapter in its old version until the last running request is done; the
 /// order must not be counted again.
 #[test]
-fn note_report_keeps_a_replacement_under_way() {
+fn record_report_keeps_a_replacement_under_way() {
     let mut contents = known_contents(2, &[("m/a", 1)]);
     let load = Action::Load {
         adapter: "m/a".into(),
         version: Some(2),
         expected_count: 4,
     };
-    contents.note_answer(&load, OrderAnswer::Accepted, 5_000);
+    contents.record_answer(&load, OrderAnswer::Accepted, 5_000);
     let mut known = report(&[("m/a", 1)]);
     known.order_count = 5;
-    contents.note_report(&known, 6_000);
+    contents.record_report(&known, 6_000);
     let states: Vec<HeldState> = contents.held().map(|(_, held)| held.state).collect();
     assert_eq!(states, [HeldState::Loading]);
 }
 
 #[test]
-fn note_answer_lost_requests_report_after_delay() {
+fn record_answer_lost_requests_report_after_delay() {
     let mut contents = known_contents(2, &[]);
-    contents.note_answer(&load("m/a", 4), OrderAnswer::NoAnswer, 1_000);
+    contents.record_answer(&load("m/a", 4), OrderAnswer::NoAnswer, 1_000);
     assert_eq!(next(&mut contents, &[want("m/a")], true, 1_599), None);
     assert_eq!(
         next(&mut contents, &[want("m/a")], true, 1_600),
@@ -300,7 +301,7 @@
         adapter: "m/a".into(),
         expected_count: 4,
     };
-    contents.note_answer(&unload, OrderAnswer::Done, 500);
+    contents.record_answer(&unload, OrderAnswer::Done, 500);
     assert!(contents.is_cached(adapter_key("m/a"), None));
     assert!(!contents.is_cached(adapter_key("m/a"), Some(2)));
     assert!(!contents.is_cached(adapter_key("m/b"), None));
@@ -309,7 +310,7 @@
 /// A server that follows its orders, with arbitrary load requests and lost answers: the holder
 /// never orders more adapters than slots.
 #[test]
-fn next_action_never_beyond_places() {
+fn next_action_never_exceeds_slots() {
     fn property(steps: Vec<(u8, bool)>) -> bool {
         let slots = 3;
         let mut contents = known_contents(slots, &[]);
@@ -328,13 +329,13 @@
                         server.iter().map(|name| (name.as_str(), 1)).collect();
                     let mut known = report(&adapters);
                     known.order_count = order_count;
-                    contents.note_report(&known, now_ms);
+                    contents.record_report(&known, now_ms);
                     continue;
                 }
                 Action::PollReport => {
                     let adapters: Vec<(&str, u64)> =
                         server.iter().map(|name| (name.as_str(), 1)).collect();
-                    contents.note_poll(Some(&report(&adapters)), now_ms);
+                    contents.record_poll(Some(&report(&adapters)), now_ms);
                     continue;
                 }
                 Action::Load {
@@ -372,7 +373,7 @@
             } else {
                 answer
             };
-            contents.note_answer(&action, answer, now_ms);
+            contents.record_answer(&action, answer, now_ms);
         }
         let loading_or_ready = contents
             .held()
@@ -394,11 +395,11 @@
     for number in 0..6 {
         let adapter = format!("m/slow{number}");
         let action = load(&adapter, 4 + number);
-        contents.note_answer(&action, OrderAnswer::Accepted, now_ms);
+        contents.record_answer(&action, OrderAnswer::Accepted, now_ms);
         now_ms += 900;
-        contents.note_answer(&action, OrderAnswer::Accepted, now_ms);
+        contents.record_answer(&action, OrderAnswer::Accepted, now_ms);
         now_ms += 100;
-        contents.note_answer(&action, OrderAnswer::Done, now_ms);
+        contents.record_answer(&action, OrderAnswer::Done, now_ms);
     }
     let copy = WantedLoad {
         is_copy: true,
@@ -406,31 +407,30 @@
     };
     assert_eq!(next(&mut contents, &[copy], true, now_ms), None);
     let first = next(&mut contents, &[want("m/a")], true, now_ms).expect("a load");
-    contents.note_answer(&first, OrderAnswer::Accepted, now_ms);
+    contents.record_answer(&first, OrderAnswer::Accepted, now_ms);
     assert_eq!(next(&mut contents, &[want("m/b")], true, now_ms + 1), None);
 }
 
-/// Guards against servers that lose orders being limited to one load at a time: 57 of 310 adapters
-/// were never served, and 5,888 requests were refused at once as their adapter would come too late.
+/// Guards against servers that lose orders being limited to one load at a time, so that some
+/// adapters are never served and requests are refused as their adapter would be loaded too late.
 ///
-/// Whether a load is complete is seen by the answer to an order. With most orders answered late or
-/// never, loads of 250 ms were seen to be complete a second late. The delay was taken for the
-/// duration of the load: it counted as a slow weight store, and callers were told to wait 8,769 ms
-/// in the median.
+/// Whether a load is complete is seen by the answer to an order. Where most orders are answered
+/// late or never, a load of 250 ms is seen to be complete a second late. This delay must not count
+/// as part of the load, which would indicate a slow weight store.
 #[test]
-fn load_seen_late_is_no_slow_load() {
+fn load_seen_late_is_not_a_slow_load() {
     let mut contents = known_contents(16, &[]);
     let mut now_ms = 0;
     for number in 0..10 {
         let adapter = format!("m/late{number}");
         let action = load(&adapter, 4 + number);
-        contents.note_answer(&action, OrderAnswer::Accepted, now_ms);
+        contents.record_answer(&action, OrderAnswer::Accepted, now_ms);
         now_ms += 1_500;
-        contents.note_answer(&action, OrderAnswer::Done, now_ms);
+        contents.record_answer(&action, OrderAnswer::Done, now_ms);
     }
     assert!(contents.load_wait_ms(0) <= 300.0);
     for adapter in ["m/a", "m/b", "m/c", "m/d"] {
         let action = next(&mut contents, &[want(adapter)], true, now_ms).expect("a load");
-        contents.note_answer(&action, OrderAnswer::Accepted, now_ms);
+        contents.record_answer(&action, OrderAnswer::Accepted, now_ms);
     }
 }
--- a/crates/tinbay-core/tests/serving_placement_test.rs
+++ b/crates/tinbay-core/tests/serving_placement_test.rs
@@ -29,7 +29,7 @@
 
 /// Loads requested at one server queue behind each other; the next server can begin at once.
 #[test]
-fn pick_loads_past_a_server_with_many_loads_to_do() {
+fn pick_loads_past_a_server_with_many_queued_loads() {
     let backlogged = Candidate {
         load_wait: 3.0,
         ..candidate(Presence::Absent, 0.1)
@@ -161,41 +161,41 @@
 #[test]
 fn current_awaited_before_copies_and_oldest_first() {
     let mut wants = WantedLoads::default();
-    wants.ask(want("m/copy", true), 0);
-    wants.ask(want("m/late", false), 200);
-    wants.ask(want("m/early", false), 100);
+    wants.add(want("m/copy", true), 0);
+    wants.add(want("m/late", false), 200);
+    wants.add(want("m/early", false), 100);
     assert_eq!(names(&mut wants, 300), ["m/early", "m/late", "m/copy"]);
 }
 
 #[test]
-fn current_drops_what_is_asked_no_more() {
+fn current_drops_requests_that_are_not_repeated() {
     let mut wants = WantedLoads::default();
-    wants.ask(want("m/a", false), 0);
-    wants.ask(want("m/b", false), 0);
-    wants.ask(want("m/b", false), 900);
+    wants.add(want("m/a", false), 0);
+    wants.add(want("m/b", false), 0);
+    wants.add(want("m/b", false), 900);
     assert_eq!(names(&mut wants, 1_500), ["m/b"]);
 }
 
 #[test]
-fn ask_waiting_request_makes_a_copy_awaited() {
+fn add_waiting_request_makes_a_copy_awaited() {
     let mut wants = WantedLoads::default();
-    wants.ask(want("m/a", true), 0);
-    wants.ask(want("m/a", false), 10);
+    wants.add(want("m/a", true), 0);
+    wants.add(want("m/a", false), 10);
     assert!(!wants.current(20)[0].is_copy);
-    wants.ask(want("m/a", true), 30);
+    wants.add(want("m/a", true), 30);
     assert!(!wants.current(40)[0].is_copy);
 }
 
 #[test]
-fn ask_newest_version_counts() {
+fn add_newest_version_counts() {
     let mut wants = WantedLoads::default();
-    wants.ask(want("m/a", false), 0);
+    wants.add(want("m/a", false), 0);
     let newer = WantedLoad {
         version: Some(2),
         ..want("m/a", false)
     };
-    wants.ask(newer, 10);
-    wants.ask(want("m/a", false), 20);
+    wants.add(newer, 10);
+    wants.add(want("m/a", false), 20);
     assert_eq!(wants.current(30)[0].version, Some(2));
 }
 
@@ -211,10 +211,10 @@
 #[test]
 fn running_of_others_excludes_own_requests() {
     let mut subscribers = Subscribers::default();
-    subscribers.note_uses("box-1", uses("m/a", 3), 0);
-    subscribers.note_uses("box-2", uses("m/a", 4), 0);
+    subscribers.record_uses("box-1", uses("m/a", 3), 0);
+    subscribers.record_uses("box-2", uses("m/a", 4), 0);
     assert_eq!(subscribers.running_of_others("box-1", 100), 4);
-    subscribers.note_uses("box-2", uses("m/a", 1), 200);
+    subscribers.record_uses("box-2", uses("m/a", 1), 200);
     assert_eq!(subscribers.running_of_others("box-1", 300), 1);
 }
 
@@ -222,24 +222,28 @@
 fn is_in_use_until_the_box_reports_otherwise_or_expires() {
     let adapter = adapter_key("m/a") as u32;
     let mut subscribers = Subscribers::default();
-    subscribers.note_uses("box-1", uses("m/a", 1), 0);
+    subscribers.record_uses("box-1", uses("m/a", 1), 0);
     assert!(subscribers.is_in_use(adapter, 2_900));
     assert!(!subscribers.is_in_use(adapter, 3_000));
-    subscribers.note_uses("box-1", uses("m/a", 1), 3_100);
-    subscribers.note_uses("box-1", uses("m/a", 0), 3_200);
+    subscribers.record_uses("box-1", uses("m/a", 1), 3_100);
+    subscribers.record_uses("box-1", uses("m/a", 0), 3_200);
     assert!(!subscribers.is_in_use(adapter, 3_200));
 }
 
 fn ready(adapter: Fingerprint) -> ContentsChange {
     ContentsChange {
         ready: vec![adapter],
-        has_lost: false,
+        has_lost_adapter: false,
     }
 }
 
-fn concerned(subscribers: &Subscribers, change: &ContentsChange, now_ms: u64) -> Vec<String> {
+fn boxes_affected_by(
+    subscribers: &Subscribers,
+    change: &ContentsChange,
+    now_ms: u64,
+) -> Vec<String> {
     let mut boxes: Vec<String> = subscribers
-        .concerned(change, now_ms)
+        .boxes_affected_by(change, now_ms)
         .map(str::to_string)
         .collect();
     boxes.sort();
@@ -247,29 +251,29 @@
 }
 
 #[test]
-fn concerned_by_ready_adapter_are_waiting_boxes() {
+fn boxes_affected_by_ready_adapter_are_waiting_boxes() {
     let mut subscribers = Subscribers::default();
-    subscribers.note_wait("box-1", 7, 0);
-    subscribers.note_wait("box-2", 8, 0);
-    subscribers.note_uses("box-3", uses("m/a", 1), 0);
-    subscribers.note_told("box-3", 0);
-    assert_eq!(concerned(&subscribers, &ready(7), 999), ["box-1"]);
-    assert!(concerned(&subscribers, &ready(7), 1_000).is_empty());
-    assert!(concerned(&subscribers, &ContentsChange::default(), 10).is_empty());
+    subscribers.record_wait("box-1", 7, 0);
+    subscribers.record_wait("box-2", 8, 0);
+    subscribers.record_uses("box-3", uses("m/a", 1), 0);
+    subscribers.record_status_sent("box-3", 0);
+    assert_eq!(boxes_affected_by(&subscribers, &ready(7), 999), ["box-1"]);
+    assert!(boxes_affected_by(&subscribers, &ready(7), 1_000).is_empty());
+    assert!(boxes_affected_by(&subscribers, &ContentsChange::default(), 10).is_empty());
 }
 
 #[test]
-fn concerned_by_lost_adapter_are_boxes_with_fresh_status() {
+fn boxes_affected_by_lost_adapter_are_boxes_with_fresh_status() {
     let lost = ContentsChange {
         ready: Vec::new(),
-        has_lost: true,
+        has_lost_adapter: true,
     };
     let mut subscribers = Subscribers::default();
-    subscribers.note_wait("box-1", 7, 0);
-    subscribers.hear("box-2", 0);
-    subscribers.note_told("box-2", 0);
-    assert_eq!(concerned(&subscribers, &lost, 299), ["box-2"]);
-    assert!(concerned(&subscribers, &lost, 300).is_empty());
+    subscribers.record_wait("box-1", 7, 0);
+    subscribers.record_message("box-2", 0);
+    subscribers.record_status_sent("box-2", 0);
+    assert_eq!(boxes_affected_by(&subscribers, &lost, 299), ["box-2"]);
+    assert!(boxes_affected_by(&subscribers, &lost, 300).is_empty());
 }
 
 #[test]
@@ -277,7 +281,7 @@
     let mut spreads = Spreads::default();
     assert_eq!(spreads.copies(1, 0.0, 0), 1);
     for now_ms in (0..3_000).step_by(100) {
-        spreads.note_begun(1, 90.0, now_ms);
+        spreads.record_started(1, 90.0, now_ms);
         spreads.copies(1, 0.0, now_ms);
     }
     let grown = spreads.copies(1, 0.0, 3_000);
@@ -291,14 +295,14 @@
 #[test]
 fn copies_grow_where_requests_take_the_slots() {
     let mut spreads = Spreads::default();
-    spreads.note_begun(1, 1.0, 0);
+    spreads.record_started(1, 1.0, 0);
     assert_eq!(spreads.copies(1, 0.8, 500), 2);
 }
 
 #[test]
 fn copies_stay_for_a_rare_adapter() {
     let mut spreads = Spreads::default();
-    spreads.note_begun(1, 240.0, 0);
+    spreads.record_started(1, 240.0, 0);
     for now_ms in (0..2_000).step_by(100) {
         assert_eq!(spreads.copies(1, 0.02, now_ms), 1);
     }
@@ -317,9 +321,9 @@
 fn prefill_rate_follows_measurements() {
     let mut rate = PrefillRate::default();
     for _ in 0..400 {
-        rate.note(4_000, 100.0);
+        rate.record(4_000, 100.0);
     }
-    assert!((rate.tokens_a_ms() - 40.0).abs() < 1.0);
+    assert!((rate.tokens_per_ms() - 40.0).abs() < 1.0);
     assert!((rate.time_ms(8_000) - 200.0).abs() < 10.0);
 }
 
@@ -329,21 +333,21 @@
 fn prefill_rate_too_low_is_corrected() {
     let mut rate = PrefillRate::default();
     for _ in 0..400 {
-        rate.note_answer(700, 0.0, 3_000.0);
+        rate.record_answer(700, 0.0, 3_000.0);
     }
-    assert!(rate.tokens_a_ms() < 3.0);
+    assert!(rate.tokens_per_ms() < 3.0);
     for _ in 0..2_000 {
-        rate.note_answer(700, 5_000.0, 20.0);
+        rate.record_answer(700, 5_000.0, 20.0);
     }
-    assert!(rate.tokens_a_ms() > 20.0);
+    assert!(rate.tokens_per_ms() > 20.0);
 }
 
 #[test]
 fn prefill_rate_ignores_busy_engine() {
     let mut rate = PrefillRate::default();
     let before = rate;
-    rate.note_answer(700, 21.0, 3_000.0);
-    rate.note_answer(499, 0.0, 3_000.0);
+    rate.record_answer(700, 21.0, 3_000.0);
+    rate.record_answer(499, 0.0, 3_000.0);
     assert_eq!(rate, before);
 }
 
@@ -351,9 +355,9 @@
 #[test]
 fn prefill_rate_stays_in_bounds_when_sums_are_rounded() {
     let mut rate = PrefillRate::default();
-    rate.note(1_602, 0.0);
-    rate.note(15_689, 0.0);
-    assert!(rate.tokens_a_ms() <= 400.0);
+    rate.record(1_602, 0.0);
+    rate.record(15_689, 0.0);
+    assert!(rate.tokens_per_ms() <= 400.0);
 }
 
 #[test]
@@ -361,9 +365,9 @@
     fn property(notes: Vec<(u16, u16)>) -> bool {
         let mut rate = PrefillRate::default();
         for (tokens, took_ms) in notes {
-            rate.note(u32::from(tokens) * 40, f64::from(took_ms));
+            rate.record(u32::from(tokens) * 40, f64::from(took_ms));
         }
-        (2.0..=400.0).contains(&rate.tokens_a_ms())
+        (2.0..=400.0).contains(&rate.tokens_per_ms())
     }
     QuickCheck::new().quickcheck(property as fn(Vec<(u16, u16)>) -> bool);
 }
--- a/crates/tinbay-gateway/src/front/handover/actions.rs
+++ b/crates/tinbay-gateway/src/front/handover/actions.rs
@@ -9,7 +9,7 @@
 use hyper::{Method, Request, StatusCode};
 use log::Level;
 use serde::Serialize;
-use tinbay_core::handover::transitions::{MoveAnswer, Place};
+use tinbay_core::handover::transitions::{HandoverAnswer, ResumeServer};
 use tinbay_core::units::Millis;
 use tokio::sync::oneshot;
 
@@ -114,7 +114,7 @@
 
     async fn request_copy(&self) -> MoveAnswer {
         let Some(target) = self.target.borrow().clone() else {
-            return MoveAnswer::NotStopped;
+            return HandoverAnswer::NotStopped;
         };
         self.requested_ms.set(self.node.now_ms());
         self.inbound.handover.set(Some(Handover::Requested));
@@ -144,7 +144,7 @@
         });
         match receiver.await {
             Ok(mut copied) => copied.take(),
-            Err(_) => MoveAnswer::Unknown,
+            Err(_) => HandoverAnswer::Unknown,
         }
     }
 
@@ -156,10 +156,15 @@
         }
     }
 
-    async fn resume_at(&self, at: Place, handle: &str, last_id: u64) -> Resumed<ContinuedAnswer> {
+    async fn resume_at(
+        &self,
+        at: ResumeServer,
+        handle: &str,
+        last_id: u64,
+    ) -> Resumed<ContinuedAnswer> {
         let server = match at {
-            Place::Source => Some(Rc::clone(&self.source)),
-            Place::Target => self.target.borrow().clone(),
+            ResumeServer::Source => Some(Rc::clone(&self.source)),
+            ResumeServer::Target => self.target.borrow().clone(),
         };
         let (Some(server), Some(body)) = (server, self.body.repeat()) else {
             return Resumed::Declined;
@@ -268,7 +273,7 @@
 
     fn resume<'a>(
         &'a self,
-        at: Place,
+        at: ResumeServer,
         handle: &'a str,
         last_id: u64,
     ) -> LocalFuture<'a, Resumed<ContinuedAnswer>> {
@@ -309,19 +314,19 @@
 /// The source's answer to the request to stop and copy a run. If it is dropped before it is taken,
 /// the copy is freed.
 struct CopiedRun {
-    answer: Option<MoveAnswer>,
+    answer: Option<HandoverAnswer>,
     copies: SourceCopies,
 }
 
 impl CopiedRun {
-    fn take(&mut self) -> MoveAnswer {
-        self.answer.take().unwrap_or(MoveAnswer::Unknown)
+    fn take(&mut self) -> HandoverAnswer {
+        self.answer.take().unwrap_or(HandoverAnswer::Unknown)
     }
 }
 
 impl Drop for CopiedRun {
     fn drop(&mut self) {
-        let handle = self.answer.as_ref().and_then(MoveAnswer::handle);
+        let handle = self.answer.as_ref().and_then(HandoverAnswer::handle);
         if let Some(handle) = handle {
             self.copies.free(handle);
         }
@@ -332,14 +337,14 @@
 fn parse_copy_reply(node: &Node, reply: Result<Reply, CallError>) -> MoveAnswer {
     let reply = match reply {
         Ok(reply) => reply,
-        Err(CallError::NotConnected) => return MoveAnswer::NotStopped,
-        Err(CallError::NoAnswer) => return MoveAnswer::Unknown,
+        Err(CallError::NotConnected) => return HandoverAnswer::NotStopped,
+        Err(CallError::NoAnswer) => return HandoverAnswer::Unknown,
     };
     let decoded = node.dialect.decode_move(&reply.body).unwrap_or_default();
     match (StatusCode::from_u16(reply.status), decoded.handle) {
-        (Ok(StatusCode::OK), Some(handle)) => MoveAnswer::Copied { handle },
-        (Ok(StatusCode::SERVICE_UNAVAILABLE), Some(handle)) => MoveAnswer::Kept { handle },
-        _ => MoveAnswer::NotStopped,
+        (Ok(StatusCode::OK), Some(handle)) => HandoverAnswer::Copied { handle },
+        (Ok(StatusCode::SERVICE_UNAVAILABLE), Some(handle)) => HandoverAnswer::Kept { handle },
+        _ => HandoverAnswer::NotStopped,
     }
 }
 
--- a/crates/tinbay-gateway/src/handover/drive.rs
+++ b/crates/tinbay-gateway/src/handover/drive.rs
@@ -4,7 +4,7 @@
 use std::pin::Pin;
 use std::time::Duration;
 
-use tinbay_core::handover::transitions::{self, MoveAnswer, Place, ResumeAnswer, Step};
+use tinbay_core::handover::transitions::{self, HandoverAnswer, ResumeAnswer, ResumeServer, Step};
 
 use super::event_gate::EventGate;
 
@@ -36,12 +36,12 @@
     fn find_target(&self) -> LocalFuture<'_, bool>;
 
     /// Asks the source to stop the run and copy it to the target.
-    fn request_handover(&self) -> LocalFuture<'_, MoveAnswer>;
+    fn request_handover(&self) -> LocalFuture<'_, HandoverAnswer>;
 
     /// Asks a server to resume the run after the event `last_id`.
     fn resume<'a>(
         &'a self,
-        at: Place,
+        at: ResumeServer,
         handle: &'a str,
         last_id: u64,
     ) -> LocalFuture<'a, Resumed<Self::Answer>>;
@@ -58,7 +58,7 @@
     /// The run was stopped and resumed.
     Continued {
         /// Where it was resumed.
-        at: Place,
+        at: ResumeServer,
         /// The answer with the remaining events.
         answer: A,
     },
@@ -93,7 +93,7 @@
         actions,
         handle: answer.handle().map(str::to_string),
     };
-    let mut step = transitions::after_move(answer);
+    let mut step = transitions::after_handover_answer(answer);
     if matches!(step, Step::Resume { .. }) {
         let stream_end = gate.wait_for_stream_end();
         let _ = tokio::time::timeout(MAX_END_WAIT, stream_end).await;
--- a/crates/tinbay-gateway/src/http/pool.rs
+++ b/crates/tinbay-gateway/src/http/pool.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use hyper::client::conn::http1::SendRequest;
-use tinbay_core::serving::idle_reuse::LEAST_MS;
+use tinbay_core::serving::idle_reuse::MIN_IDLE_LIMIT_MS;
 use tinbay_core::serving::servers::ServerKey;
 use tinbay_core::units::Millis;
 use tokio::task::AbortHandle;
@@ -146,7 +146,7 @@
         let now_ms = self.clock.now_ms();
         let idle = self.idle.borrow();
         idle.last()
-            .is_some_and(|last| last.since_ms + LEAST_MS < now_ms)
+            .is_some_and(|last| last.since_ms + MIN_IDLE_LIMIT_MS < now_ms)
     }
 
     /// Whether a connection may carry a request that must not run twice.
--- a/crates/tinbay-gateway/src/node.rs
+++ b/crates/tinbay-gateway/src/node.rs
@@ -17,7 +17,7 @@
 use tinbay_core::serving::prefill::PrefillRate;
 use tinbay_core::serving::routes::RouteTable;
 use tinbay_core::serving::servers::{Fingerprint, ServerKey};
-use tinbay_core::serving::versions::NamedVersions;
+use tinbay_core::serving::versions::PublishedVersions;
 use tinbay_core::serving::wanted_loads::WantedLoad;
 use tinbay_core::sharing::weights::AccountWeights;
 use tinbay_core::units::Millis;
@@ -163,7 +163,7 @@
     /// The configuration in force.
     pub in_force: RefCell<Option<Rc<InForce>>>,
     /// Named versions of adapters, by `model/name`.
-    pub versions: RefCell<HashMap<String, NamedVersions>>,
+    pub versions: RefCell<HashMap<String, PublishedVersions>>,
     /// Known backend servers.
     pub servers: RefCell<ServerTable>,
     /// Known boxes, with their liveness.
@@ -372,7 +372,7 @@
             let is_first = claims.era().is_none();
             claims.begin_era(era, proof_end_ms, self.now_ms());
             if is_first && self.settings.borrow().is_first_start {
-                claims.note_settled(era);
+                claims.record_settled(era);
             }
         }
     }
@@ -394,7 +394,7 @@
     pub fn note_claim(&self, address: &str, item: &Item) {
         self.sync_era();
         let mut claims = self.claims.borrow_mut();
-        claims.note(address, &item.value, item.position, self.now_ms());
+        claims.record(address, &item.value, item.position, self.now_ms());
     }
 
     /// Timing rules for holding and taking over claims.
@@ -595,7 +595,7 @@
     pub fn note_prefill(&self, inbound: &InboundRequest, backlog_ms: f64, took_ms: Millis) {
         let mut rates = self.prefill_rates.borrow_mut();
         let rate = rates.entry(inbound.service.clone()).or_default();
-        rate.note_answer(inbound.prompt.tokens, backlog_ms, took_ms as f64);
+        rate.record_answer(inbound.prompt.tokens, backlog_ms, took_ms as f64);
     }
 
     /// Expected prefill time of `tokens` prompt tokens on an engine of a service.
--- a/crates/tinbay-gateway/src/orders/held_server.rs
+++ b/crates/tinbay-gateway/src/orders/held_server.rs
@@ -88,14 +88,14 @@
     /// while.
     pub fn record_unresponsive(&self, now_ms: Millis) {
         let mut subscribers = self.subscribers.borrow_mut();
-        subscribers.note_failures(UNRESPONSIVE_PENALTY, now_ms);
+        subscribers.record_failures(UNRESPONSIVE_PENALTY, now_ms);
     }
 
     /// Records that the server accepted no connection. This raises its failure penalty to the upper
     /// bound, so that boxes prefer other servers for a while.
     pub fn record_unreachable(&self, now_ms: Millis) {
         let mut subscribers = self.subscribers.borrow_mut();
-        subscribers.note_failures(MAX_FAILURE_PENALTY, now_ms);
+        subscribers.record_failures(MAX_FAILURE_PENALTY, now_ms);
     }
 
     /// Records that a box asked for the server's status.
@@ -111,7 +111,7 @@
         if wanted_load.is_copy {
             subscribers.hear(box_id, now_ms);
         } else {
-            subscribers.note_wait(box_id, key as Fingerprint, now_ms);
+            subscribers.record_wait(box_id, key as Fingerprint, now_ms);
         }
         let mut contents = self.contents.borrow_mut();
         if contents.holding(key, wanted_load.version) == Holding::Current {
@@ -137,11 +137,11 @@
         let begun = report.uses.iter().map(|of| usize::from(of.begun)).sum();
         let mut admission = self.admission.borrow_mut();
         admission.note_begun(box_fingerprint(box_id), begun, now_ms);
-        subscribers.note_failures(report.failure_penalty, now_ms);
+        subscribers.record_failures(report.failure_penalty, now_ms);
         if let Some(delay) = report.delay {
-            subscribers.note_delay(delay, now_ms);
+            subscribers.record_delay(delay, now_ms);
         }
-        subscribers.note_uses(box_id, report.uses, now_ms);
+        subscribers.record_uses(box_id, report.uses, now_ms);
     }
 
     /// Whether load requests are pending.
@@ -158,7 +158,7 @@
     /// Boxes affected by a change of the server's contents.
     pub fn affected_boxes(&self, change: &ContentsChange, now_ms: Millis) -> Vec<String> {
         let subscribers = self.subscribers.borrow();
-        let boxes = subscribers.concerned(change, now_ms);
+        let boxes = subscribers.boxes_affected_by(change, now_ms);
         boxes.map(str::to_string).collect()
     }
 
@@ -201,7 +201,7 @@
             .map(|(key, held)| adapter_part(*key, held, self.copies(*key, slots, now_ms)))
             .collect();
         let mut subscribers = self.subscribers.borrow_mut();
-        subscribers.note_told(box_id, now_ms);
+        subscribers.record_status_sent(box_id, now_ms);
         let running = subscribers.running_of_others(box_id, now_ms);
         Some(StatusPart {
             limit: notices::of_server(node, &server),
--- a/crates/tinbay-gateway/src/orders/holder.rs
+++ b/crates/tinbay-gateway/src/orders/holder.rs
@@ -219,7 +219,7 @@
         } else {
             PENDING_LOAD_PAUSE_MS
         };
-        let next_check_ms = self.held.contents.borrow().next_look_ms();
+        let next_check_ms = self.held.contents.borrow().next_action_ms();
         let pause_ms =
             next_check_ms.map_or(max_ms, |next_check_ms| next_check_ms.saturating_sub(now_ms));
         let pause = Duration::from_millis(pause_ms.clamp(1, max_ms));
@@ -239,7 +239,7 @@
         self.held
             .contents
             .borrow_mut()
-            .note_report(&report, self.node.now_ms());
+            .record_report(&report, self.node.now_ms());
         self.publish(if is_first_report {
             Recipients::Users
         } else {
@@ -264,7 +264,7 @@
         let report = self.fetch_report().await;
         let done = {
             let mut contents = self.held.contents.borrow_mut();
-            contents.note_poll(report.as_ref(), self.node.now_ms())
+            contents.record_poll(report.as_ref(), self.node.now_ms())
         };
         let mut wanted_loads = self.held.wanted_loads.borrow_mut();
         for key in done {
@@ -364,7 +364,7 @@
         let answer = self.send_until_answered(action, &order, token).await;
         let now_ms = self.node.now_ms();
         let mut contents = self.held.contents.borrow_mut();
-        contents.note_answer(action, answer, now_ms);
+        contents.record_answer(action, answer, now_ms);
         drop(contents);
         if let (OrderAction::Load { .. }, OrderAnswer::Done) = (&order.action, answer) {
             let mut wanted_loads = self.held.wanted_loads.borrow_mut();
@@ -390,7 +390,7 @@
             answer = self.send_copies(order).await;
         }
         let mut contents = self.held.contents.borrow_mut();
-        contents.settle(action, answer, unanswered, self.node.now_ms())
+        contents.resolve_answer(action, answer, unanswered, self.node.now_ms())
     }
 
     /// Sends an order several times in parallel and returns the first conclusive answer.
--- a/crates/tinbay-gateway/tests/handover_test.rs
+++ b/crates/tinbay-gateway/tests/handover_test.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 
 use bytes::Bytes;
-use tinbay_core::handover::transitions::{MoveAnswer, Place};
+use tinbay_core::handover::transitions::{HandoverAnswer, ResumeServer};
 use tinbay_gateway::handover::drive::{HandoverActions, LocalFuture, Outcome, Resumed, drive};
 use tinbay_gateway::handover::event_gate::EventGate;
 use tokio::sync::Notify;
@@ -28,13 +28,13 @@
 }
 
 impl HandoverActions for FakeServers {
-    type Answer = Place;
+    type Answer = ResumeServer;
 
     fn find_target(&self) -> LocalFuture<'_, bool> {
         Box::pin(async { self.has_target })
     }
 
-    fn request_handover(&self) -> LocalFuture<'_, MoveAnswer> {
+    fn request_handover(&self) -> LocalFuture<'_, HandoverAnswer> {
         Box::pin(async {
             self.is_handover_requested.set(true);
             self.handover_answer.take().unwrap_or(MoveAnswer::Unknown)
@@ -43,10 +43,10 @@
 
     fn resume<'a>(
         &'a self,
-        at: Place,
+        at: ResumeServer,
         _handle: &'a str,
         last_id: u64,
-    ) -> LocalFuture<'a, Resumed<Place>> {
+    ) -> LocalFuture<'a, Resumed<ResumeServer>> {
         Box::pin(async move {
             self.resume_calls.borrow_mut().push((at, last_id));
             if self.delays_answer {
@@ -69,9 +69,9 @@
     }
 }
 
-fn copied() -> RefCell<Option<MoveAnswer>> {
+fn copied() -> RefCell<Option<HandoverAnswer>> {
     let handle = "h1".to_string();
-    RefCell::new(Some(MoveAnswer::Copied { handle }))
+    RefCell::new(Some(HandoverAnswer::Copied { handle }))
 }
 
 /// Returns a gate that has received one event and half of another.
