--- a/crates/tinbay-gateway/src/front/answer_timing.rs
+++ b/crates/tinbay-gateway/src/front/answer_timing.rs
@@ -68,7 +68,7 @@
         let stream_timing = inbound.stream_timing.get();
         let stream = Some(stream_timing).filter(|stream_timing| stream_timing.pieces() > 1);
         let objective = AnswerObjective::of_route(&inbound.route);
-        let times = AnswerTimes::of_sight(&stream_timing, inbound.arrived_ms, ended_ms);
+        let times = AnswerTimes::from_timing(&stream_timing, inbound.arrived_ms, ended_ms);
         let judged = (end == AnswerEnd::Served).then(|| Lateness::judge(&times, &objective));
         let is_cut = end == AnswerEnd::Cut;
         Self {
--- a/crates/tinbay-gateway/src/front/deliver.rs
+++ b/crates/tinbay-gateway/src/front/deliver.rs
@@ -66,7 +66,7 @@
 
 impl AttemptHistory {
     fn record(&mut self, server: &Server, end: AttemptEnd) {
-        self.ends.note(end);
+        self.ends.record(end);
         self.tried.push(server.record().id.clone());
         if end == AttemptEnd::Unknown {
             self.runs += 1;
--- a/crates/tinbay-gateway/src/front/handover/actions.rs
+++ b/crates/tinbay-gateway/src/front/handover/actions.rs
@@ -112,7 +112,7 @@
         false
     }
 
-    async fn request_copy(&self) -> MoveAnswer {
+    async fn request_copy(&self) -> HandoverAnswer {
         let Some(target) = self.target.borrow().clone() else {
             return HandoverAnswer::NotStopped;
         };
@@ -222,8 +222,8 @@
         let handover = match outcome {
             Outcome::Stayed => Handover::Stayed,
             Outcome::Continued { at, .. } => match at {
-                Place::Target => Handover::Moved,
-                Place::Source => Handover::TakenBack,
+                ResumeServer::Target => Handover::Moved,
+                ResumeServer::Source => Handover::TakenBack,
             },
             Outcome::Lost => Handover::Lost,
         };
@@ -267,7 +267,7 @@
         Box::pin(self.search())
     }
 
-    fn request_handover(&self) -> LocalFuture<'_, MoveAnswer> {
+    fn request_handover(&self) -> LocalFuture<'_, HandoverAnswer> {
         Box::pin(self.request_copy())
     }
 
@@ -334,7 +334,7 @@
 }
 
 /// Interprets the source's reply to the request to stop and copy a run.
-fn parse_copy_reply(node: &Node, reply: Result<Reply, CallError>) -> MoveAnswer {
+fn parse_copy_reply(node: &Node, reply: Result<Reply, CallError>) -> HandoverAnswer {
     let reply = match reply {
         Ok(reply) => reply,
         Err(CallError::NotConnected) => return HandoverAnswer::NotStopped,
--- a/crates/tinbay-gateway/src/front/handover/mod.rs
+++ b/crates/tinbay-gateway/src/front/handover/mod.rs
@@ -117,7 +117,7 @@
     let engines = node
         .splits
         .engine_count(&node.servers, service, node.now_ms());
-    has_places_for_two(engine.adapters(), engines, engine.adapter_slots)
+    has_slots_for_two_copies(engine.adapters(), engines, engine.adapter_slots)
 }
 
 #[derive(Serialize)]
--- a/crates/tinbay-gateway/src/front/inbound.rs
+++ b/crates/tinbay-gateway/src/front/inbound.rs
@@ -169,7 +169,7 @@
             .map_or(DEFAULT_DEADLINE_MS, |value| value as Millis);
         let model = text(&parts.headers, &names.model).map(str::to_string);
         let time_up_ms = arrived_ms + deadline_ms.min(route.timeout_ms);
-        let first_chunk_by_ms = match route.stream_patience_ms() {
+        let first_chunk_by_ms = match route.first_piece_timeout_ms() {
             Some(patience_ms) => time_up_ms.min(arrived_ms + patience_ms),
             None => time_up_ms,
         };
--- a/crates/tinbay-gateway/src/http/relay.rs
+++ b/crates/tinbay-gateway/src/http/relay.rs
@@ -39,12 +39,12 @@
 
     /// Records that a frame arrived from the server.
     pub fn record_frame(&mut self, now_ms: Millis) {
-        self.timing.note_piece(now_ms);
+        self.timing.record_piece(now_ms);
     }
 
     /// Records that the caller's side polled for the next frame.
     pub fn record_poll(&mut self, now_ms: Millis) {
-        self.timing.note_asked(now_ms);
+        self.timing.record_read_start(now_ms);
     }
 
     /// Calls the observer, unless it has been called already.
--- a/crates/tinbay-gateway/src/http/reuse.rs
+++ b/crates/tinbay-gateway/src/http/reuse.rs
@@ -75,7 +75,7 @@
             rested_ms,
             end,
         };
-        let is_reduced = self.limit.borrow_mut().note(&reuse, self.clock.now_ms());
+        let is_reduced = self.limit.borrow_mut().record(&reuse, self.clock.now_ms());
         if is_reduced {
             let event = LimitReducedEvent {
                 service: &self.service,
@@ -111,7 +111,7 @@
         runs_once: bool,
         last_silent_ms: &Rc<Cell<Millis>>,
     ) -> Self {
-        let is_at_risk = runs_once && ledger.limit.borrow_mut().note_at_risk(rested_ms);
+        let is_at_risk = runs_once && ledger.limit.borrow_mut().record_at_risk(rested_ms);
         Self {
             ledger: Rc::clone(ledger),
             server,
--- a/crates/tinbay-gateway/src/orders/era_mark.rs
+++ b/crates/tinbay-gateway/src/orders/era_mark.rs
@@ -27,7 +27,7 @@
 /// Applies the marker read from the store; an unreadable one is ignored.
 pub fn apply(node: &Node, item: &Item) {
     if let Ok(mark) = serde_json::from_slice::<Mark>(&item.value) {
-        node.claims.borrow_mut().note_settled(mark.era);
+        node.claims.borrow_mut().record_settled(mark.era);
         mark_replica_complete(node);
     }
 }
--- a/crates/tinbay-gateway/src/orders/held_server.rs
+++ b/crates/tinbay-gateway/src/orders/held_server.rs
@@ -100,7 +100,7 @@
 
     /// Records that a box asked for the server's status.
     pub fn record_status_request(&self, box_id: &str, now_ms: Millis) {
-        self.subscribers.borrow_mut().hear(box_id, now_ms);
+        self.subscribers.borrow_mut().record_message(box_id, now_ms);
     }
 
     /// Records the adapter that a box's request needs. An adapter that is loaded already is
@@ -109,16 +109,16 @@
         let key = adapter_key(&wanted_load.adapter);
         let mut subscribers = self.subscribers.borrow_mut();
         if wanted_load.is_copy {
-            subscribers.hear(box_id, now_ms);
+            subscribers.record_message(box_id, now_ms);
         } else {
             subscribers.record_wait(box_id, key as Fingerprint, now_ms);
         }
         let mut contents = self.contents.borrow_mut();
         if contents.holding(key, wanted_load.version) == Holding::Current {
-            contents.note_uses(key, 0, now_ms);
+            contents.record_uses(key, 0, now_ms);
             return;
         }
-        self.wanted_loads.borrow_mut().ask(wanted_load, now_ms);
+        self.wanted_loads.borrow_mut().add(wanted_load, now_ms);
     }
 
     /// Records the requests that a box has running at the server.
@@ -129,10 +129,10 @@
         let mut spreads = self.spreads.borrow_mut();
         let service = &server.record().service;
         for adapter_use in report.uses.iter().filter(|of| of.begun > 0) {
-            contents.note_uses_of(adapter_use.adapter, u32::from(adapter_use.begun), now_ms);
+            contents.record_uses_of(adapter_use.adapter, u32::from(adapter_use.begun), now_ms);
             let prefill_ms = node.prefill_ms(service, adapter_use.begun_tokens);
-            subscribers.note_begun(prefill_ms, now_ms);
-            spreads.note_begun(adapter_use.adapter, prefill_ms, now_ms);
+            subscribers.record_started(prefill_ms, now_ms);
+            spreads.record_started(adapter_use.adapter, prefill_ms, now_ms);
         }
         let begun = report.uses.iter().map(|of| usize::from(of.begun)).sum();
         let mut admission = self.admission.borrow_mut();
--- a/crates/tinbay-gateway/src/orders/holder.rs
+++ b/crates/tinbay-gateway/src/orders/holder.rs
@@ -200,7 +200,7 @@
 
     fn next_action(&self, wanted_loads: &[WantedLoad], now_ms: Millis) -> Option<Action> {
         let context = OrderContext {
-            named: &|adapter: &str| self.node.named_version(adapter),
+            published_version: &|adapter: &str| self.node.named_version(adapter),
             is_in_use: &|key| self.held.is_in_use(&self.server, key, now_ms),
             now_ms,
         };
@@ -563,7 +563,7 @@
         let now_ms = self.node.now_ms();
         let change = self.server.view.borrow_mut().apply_status(status, now_ms);
         self.node.waiters.wake(&change.ready);
-        if change.has_lost || recipients == Recipients::Users {
+        if change.has_lost_adapter || recipients == Recipients::Users {
             self.server.status_received.notify_waiters();
         }
         let boxes = match recipients {
--- a/crates/tinbay-gateway/src/servers/server.rs
+++ b/crates/tinbay-gateway/src/servers/server.rs
@@ -167,7 +167,7 @@
     }
 
     fn set_slow_phase(&self, slow_for_ms: Millis) {
-        let slow_for_ms = slow_for_ms.min(MOST_SLOW_START_MS);
+        let slow_for_ms = slow_for_ms.min(MAX_SLOW_START_MS);
         self.slow_until_ms.set(self.clock.now_ms() + slow_for_ms);
     }
 
--- a/crates/tinbay-gateway/tests/handover_test.rs
+++ b/crates/tinbay-gateway/tests/handover_test.rs
@@ -13,13 +13,13 @@
 #[derive(Default)]
 struct FakeServers {
     has_target: bool,
-    handover_answer: RefCell<Option<MoveAnswer>>,
+    handover_answer: RefCell<Option<HandoverAnswer>>,
     target_accepts: bool,
     source_accepts: bool,
     loses_answers: bool,
     is_handover_requested: Cell<bool>,
     /// Calls to resume the run, each with the id of the last event received.
-    resume_calls: RefCell<Vec<(Place, u64)>>,
+    resume_calls: RefCell<Vec<(ResumeServer, u64)>>,
     /// Handles of the copies that were freed.
     freed: RefCell<Vec<String>>,
     /// Whether answers to resume calls wait for `answer_released`.
@@ -37,7 +37,9 @@
     fn request_handover(&self) -> LocalFuture<'_, HandoverAnswer> {
         Box::pin(async {
             self.is_handover_requested.set(true);
-            self.handover_answer.take().unwrap_or(MoveAnswer::Unknown)
+            self.handover_answer
+                .take()
+                .unwrap_or(HandoverAnswer::Unknown)
         })
     }
 
@@ -53,8 +55,8 @@
                 self.answer_released.notified().await;
             }
             let accepts = match at {
-                Place::Target => self.target_accepts,
-                Place::Source => self.source_accepts,
+                ResumeServer::Target => self.target_accepts,
+                ResumeServer::Source => self.source_accepts,
             };
             match (accepts, self.loses_answers) {
                 (_, true) => Resumed::Unknown,
@@ -82,7 +84,7 @@
     gate
 }
 
-async fn run(servers: &FakeServers, gate: &EventGate) -> Outcome<Place> {
+async fn run(servers: &FakeServers, gate: &EventGate) -> Outcome<ResumeServer> {
     let ending_source_stream = async {
         while !servers.is_handover_requested.get() {
             tokio::task::yield_now().await;
@@ -104,9 +106,9 @@
         ..FakeServers::default()
     };
     let outcome = run(&servers, &gate).await;
-    let at = Place::Target;
+    let at = ResumeServer::Target;
     assert_eq!(outcome, Outcome::Continued { at, answer: at });
-    assert_eq!(*servers.resume_calls.borrow(), [(Place::Target, 1)]);
+    assert_eq!(*servers.resume_calls.borrow(), [(ResumeServer::Target, 1)]);
     assert!(servers.freed.borrow().is_empty());
     let next = gate.pass(Bytes::from_static(b"id: 2\ndata: b\n\n"));
     assert_eq!(&next[..], b"id: 2\ndata: b\n\n");
@@ -122,9 +124,9 @@
         ..FakeServers::default()
     };
     let outcome = run(&servers, &gate).await;
-    let at = Place::Source;
+    let at = ResumeServer::Source;
     assert_eq!(outcome, Outcome::Continued { at, answer: at });
-    let expected = [(Place::Target, 1), (Place::Source, 1)];
+    let expected = [(ResumeServer::Target, 1), (ResumeServer::Source, 1)];
     assert_eq!(*servers.resume_calls.borrow(), expected);
 }
 
@@ -152,7 +154,7 @@
         ..FakeServers::default()
     };
     assert_eq!(run(&servers, &gate).await, Outcome::Lost);
-    assert_eq!(*servers.resume_calls.borrow(), [(Place::Target, 1)]);
+    assert_eq!(*servers.resume_calls.borrow(), [(ResumeServer::Target, 1)]);
 }
 
 #[tokio::test(flavor = "current_thread")]
@@ -169,7 +171,7 @@
     let gate = gate_amid_event();
     let servers = FakeServers {
         has_target: true,
-        handover_answer: RefCell::new(Some(MoveAnswer::NotStopped)),
+        handover_answer: RefCell::new(Some(HandoverAnswer::NotStopped)),
         ..FakeServers::default()
     };
     assert_eq!(drive(&servers, &gate).await, Outcome::Stayed);
--- a/crates/tinbay-gateway/tests/server_view_test.rs
+++ b/crates/tinbay-gateway/tests/server_view_test.rs
@@ -34,12 +34,12 @@
     let loading = entry(1, HeldState::Loading);
     let ready = entry(1, HeldState::Ready);
     let first = view.apply_status(status(&[(4, ready), (5, loading)]), 0);
-    assert_eq!((first.ready, first.has_lost), (vec![4], false));
+    assert_eq!((first.ready, first.has_lost_adapter), (vec![4], false));
     let second = view.apply_status(status(&[(4, ready), (5, ready)]), 10);
-    assert_eq!((second.ready, second.has_lost), (vec![5], false));
+    assert_eq!((second.ready, second.has_lost_adapter), (vec![5], false));
     let newer = entry(2, HeldState::Ready);
     let third = view.apply_status(status(&[(4, newer), (5, ready)]), 20);
-    assert_eq!((third.ready, third.has_lost), (vec![4], true));
+    assert_eq!((third.ready, third.has_lost_adapter), (vec![4], true));
 }
 
 #[test]
@@ -51,13 +51,13 @@
     assert!(
         !view
             .apply_status(status(&[(4, ready), (5, ready)]), 10)
-            .has_lost
+            .has_lost_adapter
     );
     assert!(
         view.apply_status(status(&[(4, loading), (5, ready)]), 20)
-            .has_lost
+            .has_lost_adapter
     );
-    assert!(view.apply_status(status(&[]), 30).has_lost);
+    assert!(view.apply_status(status(&[]), 30).has_lost_adapter);
 }
 
 #[test]
