--- a/crates/tinbay-gateway/src/node.rs
+++ b/crates/tinbay-gateway/src/node.rs
@@ -145,7 +145,7 @@
     /// The key-value store.
     pub store: StoreAccess,
     /// Whether this box has asked other boxes, since it started, for items missing from the store.
-    pub has_asked_others: Cell<bool>,
+    pub has_asked_for_missing_items: Cell<bool>,
     /// Items written by operators that the store lost when it was restored from a backup, by key.
     pub kept_items: RefCell<HashMap<String, Item>>,
     /// Local copy of the store, as last seen, which is also passed on to other boxes.
@@ -230,7 +230,7 @@
             settings: RefCell::new(settings),
             dialect,
             store: StoreAccess::new(store, clock),
-            has_asked_others: Cell::default(),
+            has_asked_for_missing_items: Cell::default(),
             kept_items: RefCell::default(),
             replica: Replica::default(),
             failed_relays: RefCell::default(),
--- a/crates/tinbay-gateway/src/run.rs
+++ b/crates/tinbay-gateway/src/run.rs
@@ -183,7 +183,10 @@
     let configuration = Rc::new(ConfigurationFollower::new(Rc::clone(node)));
     let servers = Rc::new(ServerFollower::new(Rc::clone(node)));
     let boxes = Rc::new(BoxFollower::new(Rc::clone(node)));
-    tokio::task::spawn_local(newcomer::learn(Rc::clone(node), Rc::clone(&configuration)));
+    tokio::task::spawn_local(newcomer::request_missing_items(
+        Rc::clone(node),
+        Rc::clone(&configuration),
+    ));
     tokio::task::spawn_local(follow(Rc::clone(node), configuration, CONFIGURATION_PACE));
     tokio::task::spawn_local(follow(Rc::clone(node), servers, SERVER_PACE));
     tokio::task::spawn_local(follow(Rc::clone(node), boxes, BOX_PACE));
--- a/crates/tinbay-gateway/src/watch/access.rs
+++ b/crates/tinbay-gateway/src/watch/access.rs
@@ -1,4 +1,5 @@
-//! Wraps all calls to the store and tracks its era, which changes with each restore from a backup.
+//! Wraps all calls to the store and tracks its era, a number that rises with each restore of the
+//! store from a backup.
 //!
 //! Each answer names the era in which it was given, so the first answer of any kind reveals a
 //! restore. An answer from an earlier era is late and is dropped. Calls that depend on positions or
@@ -38,10 +39,10 @@
     inner: Box<dyn Store>,
     clock: Clock,
     era: Cell<Option<Era>>,
-    /// Whether the era was learned from another box and not yet confirmed by the store.
-    is_told: Cell<bool>,
+    /// Whether the era was reported by another box and not yet confirmed by the store.
+    is_era_unconfirmed: Cell<bool>,
     /// Whether a successful answer that named no era was accepted.
-    was_unnamed: Cell<bool>,
+    has_unnamed_answer: Cell<bool>,
     last_restore: Cell<Option<StoreRestore>>,
     /// Restores that have not been handled yet, oldest first.
     unhandled: RefCell<Vec<StoreRestore>>,
@@ -56,8 +57,8 @@
             inner,
             clock,
             era: Cell::default(),
-            is_told: Cell::default(),
-            was_unnamed: Cell::default(),
+            is_era_unconfirmed: Cell::default(),
+            has_unnamed_answer: Cell::default(),
             last_restore: Cell::default(),
             unhandled: RefCell::default(),
             restored: Notify::new(),
@@ -84,9 +85,9 @@
         (!unhandled.is_empty()).then(|| unhandled.remove(0))
     }
 
-    /// Whether an era reported by another box is the present one. A later era is checked with the
-    /// cheapest read of the store; if the store does not answer, the reported era is assumed until
-    /// the store names another one.
+    /// Whether an era reported by another box is the present one. An era later than the known one
+    /// is checked with the cheapest read of the store; if the store does not answer, the reported
+    /// era is assumed until the store names another one.
     pub async fn confirm_told(&self, era: Era) -> bool {
         if self.is_present(era) {
             return true;
@@ -97,21 +98,22 @@
         }
         let probed = self.list(ERA_PROBE_KEY, true).await;
         if probed == Err(StoreError::NoAnswer) && self.era.get().unwrap_or_default() == known {
-            self.note_restore(known, era);
+            self.record_restore(known, era);
             self.era.set(Some(era));
-            self.is_told.set(true);
+            self.is_era_unconfirmed.set(true);
         }
         self.is_present(era)
     }
 
     /// Records the era named in an answer of the store. Returns false if that era is already over.
-    fn note_era(&self, era: Era) -> bool {
-        let is_told = self.is_told.replace(false);
+    fn record_era(&self, era: Era) -> bool {
+        let was_unconfirmed = self.is_era_unconfirmed.replace(false);
         match self.known_era() {
-            // Either the other box was wrong, or this answer is late: the next answer decides.
-            Some(known) if era < known && is_told => self.note_restore(known, era),
+            // Either the box that reported the later era was wrong, or this answer is late. The
+            // earlier era is assumed; the next answer corrects it if needed.
+            Some(known) if era < known && was_unconfirmed => self.record_restore(known, era),
             Some(known) if era < known => return false,
-            Some(known) if era > known => self.note_restore(known, era),
+            Some(known) if era > known => self.record_restore(known, era),
             _ => {}
         }
         self.era.set(Some(era));
@@ -120,11 +122,11 @@
 
     /// The last known era: the lowest one if the answers so far named none.
     fn known_era(&self) -> Option<Era> {
-        let unnamed = self.was_unnamed.get().then(Era::default);
+        let unnamed = self.has_unnamed_answer.get().then(Era::default);
         self.era.get().or(unnamed)
     }
 
-    fn note_restore(&self, from: Era, to: Era) {
+    fn record_restore(&self, from: Era, to: Era) {
         let seen = StoreRestore {
             from,
             to,
@@ -226,7 +228,7 @@
     fn check_era<T>(&self, answered: Answered<T>) -> StoreResult<T> {
         match (answered.era, answered.result) {
             (Some(era), result) => {
-                if !self.note_era(era) {
+                if !self.record_era(era) {
                     return Err(StoreError::LateAnswer { era });
                 }
                 result
@@ -235,8 +237,8 @@
                 reason: "the era is missing".into(),
             }),
             (None, result) => {
-                self.was_unnamed
-                    .set(self.was_unnamed.get() || result.is_ok());
+                self.has_unnamed_answer
+                    .set(self.has_unnamed_answer.get() || result.is_ok());
                 result
             }
         }
--- a/crates/tinbay-gateway/src/watch/boxes.rs
+++ b/crates/tinbay-gateway/src/watch/boxes.rs
@@ -1,5 +1,5 @@
 //! Follows what boxes write to the store: their own entries, their claims on servers, and the
-//! requests that are refused.
+//! requests that are quarantined because servers crash under them.
 
 use std::collections::HashSet;
 use std::rc::Rc;
@@ -26,7 +26,7 @@
 /// Prefix of claims on servers, which are not bound to a lease.
 pub const CLAIM_PREFIX: &str = "tinbay/claims/";
 
-/// Applies the entries, claims and refused requests that boxes write to the state of this box.
+/// Applies the entries, claims and quarantined requests that boxes write to the state of this box.
 pub struct BoxFollower {
     node: Rc<Node>,
 }
@@ -81,7 +81,8 @@
             .put(id, record, self.node.now_ms());
     }
 
-    /// Counts and logs an entry that can't be decoded. The last known record of the box stays in use.
+    /// Counts and logs an entry that can't be decoded. The last known record of the box stays in
+    /// use.
     fn report_unreadable(&self, item: &Item, error: &serde_json::Error) {
         let unreadable = &self.node.metrics.unreadable;
         unreadable.with_label_values(&["box_entry"]).inc();
@@ -126,7 +127,7 @@
             .iter()
             .filter_map(|item| item.key.strip_prefix(MEMBER_PREFIX))
             .collect();
-        let gone: Vec<String> = {
+        let missing: Vec<String> = {
             let members = self.node.members.borrow();
             members
                 .all()
@@ -136,10 +137,10 @@
         };
         if self.node.store.is_being_rewritten() {
             // The restore dropped their leases; boxes that are alive write their entries again.
-            let waiting = remove_if_still_missing(Rc::clone(&self.node), gone);
+            let waiting = remove_if_still_missing(Rc::clone(&self.node), missing);
             tokio::task::spawn_local(waiting);
         } else {
-            for id in gone {
+            for id in missing {
                 remove_member(&self.node, &id, 0);
             }
         }
--- a/crates/tinbay-gateway/src/watch/configuration.rs
+++ b/crates/tinbay-gateway/src/watch/configuration.rs
@@ -1,4 +1,4 @@
-//! Follows the operators' configuration and the adapter versions that they name.
+//! Follows the operators' configuration and the adapter versions that operators name in the store.
 
 use std::cell::Cell;
 use std::collections::HashMap;
@@ -18,8 +18,8 @@
 /// Applies the configuration and the adapter versions that operators write.
 pub struct ConfigurationFollower {
     node: Rc<Node>,
-    /// Era of the last configuration change that this box has watched.
-    written_in: Cell<Option<Era>>,
+    /// Era of the last configuration change that this box has received by a watch.
+    last_change_era: Cell<Option<Era>>,
 }
 
 #[derive(Serialize)]
@@ -53,7 +53,7 @@
     pub fn new(node: Rc<Node>) -> Self {
         Self {
             node,
-            written_in: Cell::default(),
+            last_change_era: Cell::default(),
         }
     }
 
@@ -68,7 +68,8 @@
         }
     }
 
-    /// After a restore of the store, keeps the items of which it holds no version or an older one.
+    /// After a restore of the store, keeps the known items that the store lacks or holds in an
+    /// older version.
     fn keep_items_missing_from(&self, listing: &Listing) {
         let Some(before) = self.node.replica.listing(self.prefix()) else {
             return;
@@ -125,20 +126,20 @@
         named.ok().map(|named| named.version)
     }
 
-    /// Whether the operators can be assumed to have rewritten what a restore of the store lost: some
-    /// seconds after the restore, or as soon as a configuration change is watched in the new era.
-    /// A version written while no box read the store is known to no other box. Without this check, a
-    /// key of a client account that such a version had removed was accepted for 5.02 s, where 5.0 s
-    /// are allowed.
+    /// Whether the operators can be assumed to have rewritten what a restore of the store lost:
+    /// some seconds after the restore, or as soon as a configuration change is watched in the new
+    /// era. No box knows a version that was written and lost while none could read the store:
+    /// without this check, a key of a client account that it removed would be accepted for too
+    /// long.
     fn is_rewritten(&self) -> bool {
         let Some(era) = self.node.unsettled_era() else {
             return true;
         };
-        if self.written_in.get() == Some(era) {
+        if self.last_change_era.get() == Some(era) {
             return true;
         }
         let is_over = self.node.era_age_ms() >= REWRITTEN_WITHIN_MS;
-        is_over && self.node.has_asked_others.get()
+        is_over && self.node.has_asked_for_missing_items.get()
     }
 
     fn apply_configuration(&self, item: &Item) {
@@ -222,7 +223,7 @@
     fn apply(&self, change: &Change) {
         if let Change::Put(item) = change {
             if item.key == self.node.dialect.keys().configuration {
-                self.written_in.set(Some(item.position.era));
+                self.last_change_era.set(Some(item.position.era));
             }
             self.apply_item(item);
         }
--- a/crates/tinbay-gateway/src/watch/mod.rs
+++ b/crates/tinbay-gateway/src/watch/mod.rs
@@ -22,26 +22,27 @@
 use crate::node::Node;
 use crate::port::store::{Change, Item, Listing, StoreError};
 
-/// First pause after a failed call.
-const FIRST_PAUSE_MS: Millis = 100;
+/// Pause after the first failed call; it doubles with each further failure.
+const FIRST_RETRY_PAUSE_MS: Millis = 100;
 
-/// Longest pause after failed calls; bounds the time to notice that the store answers again.
-const LONGEST_PAUSE_MS: Millis = 800;
+/// Upper bound of the pause after failed calls, and so of the time to notice that the store answers
+/// again.
+const MAX_RETRY_PAUSE_MS: Millis = 800;
 
 /// Pause before the first watch of a box that knows no other box. When all boxes of a fleet start
-/// for the first time, none has an entry in the store yet, and each one would watch the store
-/// itself: 195 boxes made 900 calls in their first four seconds.
-const ALONE_PAUSE_MS: Millis = 600;
+/// for the first time, none has an entry in the store yet: no box could find a relay, and each
+/// would watch the store itself.
+const NO_OTHER_BOX_PAUSE_MS: Millis = 600;
 
 /// Time per box of the fleet over which listings are spread after a restore of the store.
 const LISTING_SPREAD_PER_BOX_MS: Millis = 1;
 
-/// Longest time over which listings are spread: a configuration must be in force within 5 s after
-/// it is written again.
-const MOST_LISTING_SPREAD_MS: Millis = 2_000;
+/// Upper bound of the time over which listings are spread: a configuration must be in force within
+/// 5 s after it is written again.
+const MAX_LISTING_SPREAD_MS: Millis = 2_000;
 
-/// Pause after changes that a relay passed on, so that one call returns several changes.
-const RELAY_GAP_MS: Millis = 40;
+/// Pause after a relay has returned changes, so that the next call returns several at once.
+const RELAY_WATCH_GAP_MS: Millis = 40;
 
 /// Applies what the store holds under one prefix.
 pub trait Follower {
@@ -54,30 +55,31 @@
     /// Applies one watched change.
     fn apply(&self, change: &Change);
 
-    /// Whether the applied content includes everything that was ever written. False while the store,
-    /// restored from a backup, lacks items that were written before.
+    /// Whether the applied content includes everything that was ever written. False while the
+    /// store, restored from a backup, lacks items that were written before.
     fn is_complete(&self) -> bool {
         true
     }
 
-    /// Whether a new value of a key is passed on to other boxes as a change.
-    fn is_passed_on(&self, _before: &Item, _after: &Item) -> bool {
+    /// Whether a new value of a key is sent to boxes that watch this one as a relay.
+    fn is_relayed(&self, _before: &Item, _after: &Item) -> bool {
         true
     }
 }
 
-/// How a prefix is polled: wait and pause of its watches, first listing and turns at the store.
+/// How a prefix is followed: timing of its watches, its first listing, and its rate limit for reads
+/// of the store.
 #[derive(Debug, Clone, Copy)]
 pub struct WatchPace {
     /// How long one call waits for changes.
     pub wait_ms: Millis,
     /// Pause between calls, so that many changes cost one call.
     pub gap_ms: Millis,
-    /// Whether the first listing may be some seconds old: it costs a tenth of a call, and the
-    /// watch that continues from it returns all later changes.
+    /// Whether the first listing may be some seconds old: that costs the store a tenth of a current
+    /// one, and the watch that continues from it returns all later changes.
     pub begins_stale: bool,
-    /// Whether a box that normally asks relays has separate turns to read the store for this prefix:
-    /// a change of the configuration can't wait for the turns of the other prefixes.
+    /// Whether the prefix has its own limiter for reads of the store by a box that normally asks
+    /// relays: a change of the configuration can't wait behind the other prefixes.
     pub has_own_turns: bool,
 }
 
@@ -94,9 +96,9 @@
     items: Option<usize>,
 }
 
-/// Follows one prefix until the task is dropped; retries with growing pauses.
+/// Lists and watches one prefix until the task is dropped; retries with growing pauses.
 pub async fn follow(node: Rc<Node>, follower: Rc<dyn Follower>, pace: WatchPace) {
-    let mut pause_ms = FIRST_PAUSE_MS;
+    let mut pause_ms = FIRST_RETRY_PAUSE_MS;
     let mut is_lost = false;
     loop {
         let error = match follow_once(&node, &*follower, pace, &mut is_lost, &mut pause_ms).await {
@@ -116,7 +118,7 @@
             events::emit(part::STORE, Level::Warn, "store_lost", &event);
         }
         sleep_with_jitter(pause_ms).await;
-        pause_ms = (pause_ms * 2).min(LONGEST_PAUSE_MS);
+        pause_ms = (pause_ms * 2).min(MAX_RETRY_PAUSE_MS);
     }
 }
 
@@ -142,9 +144,9 @@
     };
     events::emit(part::STORE, Level::Info, "store_listed", &event);
     *is_lost = false;
-    *pause_ms = FIRST_PAUSE_MS;
+    *pause_ms = FIRST_RETRY_PAUSE_MS;
     if node.members.borrow().is_empty() {
-        sleep_with_jitter(ALONE_PAUSE_MS).await;
+        sleep_with_jitter(NO_OTHER_BOX_PAUSE_MS).await;
     }
     let mut at = listing.at;
     let mut failures = 0;
@@ -154,7 +156,7 @@
                 failures = 0;
                 // Positions of different eras can't be compared: list everything again.
                 let Some(later) = at.later_of(changes.at) else {
-                    spread_listings(node).await;
+                    delay_listing(node).await;
                     return Ok(());
                 };
                 at = later;
@@ -168,23 +170,23 @@
                     let gap_ms = if evidence.passed_on_ms.is_some() {
                         pace.gap_ms
                     } else {
-                        RELAY_GAP_MS
+                        RELAY_WATCH_GAP_MS
                     };
                     sleep_with_jitter(gap_ms).await;
                 }
             }
             Err(StoreError::HistoryGone) => {
-                spread_listings(node).await;
+                delay_listing(node).await;
                 return Ok(());
             }
             Err(error) if failures >= 1 => return Err(error),
             Err(error) => {
                 failures += 1;
                 node.replica.lose(prefix);
-                // A call without answer has already waited for its timeout, and another box may
-                // know the changes meanwhile.
+                // A call without answer has already waited for its timeout. The retry is sent at
+                // once, as another relay may have the changes by now.
                 if error != StoreError::NoAnswer {
-                    sleep_with_jitter(FIRST_PAUSE_MS).await;
+                    sleep_with_jitter(FIRST_RETRY_PAUSE_MS).await;
                 }
             }
         }
@@ -193,26 +195,26 @@
 
 /// Delays the listing that each box makes after a restore of the store. Relays list without delay,
 /// so that they can answer the other boxes.
-async fn spread_listings(node: &Node) {
+async fn delay_listing(node: &Node) {
     if !node.store.is_being_rewritten() || relay::relays(node).is_one {
         return;
     }
     let boxes = node.box_count.get() as Millis;
-    let spread_ms = (LISTING_SPREAD_PER_BOX_MS * boxes).min(MOST_LISTING_SPREAD_MS);
+    let spread_ms = (LISTING_SPREAD_PER_BOX_MS * boxes).min(MAX_LISTING_SPREAD_MS);
     let pause_ms = rand::rng().random_range(0..=spread_ms);
     tokio::time::sleep(Duration::from_millis(pause_ms)).await;
 }
 
 fn apply_change(node: &Node, follower: &dyn Follower, change: &Change) {
     let prefix = follower.prefix();
-    let is_passed_on = match change {
+    let is_relayed = match change {
         Change::Put(item) => node
             .replica
             .item(prefix, &item.key)
-            .is_none_or(|before| follower.is_passed_on(&before, item)),
+            .is_none_or(|before| follower.is_relayed(&before, item)),
         Change::Gone { .. } => true,
     };
-    node.replica.note_change(prefix, change, is_passed_on);
+    node.replica.note_change(prefix, change, is_relayed);
     follower.apply(change);
 }
 
--- a/crates/tinbay-gateway/src/watch/newcomer.rs
+++ b/crates/tinbay-gateway/src/watch/newcomer.rs
@@ -1,4 +1,5 @@
-//! Asks other boxes at start for configuration that the store lost in a recent restore from a backup.
+//! Asks other boxes at start for configuration that the store lost when it was restored from a
+//! backup.
 //!
 //! A box that starts after such a restore can't tell that the configuration it reads is outdated,
 //! while boxes that have run since before the restore still hold the newer one.
@@ -20,50 +21,50 @@
 use crate::port::store::Item;
 
 /// Number of boxes to ask.
-const BOXES_ASKED: usize = 2;
+const BOXES_TO_ASK: usize = 2;
 
-/// Pause between checks for known boxes, as a restore may remove their entries for a moment too.
+/// Pause between checks for a box to ask: a restore may remove the boxes' entries for a moment.
 const CHECK_PAUSE: Duration = Duration::from_millis(20);
 
 #[derive(Serialize)]
-struct LearntEvent<'a> {
+struct ReceivedEvent<'a> {
     from: &'a str,
     items: usize,
 }
 
-/// Asks up to `BOXES_ASKED` boxes for items that the store lacks; until then the content of the
+/// Asks up to `BOXES_TO_ASK` boxes for items that the store lacks; until then the content of the
 /// store does not count as complete. No box is asked if the store names no era, or if its era is
-/// settled.
-pub async fn learn(node: Rc<Node>, follower: Rc<ConfigurationFollower>) {
+/// marked as settled, that is, complete.
+pub async fn request_missing_items(node: Rc<Node>, follower: Rc<ConfigurationFollower>) {
     while node.boxes_listed_ms.get() == 0 || node.in_force().is_none() {
         tokio::time::sleep(CHECK_PAUSE).await;
     }
     let end_ms = node.now_ms() + REWRITTEN_WITHIN_MS;
     let mut asked: Vec<String> = Vec::new();
-    while asked.len() < BOXES_ASKED && node.now_ms() < end_ms {
+    while asked.len() < BOXES_TO_ASK && node.now_ms() < end_ms {
         let Some(era) = node.unsettled_era() else {
             break;
         };
         match next_box(&node, &asked) {
             Some(other) => {
-                ask(&node, &follower, &other, era).await;
+                ask_box(&node, &follower, &other, era).await;
                 asked.push(other.id);
             }
             None => tokio::time::sleep(CHECK_PAUSE).await,
         }
     }
-    node.has_asked_others.set(true);
+    node.has_asked_for_missing_items.set(true);
 }
 
-async fn ask(node: &Node, follower: &ConfigurationFollower, other: &RelayBox, era: Era) {
-    let items = match relay::ask_kept(node, other, follower.prefix(), era).await {
+async fn ask_box(node: &Node, follower: &ConfigurationFollower, other: &RelayBox, era: Era) {
+    let items = match relay::request_kept_items(node, other, follower.prefix(), era).await {
         Ok(items) => items,
         Err(error) => return relay::log_failure(&other.id, follower.prefix(), error),
     };
     if items.is_empty() {
         return;
     }
-    let event = LearntEvent {
+    let event = ReceivedEvent {
         from: &other.id,
         items: items.len(),
     };
--- a/crates/tinbay-gateway/src/watch/relay/answer.rs
+++ b/crates/tinbay-gateway/src/watch/relay/answer.rs
@@ -5,7 +5,7 @@
 use tinbay_core::serving::position::{Era, Position};
 use tinbay_core::units::Millis;
 
-use super::message::{ChangePart, RelayAnswer, RelayQuestion};
+use super::message::{ChangePart, RelayAnswer, RelayRequest};
 use crate::node::Node;
 use crate::port::store::Item;
 use crate::watch::replica::Since;
@@ -15,14 +15,14 @@
 
 /// Answers a request of another box; a watch waits for a change or the end of its wait.
 pub async fn answer(node: &Node, body: &[u8]) -> Vec<u8> {
-    let answer = match postcard::from_bytes::<RelayQuestion>(body) {
-        Ok(RelayQuestion::List { prefix }) => list(node, &prefix),
-        Ok(RelayQuestion::Watch {
+    let answer = match postcard::from_bytes::<RelayRequest>(body) {
+        Ok(RelayRequest::List { prefix }) => list(node, &prefix),
+        Ok(RelayRequest::Watch {
             prefix,
             after,
             wait_ms,
         }) => watch(node, &prefix, after, wait_ms.min(MAX_WAIT_MS)).await,
-        Ok(RelayQuestion::Kept { prefix, era }) => kept(node, &prefix, era),
+        Ok(RelayRequest::Kept { prefix, era }) => kept(node, &prefix, era),
         Err(_) => RelayAnswer::NotInTouch,
     };
     postcard::to_stdvec(&answer).unwrap_or_default()
@@ -45,7 +45,8 @@
     }
 }
 
-/// Replaces or adds the items that this box kept because a restored store lacks them.
+/// Replaces or adds the items that this box keeps because the store, restored from a backup, lacks
+/// them.
 fn with_kept(node: &Node, prefix: &str, mut items: Vec<Item>) -> Vec<Item> {
     let kept = node.kept_items.borrow();
     for item in kept.values().filter(|item| item.key.starts_with(prefix)) {
@@ -55,8 +56,8 @@
     items
 }
 
-/// Answers a starting box with the items that a restored store may lack. If this box has not listed
-/// the prefix in the new era yet, these are all items that it knows.
+/// Answers a starting box with the items that a restored store may lack: all items that this box
+/// knows, unless its copy is of that era and complete.
 fn kept(node: &Node, prefix: &str, era: Era) -> RelayAnswer {
     let Some(listing) = node.replica.listing(prefix) else {
         return RelayAnswer::NotInTouch;
@@ -75,7 +76,7 @@
 }
 
 async fn watch(node: &Node, prefix: &str, after: Position, wait_ms: Millis) -> RelayAnswer {
-    let asked_ms = node.now_ms();
+    let received_ms = node.now_ms();
     let end = tokio::time::Instant::now() + Duration::from_millis(wait_ms);
     loop {
         let changed = node.replica.changed.notified();
@@ -93,7 +94,7 @@
                         parts: changes.iter().map(ChangePart::of_change).collect(),
                         at,
                         age_ms,
-                        held_ms: now_ms - asked_ms,
+                        held_ms: now_ms - received_ms,
                         is_complete: node.replica.is_complete(prefix),
                     };
                 }
--- a/crates/tinbay-gateway/src/watch/relay/ask.rs
+++ b/crates/tinbay-gateway/src/watch/relay/ask.rs
@@ -11,7 +11,7 @@
 use tinbay_core::units::Millis;
 
 use super::PATH;
-use super::message::{ChangePart, RelayAnswer, RelayQuestion};
+use super::message::{ChangePart, RelayAnswer, RelayRequest};
 use crate::events::{self, part};
 use crate::http::call::{Call, Caller};
 use crate::node::Node;
@@ -22,15 +22,15 @@
 /// milliseconds.
 const ANSWER_MARGIN_MS: Millis = 300;
 
-/// Timeout of a listing, which may have some hundred kilobytes.
+/// Timeout of a listing, which may be some hundred kilobytes long.
 const LISTING_TIMEOUT_MS: Millis = 1_000;
 
 /// How long a relay is skipped after it did not answer.
 const NO_ANSWER_SKIP_MS: Millis = 1_000;
 
-/// How long a relay is skipped after it answered that it is not in touch with the store. Asking it
-/// again costs little; while it is skipped, other boxes read a store that has just recovered
-/// themselves.
+/// How long a relay is skipped after it answered that it is not in touch with the store. It is
+/// short: asking again costs little, and while no relay is asked, boxes read the store themselves,
+/// which may just have recovered.
 const NOT_IN_TOUCH_SKIP_MS: Millis = 200;
 
 #[derive(Serialize)]
@@ -44,13 +44,13 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum RelayError {
     /// No complete answer came in time.
-    #[error("the relay did not answer")]
+    #[error("the relay did not answer in time")]
     NoAnswer,
     /// The relay does not read the store, gets no answer from it, or still sees an earlier era.
-    #[error("the relay is not in touch with the store")]
+    #[error("the relay has no current copy of the store")]
     NotInTouch,
     /// The relay no longer keeps the requested changes.
-    #[error("the relay's history is gone")]
+    #[error("the relay no longer keeps the requested changes")]
     HistoryGone,
 }
 
@@ -67,14 +67,14 @@
 ///
 /// # Errors
 /// When the relay has no usable answer; it is then skipped for a while.
-pub async fn ask_list(
+pub async fn request_listing(
     node: &Node,
     relay: &RelayBox,
     prefix: &str,
 ) -> Result<(Listing, Evidence), RelayError> {
     let prefix = prefix.to_string();
-    let question = RelayQuestion::List { prefix };
-    let (parts, at, evidence) = ask(node, relay, &question, LISTING_TIMEOUT_MS).await?;
+    let request = RelayRequest::List { prefix };
+    let (parts, at, evidence) = request_parts(node, relay, &request, LISTING_TIMEOUT_MS).await?;
     let items = parts
         .into_iter()
         .filter_map(|part| match part.into_change(at.era) {
@@ -89,15 +89,15 @@
 ///
 /// # Errors
 /// When the box does not answer, or has not read the prefix yet.
-pub async fn ask_kept(
+pub async fn request_kept_items(
     node: &Node,
     other: &RelayBox,
     prefix: &str,
     era: Era,
 ) -> Result<Vec<Item>, RelayError> {
     let prefix = prefix.to_string();
-    let question = RelayQuestion::Kept { prefix, era };
-    let answer = exchange(node, other, &question, LISTING_TIMEOUT_MS).await;
+    let request = RelayRequest::Kept { prefix, era };
+    let answer = exchange(node, other, &request, LISTING_TIMEOUT_MS).await;
     let (parts, at) = match answer {
         Some(RelayAnswer::Parts { parts, at, .. }) => (parts, at),
         Some(RelayAnswer::NothingKept) => return Ok(Vec::new()),
@@ -115,21 +115,22 @@
 /// Asks a relay for the changes under a prefix after a position.
 ///
 /// # Errors
-/// When the relay has no usable answer; unless its history is gone, it is then skipped for a while.
-pub async fn ask_watch(
+/// When the relay has no usable answer. Unless it just no longer keeps the changes, it is then
+/// skipped for a while.
+pub async fn request_changes(
     node: &Node,
     relay: &RelayBox,
     prefix: &str,
     after: Position,
     wait_ms: Millis,
 ) -> Result<(Changes, Evidence), RelayError> {
-    let question = RelayQuestion::Watch {
+    let request = RelayRequest::Watch {
         prefix: prefix.to_string(),
         after,
         wait_ms,
     };
     let timeout_ms = wait_ms + ANSWER_MARGIN_MS;
-    let (parts, at, evidence) = ask(node, relay, &question, timeout_ms).await?;
+    let (parts, at, evidence) = request_parts(node, relay, &request, timeout_ms).await?;
     if at.era != after.era {
         return Err(RelayError::HistoryGone);
     }
@@ -138,14 +139,14 @@
     Ok((Changes { changes, at }, evidence))
 }
 
-async fn ask(
+async fn request_parts(
     node: &Node,
     relay: &RelayBox,
-    question: &RelayQuestion,
+    request: &RelayRequest,
     timeout_ms: Millis,
 ) -> Result<(Vec<ChangePart>, Position, Evidence), RelayError> {
     let asked_ms = node.now_ms();
-    let answer = exchange(node, relay, question, timeout_ms).await;
+    let answer = exchange(node, relay, request, timeout_ms).await;
     if let Some(RelayAnswer::Parts { at, .. }) = &answer {
         node.store.confirm_told(at.era).await;
     }
@@ -191,13 +192,13 @@
 async fn exchange(
     node: &Node,
     relay: &RelayBox,
-    question: &RelayQuestion,
+    request: &RelayRequest,
     timeout_ms: Millis,
 ) -> Option<RelayAnswer> {
     let call = Call {
         method: Method::POST,
         path: PATH.to_string(),
-        body: Bytes::from(postcard::to_stdvec(question).ok()?),
+        body: Bytes::from(postcard::to_stdvec(request).ok()?),
         header: None,
         timeout_ms,
     };
--- a/crates/tinbay-gateway/src/watch/relay/message.rs
+++ b/crates/tinbay-gateway/src/watch/relay/message.rs
@@ -8,7 +8,7 @@
 
 /// A request to a relay.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum RelayQuestion {
+pub enum RelayRequest {
     /// Asks for all items under a prefix.
     List {
         /// The prefix.
@@ -23,8 +23,8 @@
         /// Longest time to wait for a change.
         wait_ms: Millis,
     },
-    /// Asks for all items under a prefix that the relay knows, if the store, restored from a backup,
-    /// may lack some of them.
+    /// Asks for all items under a prefix that the relay knows, if the store, restored from a
+    /// backup, may lack some of them.
     Kept {
         /// The prefix.
         prefix: String,
--- a/crates/tinbay-gateway/src/watch/relay/mod.rs
+++ b/crates/tinbay-gateway/src/watch/relay/mod.rs
@@ -6,7 +6,9 @@
 pub mod selection;
 
 pub use answer::answer;
-pub use ask::{RelayBox, RelayError, ask_kept, ask_list, ask_watch, log_failure};
+pub use ask::{
+    RelayBox, RelayError, log_failure, request_changes, request_kept_items, request_listing,
+};
 pub use selection::{Relays, relays};
 
 /// HTTP path of relay requests.
--- a/crates/tinbay-gateway/src/watch/relay/selection.rs
+++ b/crates/tinbay-gateway/src/watch/relay/selection.rs
@@ -8,12 +8,13 @@
 use super::ask::RelayBox;
 use crate::node::Node;
 
-/// The relays as computed from the boxes that this one sees up.
+/// The relays of all zones, computed from the boxes that are listed and up as far as this box
+/// knows.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Relays {
     /// Whether this box is a relay and so reads the store itself.
     pub is_one: bool,
-    /// Relays to ask, in order; those that failed lately are left out.
+    /// Relays to ask, in order of preference; those that failed recently are left out.
     pub to_ask: Vec<RelayBox>,
     /// Ids of the relays of other zones, grouped by zone.
     pub far_by_zone: Vec<Vec<String>>,
@@ -40,18 +41,18 @@
     if !node.is_leaving.get() {
         zones.entry(own_zone).or_default().push(own);
     }
-    let near = zones.remove(own_zone).unwrap_or_default();
-    let near = relays_of(own_zone, &near);
-    let far: Vec<Vec<&str>> = zones
+    let own_zone_boxes = zones.remove(own_zone).unwrap_or_default();
+    let own_zone_relays = relays_of(own_zone, &own_zone_boxes);
+    let other_zone_relays: Vec<Vec<&str>> = zones
         .iter()
         .map(|(zone, boxes)| relays_of(zone, boxes))
         .collect();
-    let is_one = near.contains(&own.id);
-    let mut near_others = near;
-    near_others.retain(|id| *id != own.id);
+    let is_one = own_zone_relays.contains(&own.id);
+    let mut other_relays_of_zone = own_zone_relays;
+    other_relays_of_zone.retain(|id| *id != own.id);
     let failed = node.failed_relays.borrow();
     let is_skipped = |id: &str| failed.get(id).is_some_and(|until_ms| now_ms < *until_ms);
-    let to_ask = order_for(own.id, &near_others, &far.concat())
+    let to_ask = order_for(own.id, &other_relays_of_zone, &other_zone_relays.concat())
         .into_iter()
         .filter(|id| !is_skipped(id))
         .filter_map(|id| {
@@ -60,10 +61,10 @@
             Some(RelayBox { id, address })
         })
         .collect();
-    let to_names = |relays: Vec<&str>| relays.into_iter().map(str::to_string).collect();
+    let to_ids = |relays: Vec<&str>| relays.into_iter().map(str::to_string).collect();
     Relays {
         is_one,
         to_ask,
-        far_by_zone: far.into_iter().map(to_names).collect(),
+        far_by_zone: other_zone_relays.into_iter().map(to_ids).collect(),
     }
 }
--- a/crates/tinbay-gateway/src/watch/replica.rs
+++ b/crates/tinbay-gateway/src/watch/replica.rs
@@ -1,4 +1,4 @@
-//! Local copy of the store's content and latest changes, from which other boxes are answered.
+//! Local copy of the store's content and latest changes. A relay answers other boxes from it.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, HashMap, VecDeque};
@@ -11,14 +11,17 @@
 use crate::port::store::{Change, Item, Listing};
 
 /// Changes kept per prefix. A box that has missed more than these must list the prefix again.
-const MOST_CHANGES: usize = 4_000;
+const MAX_LOGGED_CHANGES: usize = 4_000;
 
 /// Content and latest changes of one prefix.
 #[derive(Debug, Default)]
 struct PrefixCopy {
     items: BTreeMap<String, Item>,
-    listed_at: Position,
+    /// Position after which `log` holds all changes.
+    log_begins_at: Position,
+    /// Position up to which changes have been applied.
     at: Position,
+    /// Latest changes that are sent to other boxes, oldest first.
     log: VecDeque<Change>,
     confirmed_ms: Millis,
     passed_on_ms: Option<Millis>,
@@ -33,7 +36,8 @@
 #[derive(Debug, Default)]
 pub struct Replica {
     by_prefix: RefCell<HashMap<String, PrefixCopy>>,
-    /// Notified on a new listing, on a change that is passed on, and when the store is lost.
+    /// Notified on a new listing, on a change that other boxes are sent, and when a read of the
+    /// store fails.
     pub changed: Notify,
     /// Notified when a copy is confirmed to be up to date.
     pub confirmed: Notify,
@@ -44,7 +48,8 @@
 pub struct Evidence {
     /// Latest time at which the copy was certainly up to date.
     pub confirmed_ms: Millis,
-    /// Age up to which it is passed on; `None` if it came from another box, not from the store.
+    /// Age up to which other boxes are answered from the copy; `None` if it came from another box,
+    /// not from the store.
     pub passed_on_ms: Option<Millis>,
     /// Whether it includes everything that was ever written. False while the store, restored from a
     /// backup, lacks items that were written before.
@@ -92,7 +97,7 @@
             is_complete: evidence.is_complete,
             is_told_complete: evidence.is_told_complete,
             items: items.map(|item| (item.key.clone(), item.clone())).collect(),
-            listed_at: listing.at,
+            log_begins_at: listing.at,
             at: listing.at,
             log: VecDeque::new(),
             confirmed_ms: evidence.confirmed_ms,
@@ -103,8 +108,8 @@
         self.confirmed.notify_waiters();
     }
 
-    /// Applies one change; `is_passed_on` is false if other boxes need not learn of it at once.
-    pub fn note_change(&self, prefix: &str, change: &Change, is_passed_on: bool) {
+    /// Applies one change; `is_relayed` is false if other boxes need not be sent it at once.
+    pub fn note_change(&self, prefix: &str, change: &Change, is_relayed: bool) {
         let mut by_prefix = self.by_prefix.borrow_mut();
         let Some(copy) = by_prefix.get_mut(prefix) else {
             return;
@@ -113,17 +118,17 @@
             Change::Put(item) => copy.items.insert(item.key.clone(), item.clone()),
             Change::Gone { key, .. } => copy.items.remove(key),
         };
-        if !is_passed_on {
+        if !is_relayed {
             return;
         }
         copy.log.push_back(change.clone());
-        if copy.log.len() > MOST_CHANGES
+        if copy.log.len() > MAX_LOGGED_CHANGES
             && let Some(oldest) = copy.log.pop_front()
         {
-            copy.listed_at = copy
-                .listed_at
+            copy.log_begins_at = copy
+                .log_begins_at
                 .later_of(oldest.position())
-                .unwrap_or(copy.listed_at);
+                .unwrap_or(copy.log_begins_at);
         }
         self.changed.notify_waiters();
     }
@@ -149,7 +154,7 @@
         self.confirmed.notify_waiters();
     }
 
-    /// Records that the store did not answer: nothing is passed on until the next confirmation.
+    /// Records that a read failed: no box is answered from the copy until it is confirmed again.
     pub fn lose(&self, prefix: &str) {
         let mut by_prefix = self.by_prefix.borrow_mut();
         if let Some(copy) = by_prefix.get_mut(prefix) {
@@ -188,7 +193,7 @@
         by_prefix.get(prefix)?.complete_ms
     }
 
-    /// Whether the copy includes everything ever written under the prefix; true for an unknown prefix.
+    /// Whether the copy includes everything ever written under a prefix; true for an unknown one.
     pub fn is_complete(&self, prefix: &str) -> bool {
         let by_prefix = self.by_prefix.borrow();
         by_prefix.get(prefix).is_none_or(|copy| copy.is_complete)
@@ -231,7 +236,7 @@
             let is_behind = copy.at.era < after.era;
             return (!is_behind).then_some(Since::HistoryGone);
         };
-        if !after.covers(copy.listed_at) {
+        if !after.covers(copy.log_begins_at) {
             return Some(Since::HistoryGone);
         }
         let newer = copy
--- a/crates/tinbay-gateway/src/watch/returns.rs
+++ b/crates/tinbay-gateway/src/watch/returns.rs
@@ -1,7 +1,8 @@
-//! Handles a restore of the store from a backup.
+//! Handles a restore of the store from a backup: starts writing again what this box had written,
+//! and logs a summary.
 //!
 //! The followers list their prefixes again by themselves, as positions of the earlier era are no
-//! longer valid. This module writes again what this box had written to the store, and logs a summary.
+//! longer valid.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -19,11 +20,11 @@
 use crate::node::Node;
 
 /// Shortest time over which the boxes write their entries again.
-const SPREAD_MS: Millis = 200;
+const MIN_REWRITE_SPREAD_MS: Millis = 200;
 
-/// Extra time per box of the fleet: 2,200 boxes with two calls each then spread over 2,400 ms, which
-/// is about 1,800 calls per second.
-const SPREAD_PER_BOX_MS: Millis = 1;
+/// Extra time per box of the fleet: 2,200 boxes with two calls each then spread over 2,400 ms,
+/// which is about 1,800 calls per second.
+const REWRITE_SPREAD_PER_BOX_MS: Millis = 1;
 
 #[derive(Serialize)]
 struct RestoreEvent {
@@ -35,7 +36,7 @@
     servers_known: usize,
     /// Servers whose claims this box writes again.
     claims_to_renew: usize,
-    /// Refused requests whose entries this box writes again.
+    /// Quarantined requests whose entries this box writes again.
     refused_to_write: usize,
 }
 
@@ -43,16 +44,16 @@
 pub async fn run(node: Rc<Node>) {
     loop {
         node.store.restored.notified().await;
-        while let Some(seen) = node.store.next_restore() {
-            handle(&node, seen).await;
+        while let Some(restore) = node.store.next_restore() {
+            handle_restore(&node, restore).await;
         }
     }
 }
 
-async fn handle(node: &Node, seen: StoreRestore) {
+async fn handle_restore(node: &Node, restore: StoreRestore) {
     node.sync_era();
-    // All boxes know the same refused requests, so only relays write them: otherwise each of 2,200
-    // boxes would request the entry.
+    // All boxes know the same quarantined requests, so only relays write them: otherwise all boxes
+    // of the fleet would save the same entries.
     let writes_refused = relay::relays(node).is_one;
     let refused_to_write = if writes_refused {
         crashes::save_again(node)
@@ -64,16 +65,21 @@
     let now_ms = node.now_ms();
     let at = node.replica.at(BOXES_PREFIX).unwrap_or_default();
     let event = RestoreEvent {
-        era_before: seen.from.0,
-        era: seen.to.0,
-        revision_before: if at.era == seen.from { at.revision } else { 0 },
+        era_before: restore.from.0,
+        era: restore.to.0,
+        revision_before: if at.era == restore.from {
+            at.revision
+        } else {
+            0
+        },
         boxes_known: node.members.borrow().all().count(),
         servers_known: node.servers.borrow().len(),
         claims_to_renew: node.claims.borrow().to_be_renewed(&own_id, now_ms),
         refused_to_write,
     };
     events::emit(part::STORE, Level::Warn, "store_returned", &event);
-    let spread_ms = SPREAD_MS + SPREAD_PER_BOX_MS * node.box_count.get() as Millis;
+    let spread_ms =
+        MIN_REWRITE_SPREAD_MS + REWRITE_SPREAD_PER_BOX_MS * node.box_count.get() as Millis;
     let pause_ms = rand::rng().random_range(0..spread_ms);
     tokio::time::sleep(Duration::from_millis(pause_ms)).await;
     node.entry_due.notify_one();
--- a/crates/tinbay-gateway/src/watch/servers.rs
+++ b/crates/tinbay-gateway/src/watch/servers.rs
@@ -82,7 +82,8 @@
         }
     }
 
-    /// Counts an unreadable entry and logs it once, as its writer may repeat it every second.
+    /// Counts an unreadable entry. It is logged only once, as its writer may repeat it every
+    /// second.
     fn report_unreadable(&self, item: &Item, error: &DecodeError) {
         let unreadable = &self.node.metrics.unreadable;
         unreadable.with_label_values(&["server_entry"]).inc();
@@ -157,22 +158,23 @@
         self.logged_unreadable
             .borrow_mut()
             .retain(|id| listed.contains(id.as_str()));
-        let gone = known.into_iter().filter(|id| !listed.contains(id.as_str()));
+        let missing = known.into_iter().filter(|id| !listed.contains(id.as_str()));
         if self.node.store.is_being_rewritten() {
             // A restored store lacks the entries of servers that were added after the backup.
-            let waiting = remove_if_still_missing(Rc::clone(&self.node), gone.collect());
+            let waiting = remove_if_still_missing(Rc::clone(&self.node), missing.collect());
             tokio::task::spawn_local(waiting);
         } else {
-            gone.for_each(|id| remove_server(&self.node, &id));
+            missing.for_each(|id| remove_server(&self.node, &id));
         }
         for item in items {
             self.apply_item(item);
         }
     }
 
-    /// The order count, remaining time and adapters in a server's entry change all the time, and the
-    /// box that holds the server reports them to those that use it. Other fields are passed on.
-    fn is_passed_on(&self, before: &Item, after: &Item) -> bool {
+    /// Only changes of a server's identity are sent to other boxes. Its order count, remaining time
+    /// and adapters change all the time; the box that holds the claim on the server reports them to
+    /// the boxes that use it.
+    fn is_relayed(&self, before: &Item, after: &Item) -> bool {
         let record = |item: &Item| {
             let id = self.id_of(&item.key)?;
             self.node.dialect.decode_server(id, &item.value).ok()
--- a/crates/tinbay-gateway/src/watch/source.rs
+++ b/crates/tinbay-gateway/src/watch/source.rs
@@ -1,7 +1,7 @@
 //! Reads the content of the store, either from a relay or from the store itself.
 //!
-//! A box that is not a relay reads the store itself only if no relay answers, and then seldom:
-//! during an outage of the store, many boxes would otherwise call it in vain.
+//! A box that is not a relay reads the store itself only if no relay answers, and then at a limited
+//! rate: during an outage of the store, all boxes would otherwise call it in vain.
 
 use std::cell::Cell;
 
@@ -17,17 +17,19 @@
 use crate::node::Node;
 use crate::port::store::{Change, Changes, Item, Listing, StoreError, StoreResult};
 
-/// Most relays to ask before the store.
+/// Maximum number of relays to ask before the store.
 const MAX_RELAYS_ASKED: usize = 4;
 
 /// How long one request to a relay waits for changes. A relay that stops answering is noticed only
 /// after this time, and a change of the configuration may take two seconds in all.
 const RELAY_WAIT_MS: Millis = 800;
 
-/// Allowed delay of an answer of the store before the local copy counts as too old to pass on.
-const AGE_MARGIN_MS: Millis = 250;
+/// Margin for a late answer of the store before the local copy counts as too old to answer other
+/// boxes from.
+const COPY_AGE_MARGIN_MS: Millis = 250;
 
-/// Evidence of a listing that may be some seconds old: it confirms nothing and is not passed on.
+/// Evidence of a listing that may be some seconds old: it confirms nothing, and no other box is
+/// answered from it.
 const STALE_LISTING_EVIDENCE: Evidence = Evidence {
     confirmed_ms: 0,
     passed_on_ms: None,
@@ -36,23 +38,24 @@
 };
 
 /// Pause between reads of the store by a box that is not a relay, while none succeeds.
-const STORE_PAUSE_MS: Millis = 2_000;
+const STORE_READ_PAUSE_MS: Millis = 2_000;
 
 /// The same for a relay, on which other boxes depend to notice that the store answers again.
-const RELAY_STORE_PAUSE_MS: Millis = 1_000;
+const RELAY_STORE_READ_PAUSE_MS: Millis = 1_000;
 
-/// Time after a successful read of the store in which the other prefixes may be read as well.
-const STORE_SEEN_LIFE_MS: Millis = 2_000;
+/// Time after a successful read of the store in which reads are not limited.
+const STORE_SUCCESS_LIFE_MS: Millis = 2_000;
 
-/// Shortest time that an answer to a watch may take beyond its wait; tolerates a store that needs 60
-/// times its usual 4 ms. For this time a zone trusts a relay whose store has stopped answering: with
-/// 1,500 ms, a leaving server was sent requests for up to 2.2 s, where 2.0 s are allowed.
+/// Shortest time that an answer to a watch may take beyond its wait; tolerates a store that needs
+/// 60 times its usual 4 ms. For as long, a zone relies on a relay whose store has stopped
+/// answering. At 1,500 ms, a leaving server would be sent requests for longer than the allowed 2.0
+/// s.
 const MIN_DELAY_LIMIT_MS: Millis = 400;
 
 /// Longest such time, for a store that is slower still.
 const MAX_DELAY_LIMIT_MS: Millis = 1_500;
 
-/// Ratio of the allowed delay of an answer to the delay of the last one.
+/// Ratio of the allowed delay of an answer to the delay of the last answer.
 const DELAY_LIMIT_FACTOR: f64 = 3.0;
 
 #[derive(Serialize)]
@@ -65,12 +68,13 @@
 /// Lists all items under a prefix.
 ///
 /// # Errors
-/// When neither a relay nor the store answers, or this box may not read the store now.
+/// When neither a relay nor the store answers, or the rate limit keeps this box from reading the
+/// store now.
 pub async fn list(node: &Node, prefix: &str, pace: WatchPace) -> StoreResult<(Listing, Evidence)> {
     let turn = node.store_turns.of(pace);
-    let sources = Sources::now(node, turn);
+    let sources = Sources::choose(node, turn);
     for relay in sources.to_ask() {
-        let asked = relay::ask_list(node, relay, prefix).await;
+        let asked = relay::request_listing(node, relay, prefix).await;
         count(node, "list", asked.as_ref().err());
         match asked {
             Ok(listed) => return Ok(listed),
@@ -83,7 +87,7 @@
     let listed = node.store.list(prefix, is_stale).await;
     let mut listing = counted(node, "list", turn.note(listed, node.now_ms()))?;
     for item in &mut listing.items {
-        remove_account_keys(node, item);
+        replace_account_keys(node, item);
     }
     let evidence = if is_stale {
         STALE_LISTING_EVIDENCE
@@ -104,9 +108,9 @@
     pace: WatchPace,
 ) -> StoreResult<(Changes, Evidence)> {
     let turn = node.store_turns.of(pace);
-    let sources = Sources::now(node, turn);
+    let sources = Sources::choose(node, turn);
     for relay in sources.to_ask() {
-        let asked = relay::ask_watch(node, relay, prefix, after, RELAY_WAIT_MS).await;
+        let asked = relay::request_changes(node, relay, prefix, after, RELAY_WAIT_MS).await;
         count(node, "watch", asked.as_ref().err());
         match asked {
             Ok(changes) => return Ok(changes),
@@ -125,15 +129,15 @@
     let mut changes = counted(node, "watch", turn.note(watched, node.now_ms()))?;
     for change in &mut changes.changes {
         if let Change::Put(item) = change {
-            remove_account_keys(node, item);
+            replace_account_keys(node, item);
         }
     }
     Ok((changes, from_store(confirmed_ms, pace)))
 }
 
-/// Removes the keys of client accounts from a configuration read from the store. If they can't be
-/// removed, the value is replaced by an empty one, which every box rejects.
-fn remove_account_keys(node: &Node, item: &mut Item) {
+/// Replaces the keys of client accounts in a configuration read from the store by digests. If this
+/// fails, the value is replaced by an empty one, which every box rejects.
+fn replace_account_keys(node: &Node, item: &mut Item) {
     if item.key != node.dialect.keys().configuration {
         return;
     }
@@ -151,9 +155,10 @@
     };
 }
 
-/// Evidence of an answer of the store. It is passed on until the next watch is overdue.
+/// Evidence of an answer of the store. Other boxes are answered from it until the next watch is
+/// overdue.
 fn from_store(confirmed_ms: Millis, pace: WatchPace) -> Evidence {
-    let passed_on_ms = 2 * pace.wait_ms + 2 * pace.gap_ms + AGE_MARGIN_MS;
+    let passed_on_ms = 2 * pace.wait_ms + 2 * pace.gap_ms + COPY_AGE_MARGIN_MS;
     Evidence {
         confirmed_ms,
         passed_on_ms: Some(passed_on_ms),
@@ -170,7 +175,7 @@
 }
 
 impl Sources {
-    fn now(node: &Node, turn: &StoreTurn) -> Self {
+    fn choose(node: &Node, turn: &StoreTurn) -> Self {
         let relays = relay::relays(node);
         let reads_itself = relays.is_one && turn.takes_relay(node.now_ms());
         Self {
@@ -190,8 +195,8 @@
 
     /// Whether this box may read the store itself now.
     fn check_turn(&self, node: &Node, turn: &StoreTurn) -> StoreResult<()> {
-        let may_take = !self.relays.is_one && turn.take(STORE_PAUSE_MS, node.now_ms());
-        if self.reads_itself || may_take {
+        let is_allowed = !self.relays.is_one && turn.take(STORE_READ_PAUSE_MS, node.now_ms());
+        if self.reads_itself || is_allowed {
             return Ok(());
         }
         Err(StoreError::NotAsked)
@@ -200,9 +205,9 @@
 
 /// Limits, per group of prefixes, how often a box that is not a relay reads the store itself.
 ///
-/// If the store refuses all relays but serves this box, a change of the configuration must still be
-/// read within seconds. With shared turns for all prefixes it came 3 s late on a fleet of 79 boxes,
-/// as the servers' prefix had just used the turn.
+/// The configuration has a limiter of its own: if the store refuses all relays but serves this box,
+/// its changes must still be read within seconds, and other prefixes may just have used up a shared
+/// limit.
 #[derive(Debug, Default)]
 pub struct StoreTurns {
     configuration: StoreTurn,
@@ -210,7 +215,7 @@
 }
 
 impl StoreTurns {
-    /// Turns of a prefix that is followed at this pace.
+    /// The limiter for a prefix that is followed at this pace.
     pub fn of(&self, pace: WatchPace) -> &StoreTurn {
         if pace.has_own_turns {
             &self.configuration
@@ -224,8 +229,8 @@
 /// while no read succeeds. While reads succeed, none of these prefixes is limited.
 #[derive(Debug)]
 pub struct StoreTurn {
-    tried_ms: Cell<Option<Millis>>,
-    seen_ms: Cell<Option<Millis>>,
+    last_attempt_ms: Cell<Option<Millis>>,
+    last_success_ms: Cell<Option<Millis>>,
     is_failing: Cell<bool>,
     delay_limit_ms: Cell<Millis>,
 }
@@ -233,8 +238,8 @@
 impl Default for StoreTurn {
     fn default() -> Self {
         Self {
-            tried_ms: Cell::default(),
-            seen_ms: Cell::default(),
+            last_attempt_ms: Cell::default(),
+            last_success_ms: Cell::default(),
             is_failing: Cell::default(),
             delay_limit_ms: Cell::new(MIN_DELAY_LIMIT_MS),
         }
@@ -257,32 +262,32 @@
         }
     }
 
-    /// Takes a turn to read the store; returns false if none is available now.
+    /// Requests permission to read the store now; returns false if the limit is used up.
     pub fn take(&self, pause_ms: Millis, now_ms: Millis) -> bool {
         let is_within = |since_ms: Option<Millis>, span_ms: Millis| {
             since_ms.is_some_and(|since_ms| now_ms < since_ms + span_ms)
         };
-        let is_there = is_within(self.seen_ms.get(), STORE_SEEN_LIFE_MS);
-        if !is_there && is_within(self.tried_ms.get(), pause_ms) {
+        let is_store_up = is_within(self.last_success_ms.get(), STORE_SUCCESS_LIFE_MS);
+        if !is_store_up && is_within(self.last_attempt_ms.get(), pause_ms) {
             return false;
         }
-        self.tried_ms.set(Some(now_ms));
+        self.last_attempt_ms.set(Some(now_ms));
         true
     }
 
     /// Whether a relay reads the store now: always while reads succeed, else once per pause; in
-    /// between it asks the relays of other zones. A relay that asked only those could not answer its
-    /// zone for a while after the store was back, and a leaving server was sent requests for 2.2 s,
-    /// where 2.0 s are allowed.
+    /// between it asks the relays of other zones. A relay that asked only those could not answer
+    /// its zone for a while after the store has recovered, and a leaving server would be sent
+    /// requests for longer than the allowed 2.0 s.
     pub fn takes_relay(&self, now_ms: Millis) -> bool {
-        !self.is_failing() || self.take(RELAY_STORE_PAUSE_MS, now_ms)
+        !self.is_failing() || self.take(RELAY_STORE_READ_PAUSE_MS, now_ms)
     }
 
     /// Records the outcome of a read of the store.
     pub fn note<T>(&self, result: StoreResult<T>, now_ms: Millis) -> StoreResult<T> {
         match &result {
             Ok(_) => {
-                self.seen_ms.set(Some(now_ms));
+                self.last_success_ms.set(Some(now_ms));
                 self.is_failing.set(false);
             }
             Err(StoreError::HistoryGone) => {}
@@ -298,8 +303,8 @@
         result
     }
 
-    /// Whether the last read of the store failed. The store may refuse this box and serve others, so
-    /// that even a relay then asks other relays first.
+    /// Whether the last read of the store failed. The store may refuse this box and serve others,
+    /// so that even a relay then asks other relays first.
     pub fn is_failing(&self) -> bool {
         self.is_failing.get()
     }
