--- a/crates/tinbay-gateway/src/peers/exchange.rs
+++ b/crates/tinbay-gateway/src/peers/exchange.rs
@@ -1,4 +1,4 @@
-//! Sends messages to other boxes.
+//! Sends the queued messages to other boxes as UDP datagrams, and the periodic reports.
 
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
@@ -12,22 +12,23 @@
 
 use super::frame::{Frame, FramePart, MAX_FRAME_BYTES, UsagePart, to_percent};
 use super::gossip;
-use super::outbox::Due;
+use super::outbox::QueuedMessages;
 use crate::events::{self, part};
 use crate::node::Node;
 use crate::servers::Server;
 use crate::sharing::holder;
 use crate::sharing::links::AdmissionContext;
 
-/// Interval at which ended requests are reported and running ones reported again.
-const TICK: Duration = Duration::from_millis(250);
+/// Interval at which usage is reported to the holders of servers: requests that have ended, and
+/// again those that still run.
+const REPORT_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Report interval while servers are scarce, as a waiting request is admitted once the holder
+/// Report interval while servers are scarce: a waiting request is admitted only once the holder
 /// learns that another has ended.
-const SCARCE_TICK: Duration = Duration::from_millis(50);
+const SCARCE_REPORT_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Ticks per round of gossip.
-const GOSSIP_TICKS: u64 = 2;
+/// Report intervals per round of gossip.
+const INTERVALS_PER_GOSSIP_ROUND: u64 = 2;
 
 /// Pause after sending, so that several changes share a message.
 const SEND_PAUSE: Duration = Duration::from_millis(2);
@@ -35,42 +36,42 @@
 /// Size reserved in a frame for everything but its parts.
 const FRAME_OVERHEAD_BYTES: usize = 80;
 
-/// Sends due messages until the box stops.
+/// Sends queued messages until the box stops.
 pub async fn send(node: Rc<Node>, socket: Rc<UdpSocket>) {
     let mut sender = Sender {
         node,
         socket,
-        incarnation: started_ms(),
+        incarnation: unix_time_ms(),
         sequence: 0,
     };
-    let mut ticks = 0;
-    let mut next_tick = tokio::time::Instant::now();
-    let mut next_scarce_tick = next_tick;
+    let mut rounds = 0;
+    let mut next_report = tokio::time::Instant::now();
+    let mut next_scarce_report = next_report;
     loop {
-        if tokio::time::Instant::now() >= next_tick {
-            next_tick = tokio::time::Instant::now() + TICK;
-            tick(&sender.node, ticks);
-            ticks += 1;
+        if tokio::time::Instant::now() >= next_report {
+            next_report = tokio::time::Instant::now() + REPORT_INTERVAL;
+            post_periodic_reports(&sender.node, rounds);
+            rounds += 1;
         }
-        if tokio::time::Instant::now() >= next_scarce_tick {
-            let has_scarce_servers = scarce_tick(&sender.node);
+        if tokio::time::Instant::now() >= next_scarce_report {
+            let has_scarce_servers = post_scarce_reports(&sender.node);
             let pause = if has_scarce_servers {
-                SCARCE_TICK
+                SCARCE_REPORT_INTERVAL
             } else {
-                TICK
+                REPORT_INTERVAL
             };
-            next_scarce_tick = tokio::time::Instant::now() + pause;
+            next_scarce_report = tokio::time::Instant::now() + pause;
         }
-        sender.send_due().await;
+        sender.send_queued().await;
         tokio::time::sleep(SEND_PAUSE).await;
         tokio::select! {
-            () = tokio::time::sleep_until(next_tick.min(next_scarce_tick)) => {}
+            () = tokio::time::sleep_until(next_report.min(next_scarce_report)) => {}
             () = sender.node.outbox.wait() => {}
         }
     }
 }
 
-fn tick(node: &Node, ticks: u64) {
+fn post_periodic_reports(node: &Node, round: u64) {
     node.count_boxes();
     let now_ms = node.now_ms();
     for server in node.servers.borrow().all() {
@@ -78,14 +79,14 @@
             node.outbox.post_usage(server.key);
         }
     }
-    if ticks.is_multiple_of(GOSSIP_TICKS) {
+    if round.is_multiple_of(INTERVALS_PER_GOSSIP_ROUND) {
         gossip::post_round(node);
     }
 }
 
 /// Reports usage at scarce servers and decides on waiting requests there; returns whether any
 /// server is scarce.
-fn scarce_tick(node: &Node) -> bool {
+fn post_scarce_reports(node: &Node) -> bool {
     if !holder::has_accounts(node) {
         return false;
     }
@@ -104,7 +105,7 @@
     !scarce.is_empty()
 }
 
-fn started_ms() -> u64 {
+fn unix_time_ms() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
     since
         .map(|since| since.as_millis() as u64)
@@ -125,9 +126,9 @@
 }
 
 impl Sender {
-    async fn send_due(&mut self) {
-        let due = self.node.outbox.take();
-        for (box_id, parts) in parts_by_box(&self.node, due) {
+    async fn send_queued(&mut self) {
+        let queued = self.node.outbox.take();
+        for (box_id, parts) in parts_by_box(&self.node, queued) {
             let Some(address) = peer_address(&self.node, &box_id) else {
                 continue;
             };
@@ -171,13 +172,13 @@
         };
         match sent {
             Ok(bytes) => self.node.metrics.count_frame("sent", bytes),
-            Err(error) => self.note_failure(box_id, error),
+            Err(error) => self.record_failure(box_id, error),
         }
     }
 
-    /// Counts a failed send. It needs no retry here: as after a lost datagram, requests and reports
-    /// are repeated.
-    fn note_failure(&self, box_id: &str, error: String) {
+    /// Counts and logs a failed send. It needs no retry here: requests and reports are repeated
+    /// anyway, as datagrams can be lost.
+    fn record_failure(&self, box_id: &str, error: String) {
         self.node.metrics.count_frame("send_failed", 0);
         let event = SendFailedEvent { to: box_id, error };
         events::emit(part::MEMBERS, Level::Debug, "frame_not_sent", &event);
@@ -189,15 +190,15 @@
     members.get(box_id).map(|member| member.record.peer)
 }
 
-/// Groups the due parts by receiver.
-fn parts_by_box(node: &Node, due: Due) -> HashMap<String, Vec<FramePart>> {
-    let mut by_box = due.parts;
-    for (server, boxes) in due.statuses {
+/// Groups the queued parts by receiving box; statuses and usage reports are built here.
+fn parts_by_box(node: &Node, queued: QueuedMessages) -> HashMap<String, Vec<FramePart>> {
+    let mut by_box = queued.parts;
+    for (server, boxes) in queued.statuses {
         for (box_id, status) in statuses(node, server, boxes) {
             by_box.entry(box_id).or_default().push(status);
         }
     }
-    for server in due.usage_reports {
+    for server in queued.usage_reports {
         if let Some((holder, usage)) = usage_for_holder(node, server) {
             by_box.entry(holder).or_default().push(usage);
         }
@@ -220,7 +221,8 @@
         .collect()
 }
 
-/// Builds the usage report for a server's holder; applied directly where this box is the holder.
+/// Builds the usage report for a server's holder; if this box is the holder, applies it directly
+/// and returns `None`.
 fn usage_for_holder(node: &Node, server: ServerKey) -> Option<(String, FramePart)> {
     let server = node.servers.borrow().by_key(server)?;
     let holder = node.holder_of(&server)?;
--- a/crates/tinbay-gateway/src/peers/frame.rs
+++ b/crates/tinbay-gateway/src/peers/frame.rs
@@ -21,7 +21,7 @@
 pub struct Frame {
     /// Id of the sender.
     pub box_id: String,
-    /// Start time of the sender's process, which tells its runs apart.
+    /// Start time of the sender's process in Unix ms, which distinguishes its runs.
     pub incarnation: u64,
     /// Rises with each frame of the run, so that late frames can be detected.
     pub sequence: u64,
@@ -39,7 +39,7 @@
     LastHeard(Vec<(Fingerprint, u16)>),
     /// Report of the sender's zone to other zones, sent by the zone's relays.
     ZoneReport(ZoneReportPart),
-    /// Silent boxes of other zones, with the age of that report in ms.
+    /// Silent boxes of other zones, with the age of the report on each, in ms.
     Silent(Vec<(Fingerprint, u16)>),
     /// Other zones, with the time since each was last heard from, in ms.
     ZonesHeard(Vec<(Fingerprint, u16)>),
--- a/crates/tinbay-gateway/src/peers/gossip.rs
+++ b/crates/tinbay-gateway/src/peers/gossip.rs
@@ -1,10 +1,10 @@
 //! Failure detection by gossip among the boxes of an availability zone.
 //!
-//! Each box talks to a few others at a time and passes on how long ago it heard from each box. So a
-//! box that fails is noticed by its whole zone within some rounds, at a cost that does not grow
-//! with the zone. The few boxes that read the store for a zone, its relays, also report its silent
-//! boxes to some relays of other zones, and each zone passes that on. Source: van Renesse, Minsky
-//! and Hayden, "A gossip-style failure detection service", Middleware 1998.
+//! In each round, a box sends a few others the time since it last heard from each box of the zone.
+//! So a box that fails is noticed by its whole zone within some rounds, at a cost per box that does
+//! not grow with the zone. The few boxes that read the store for a zone, its relays, also report
+//! its silent boxes to some relays of other zones, which gossip the report in their zones. Source:
+//! van Renesse, Minsky and Hayden, "A gossip-style failure detection service", Middleware 1998.
 
 use rand::seq::{IndexedRandom, SliceRandom};
 use tinbay_core::serving::servers::Fingerprint;
@@ -15,20 +15,21 @@
 use crate::node::Node;
 use crate::watch::relay;
 
-/// Boxes contacted in one round.
-const PEERS: usize = 3;
+/// Boxes of the zone contacted in one round.
+const PEERS_PER_ROUND: usize = 3;
 
-/// Upper bound on boxes in one message: what fits beside the sender's own record.
+/// Maximum number of boxes in one list of those last heard: what fits into a frame beside the
+/// sender's own record.
 const MAX_HEARD: usize = 100;
 
-/// Upper bound on silent boxes in one message.
+/// Maximum number of silent boxes in one message.
 const MAX_SILENT: usize = 60;
 
-/// Other zones contacted in one round. With up to 12 zones, each zone hears from each other one at
-/// least once in two seconds, directly or through a third one.
+/// Other zones contacted in one round: with up to 12 zones, each zone hears from each other one at
+/// least once in two seconds, directly or through a third zone.
 const ZONES_PER_ROUND: usize = 3;
 
-/// Passes the known silent boxes of other zones on to some boxes of this zone.
+/// Sends the known silent boxes of other zones to some boxes of this zone.
 pub fn post_silent(node: &Node) {
     let mut silent = to_ages(node.members.borrow().silent_far(node.now_ms()));
     if silent.is_empty() {
@@ -36,7 +37,7 @@
     }
     silent.truncate(MAX_SILENT);
     let peers = zone_boxes(node);
-    for box_id in peers.sample(&mut rand::rng(), PEERS) {
+    for box_id in peers.sample(&mut rand::rng(), PEERS_PER_ROUND) {
         node.outbox.post(box_id, FramePart::Silent(silent.clone()));
     }
 }
@@ -44,21 +45,21 @@
 /// Reports to other zones if this box is one of its zone's relays.
 pub fn post_zone_report(node: &Node) {
     let relays = relay::relays(node);
-    // Other zones report to the boxes that they see in the store. A box whose entry had expired got
-    // no reports, took the relays of other zones for silent, and two homes granted an account twice
-    // its limit for 4 s.
+    // Relays of other zones report only to boxes that they see in the store. A box whose entry has
+    // expired would get no reports and take these relays for silent; two boxes could then act as
+    // home of the same limit and together grant twice its units.
     if !relays.is_one || !node.is_surely_entered() {
         return;
     }
     let now_ms = node.now_ms();
     {
         let mut members = node.members.borrow_mut();
-        for speaker in relays
+        for reporter in relays
             .far_by_zone
             .iter()
             .filter_map(|relays| relays.first())
         {
-            members.expect_zone_reporter(speaker, now_ms);
+            members.expect_zone_reporter(reporter, now_ms);
         }
         members.judge_zone_reporters(now_ms);
     }
@@ -101,7 +102,7 @@
     let heard = heard(node);
     let zones_heard = to_ages(node.members.borrow().zones_heard(node.now_ms()));
     let refused = spread::refused_part(node);
-    for box_id in peers.sample(&mut rng, PEERS) {
+    for box_id in peers.sample(&mut rng, PEERS_PER_ROUND) {
         if let Some(refused) = &refused {
             node.outbox.post(box_id, refused.clone());
         }
@@ -116,7 +117,7 @@
     }
 }
 
-/// Tells all boxes of the zone directly that this one is leaving.
+/// Sends all boxes of the zone the record that says that this one is leaving.
 pub fn post_leaving(node: &Node) {
     for box_id in zone_boxes(node) {
         let hello = FramePart::Hello(node.own_record());
--- a/crates/tinbay-gateway/src/peers/inbox.rs
+++ b/crates/tinbay-gateway/src/peers/inbox.rs
@@ -1,4 +1,4 @@
-//! Receives messages from other boxes.
+//! Receives messages from other boxes and passes each part to the module that handles it.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -26,12 +26,12 @@
 use crate::servers::view::{ServerStatus, ViewEntry};
 use crate::sharing::holder;
 
-/// Wait after a failed read.
-const FAILURE_PAUSE: Duration = Duration::from_millis(10);
+/// Pause after a failed read of the socket.
+const FAILED_READ_PAUSE: Duration = Duration::from_millis(10);
 
 /// Sequence numbers of the latest frames of one box, to ignore reordered ones.
 #[derive(Debug, Default)]
-struct Seen {
+struct LatestSequences {
     incarnation: u64,
     usage: HashMap<Fingerprint, u64>,
     statuses: HashMap<Fingerprint, u64>,
@@ -46,16 +46,16 @@
 /// Receives frames until the box stops.
 pub async fn receive(node: Rc<Node>, socket: Rc<UdpSocket>) {
     let mut buffer = vec![0; MAX_FRAME_BYTES * 2];
-    let mut seen: HashMap<String, Seen> = HashMap::new();
+    let mut latest_by_box: HashMap<String, LatestSequences> = HashMap::new();
     loop {
         let Ok((length, _)) = socket.recv_from(&mut buffer).await else {
-            tokio::time::sleep(FAILURE_PAUSE).await;
+            tokio::time::sleep(FAILED_READ_PAUSE).await;
             continue;
         };
         match postcard::from_bytes::<Frame>(&buffer[..length]) {
             Ok(frame) => {
                 node.metrics.count_frame("received", length);
-                handle_frame(&node, frame, &mut seen);
+                handle_frame(&node, frame, &mut latest_by_box);
             }
             Err(error) => {
                 node.metrics.count_frame("unreadable", length);
@@ -69,15 +69,15 @@
     }
 }
 
-fn handle_frame(node: &Node, frame: Frame, seen: &mut HashMap<String, Seen>) {
-    let seen = seen.entry(frame.box_id.clone()).or_default();
-    if frame.incarnation < seen.incarnation {
+fn handle_frame(node: &Node, frame: Frame, latest_by_box: &mut HashMap<String, LatestSequences>) {
+    let latest = latest_by_box.entry(frame.box_id.clone()).or_default();
+    if frame.incarnation < latest.incarnation {
         return;
     }
-    if frame.incarnation > seen.incarnation {
-        *seen = Seen {
+    if frame.incarnation > latest.incarnation {
+        *latest = LatestSequences {
             incarnation: frame.incarnation,
-            ..Seen::default()
+            ..LatestSequences::default()
         };
     }
     let now_ms = node.now_ms();
@@ -115,13 +115,16 @@
             FramePart::AdmissionRequest(part) => holder::handle_request(node, &frame.box_id, &part),
             FramePart::AdmissionReply(part) => node.sharing.take_reply(part),
             FramePart::Usage(usage) => {
-                if advance(seen.usage.entry(usage.server).or_default(), frame.sequence) {
+                if advance(
+                    latest.usage.entry(usage.server).or_default(),
+                    frame.sequence,
+                ) {
                     handle_usage(node, &frame.box_id, usage);
                 }
             }
             FramePart::Status(status) => {
                 if advance(
-                    seen.statuses.entry(status.server).or_default(),
+                    latest.statuses.entry(status.server).or_default(),
                     frame.sequence,
                 ) {
                     handle_status(node, status, now_ms);
@@ -131,6 +134,7 @@
     }
 }
 
+/// Raises `last` to a frame's sequence number; returns false for a frame that arrived out of order.
 fn advance(last: &mut u64, sequence: u64) -> bool {
     let is_newer = sequence > *last;
     *last = sequence.max(*last);
@@ -145,12 +149,12 @@
     }
 }
 
-fn handle_zone_report(node: &Node, speaker: &str, report: &ZoneReportPart, now_ms: Millis) {
+fn handle_zone_report(node: &Node, reporter: &str, report: &ZoneReportPart, now_ms: Millis) {
     handle_zones_heard(node, &report.zones_heard, now_ms);
     let mut members = node.members.borrow_mut();
-    let is_news = members.note_zone_report(speaker, &report.silent, now_ms);
+    let is_newly_silent = members.note_zone_report(reporter, &report.silent, now_ms);
     drop(members);
-    if is_news {
+    if is_newly_silent {
         gossip::post_silent(node);
     }
 }
@@ -163,16 +167,16 @@
 }
 
 fn handle_silent(node: &Node, silent: &[(Fingerprint, u16)], now_ms: Millis) {
-    let is_news = {
+    let is_newly_silent = {
         let mut members = node.members.borrow_mut();
-        let mut is_news = false;
+        let mut is_newly_silent = false;
         for (fingerprint, age_ms) in silent {
             let reported_ms = now_ms.saturating_sub(Millis::from(*age_ms));
-            is_news |= members.note_silent(*fingerprint, reported_ms);
+            is_newly_silent |= members.note_silent(*fingerprint, reported_ms);
         }
-        is_news
+        is_newly_silent
     };
-    if is_news {
+    if is_newly_silent {
         gossip::post_silent(node);
     }
 }
@@ -184,12 +188,12 @@
     let Some(held) = node.held_server(server.key) else {
         return;
     };
-    let want = WantedLoad {
+    let wanted_load = WantedLoad {
         adapter: request.adapter,
         version: request.version,
         is_copy: request.is_copy,
     };
-    held.note_load_request(box_id, want, now_ms);
+    held.note_load_request(box_id, wanted_load, now_ms);
     server.order_due.notify_one();
     node.outbox.post_status(server.key, box_id);
 }
--- a/crates/tinbay-gateway/src/peers/mod.rs
+++ b/crates/tinbay-gateway/src/peers/mod.rs
@@ -1,5 +1,5 @@
-//! Messages between boxes: requests to the holders of servers, their answers, limits, and failure
-//! detection.
+//! UDP messages between boxes: requests to the boxes that hold the claims on servers, their
+//! answers, limits, and failure detection.
 
 pub mod exchange;
 pub mod frame;
--- a/crates/tinbay-gateway/src/peers/outbox.rs
+++ b/crates/tinbay-gateway/src/peers/outbox.rs
@@ -10,12 +10,12 @@
 
 /// Queued messages, taken together by the sender.
 #[derive(Debug, Default)]
-pub struct Due {
+pub struct QueuedMessages {
     /// Parts by receiving box.
     pub parts: HashMap<String, Vec<FramePart>>,
     /// Servers that this box holds, with the boxes that receive their status.
     pub statuses: HashMap<ServerKey, HashSet<String>>,
-    /// Servers for whose holders a usage report is due.
+    /// Servers whose holders are to be sent a usage report.
     pub usage_reports: HashSet<ServerKey>,
 }
 
@@ -23,39 +23,43 @@
 /// requested.
 #[derive(Debug, Default)]
 pub struct Outbox {
-    due: RefCell<Due>,
-    queued: Notify,
+    queued: RefCell<QueuedMessages>,
+    message_queued: Notify,
 }
 
 impl Outbox {
     /// Queues a part for a box.
     pub fn post(&self, box_id: &str, part: FramePart) {
-        let mut due = self.due.borrow_mut();
-        due.parts.entry(box_id.to_string()).or_default().push(part);
-        self.queued.notify_one();
+        let mut queued = self.queued.borrow_mut();
+        queued
+            .parts
+            .entry(box_id.to_string())
+            .or_default()
+            .push(part);
+        self.message_queued.notify_one();
     }
 
     /// Queues the status of a server held by this box for another box.
     pub fn post_status(&self, server: ServerKey, box_id: &str) {
-        let mut due = self.due.borrow_mut();
-        let boxes = due.statuses.entry(server).or_default();
+        let mut queued = self.queued.borrow_mut();
+        let boxes = queued.statuses.entry(server).or_default();
         boxes.insert(box_id.to_string());
-        self.queued.notify_one();
+        self.message_queued.notify_one();
     }
 
     /// Queues a usage report for the holder of a server.
     pub fn post_usage(&self, server: ServerKey) {
-        self.due.borrow_mut().usage_reports.insert(server);
-        self.queued.notify_one();
+        self.queued.borrow_mut().usage_reports.insert(server);
+        self.message_queued.notify_one();
     }
 
     /// Waits until a message is queued.
     pub async fn wait(&self) {
-        self.queued.notified().await;
+        self.message_queued.notified().await;
     }
 
     /// Takes all queued messages.
-    pub fn take(&self) -> Due {
-        std::mem::take(&mut self.due.borrow_mut())
+    pub fn take(&self) -> QueuedMessages {
+        std::mem::take(&mut self.queued.borrow_mut())
     }
 }
