--- a/crates/tinbay-gateway/src/node.rs
+++ b/crates/tinbay-gateway/src/node.rs
@@ -48,7 +48,7 @@
 use crate::watch::access::StoreAccess;
 use crate::watch::boxes::{MEMBER_PREFIX, PREFIX as BOXES_PREFIX};
 use crate::watch::replica::Replica;
-use crate::watch::source::StoreTurns;
+use crate::watch::source::StoreReadLimiters;
 
 /// How long a proof that this box may order its servers is valid. It outlasts common store outages
 /// of 4 to 8 s, plus the age that a proof from the watch already has when the outage begins. Its
@@ -153,7 +153,7 @@
     /// Boxes that failed as relays of the store, with the time until which they are not asked.
     pub failed_relays: RefCell<HashMap<String, Millis>>,
     /// Rate limits of this box's own reads of the store, which other boxes normally relay to it.
-    pub store_turns: StoreTurns,
+    pub store_read_limiters: StoreReadLimiters,
     /// Connections to boxes that relay the store.
     pub relay_callers: RefCell<HashMap<SocketAddr, Rc<Caller>>>,
     /// Clock for all ages and deadlines.
@@ -234,7 +234,7 @@
             kept_items: RefCell::default(),
             replica: Replica::default(),
             failed_relays: RefCell::default(),
-            store_turns: StoreTurns::default(),
+            store_read_limiters: StoreReadLimiters::default(),
             relay_callers: RefCell::default(),
             clock,
             metrics,
--- a/crates/tinbay-gateway/src/run.rs
+++ b/crates/tinbay-gateway/src/run.rs
@@ -42,8 +42,8 @@
 const CONFIGURATION_PACE: WatchPace = WatchPace {
     wait_ms: 600,
     gap_ms: 20,
-    begins_stale: false,
-    has_own_turns: true,
+    allows_stale_start: false,
+    has_own_read_limiter: true,
 };
 
 /// Watch timing for servers: they rewrite their entries often, so the gap lets one call return several
@@ -51,16 +51,16 @@
 const SERVER_PACE: WatchPace = WatchPace {
     wait_ms: 600,
     gap_ms: 600,
-    begins_stale: true,
-    has_own_turns: false,
+    allows_stale_start: true,
+    has_own_read_limiter: false,
 };
 
 /// Watch timing for the entries of boxes.
 const BOX_PACE: WatchPace = WatchPace {
     wait_ms: 1_000,
     gap_ms: 100,
-    begins_stale: true,
-    has_own_turns: false,
+    allows_stale_start: true,
+    has_own_read_limiter: false,
 };
 
 /// How long before the time limit of a planned stop a box stops waiting for open connections.
--- a/crates/tinbay-gateway/src/watch/mod.rs
+++ b/crates/tinbay-gateway/src/watch/mod.rs
@@ -77,10 +77,10 @@
     pub gap_ms: Millis,
     /// Whether the first listing may be some seconds old: that costs the store a tenth of a current
     /// one, and the watch that continues from it returns all later changes.
-    pub begins_stale: bool,
+    pub allows_stale_start: bool,
     /// Whether the prefix has its own limiter for reads of the store by a box that normally asks
     /// relays: a change of the configuration can't wait behind the other prefixes.
-    pub has_own_turns: bool,
+    pub has_own_read_limiter: bool,
 }
 
 #[derive(Serialize)]
--- a/crates/tinbay-gateway/src/watch/source.rs
+++ b/crates/tinbay-gateway/src/watch/source.rs
@@ -71,8 +71,8 @@
 /// When neither a relay nor the store answers, or the rate limit keeps this box from reading the
 /// store now.
 pub async fn list(node: &Node, prefix: &str, pace: WatchPace) -> StoreResult<(Listing, Evidence)> {
-    let turn = node.store_turns.of(pace);
-    let sources = Sources::choose(node, turn);
+    let limiter = node.store_read_limiters.of(pace);
+    let sources = Sources::choose(node, limiter);
     for relay in sources.to_ask() {
         let asked = relay::request_listing(node, relay, prefix).await;
         count(node, "list", asked.as_ref().err());
@@ -81,11 +81,11 @@
             Err(error) => relay::log_failure(&relay.id, prefix, error),
         }
     }
-    sources.check_turn(node, turn)?;
-    let is_stale = pace.begins_stale && node.replica.confirmed_ms(prefix).is_none();
+    sources.check_limiter(node, limiter)?;
+    let is_stale = pace.allows_stale_start && node.replica.confirmed_ms(prefix).is_none();
     let asked_ms = node.now_ms();
     let listed = node.store.list(prefix, is_stale).await;
-    let mut listing = counted(node, "list", turn.note(listed, node.now_ms()))?;
+    let mut listing = counted(node, "list", limiter.record_result(listed, node.now_ms()))?;
     for item in &mut listing.items {
         replace_account_keys(node, item);
     }
@@ -107,8 +107,8 @@
     after: Position,
     pace: WatchPace,
 ) -> StoreResult<(Changes, Evidence)> {
-    let turn = node.store_turns.of(pace);
-    let sources = Sources::choose(node, turn);
+    let limiter = node.store_read_limiters.of(pace);
+    let sources = Sources::choose(node, limiter);
     for relay in sources.to_ask() {
         let asked = relay::request_changes(node, relay, prefix, after, RELAY_WAIT_MS).await;
         count(node, "watch", asked.as_ref().err());
@@ -118,18 +118,18 @@
             Err(error) => relay::log_failure(&relay.id, prefix, error),
         }
     }
-    sources.check_turn(node, turn)?;
+    sources.check_limiter(node, limiter)?;
     let confirmed_ms = node.now_ms();
-    let max_delay_ms = turn.delay_limit_ms();
+    let max_delay_ms = limiter.delay_limit_ms();
     let watched = node
         .store
         .watch(prefix, after, pace.wait_ms, max_delay_ms)
         .await;
     if watched.is_ok() {
         let took_ms = node.now_ms() - confirmed_ms;
-        turn.note_late(took_ms.saturating_sub(pace.wait_ms));
+        limiter.record_delay(took_ms.saturating_sub(pace.wait_ms));
     }
-    let mut changes = counted(node, "watch", turn.note(watched, node.now_ms()))?;
+    let mut changes = counted(node, "watch", limiter.record_result(watched, node.now_ms()))?;
     for change in &mut changes.changes {
         if let Change::Put(item) = change {
             replace_account_keys(node, item);
@@ -178,9 +178,9 @@
 }
 
 impl Sources {
-    fn choose(node: &Node, turn: &StoreTurn) -> Self {
+    fn choose(node: &Node, limiter: &StoreReadLimiter) -> Self {
         let relays = relay::relays(node);
-        let reads_itself = relays.is_one && turn.takes_relay(node.now_ms());
+        let reads_itself = relays.is_one && limiter.allows_relay_read(node.now_ms());
         Self {
             relays,
             reads_itself,
@@ -197,8 +197,9 @@
     }
 
     /// Whether this box may read the store itself now.
-    fn check_turn(&self, node: &Node, turn: &StoreTurn) -> StoreResult<()> {
-        let is_allowed = !self.relays.is_one && turn.take(STORE_READ_PAUSE_MS, node.now_ms());
+    fn check_limiter(&self, node: &Node, limiter: &StoreReadLimiter) -> StoreResult<()> {
+        let is_allowed =
+            !self.relays.is_one && limiter.try_acquire(STORE_READ_PAUSE_MS, node.now_ms());
         if self.reads_itself || is_allowed {
             return Ok(());
         }
@@ -212,15 +213,15 @@
 /// its changes must still be read within seconds, and other prefixes may just have used up a shared
 /// limit.
 #[derive(Debug, Default)]
-pub struct StoreTurns {
-    configuration: StoreTurn,
-    others: StoreTurn,
+pub struct StoreReadLimiters {
+    configuration: StoreReadLimiter,
+    others: StoreReadLimiter,
 }
 
-impl StoreTurns {
+impl StoreReadLimiters {
     /// The limiter for a prefix that is followed at this pace.
-    pub fn of(&self, pace: WatchPace) -> &StoreTurn {
-        if pace.has_own_turns {
+    pub fn of(&self, pace: WatchPace) -> &StoreReadLimiter {
+        if pace.has_own_read_limiter {
             &self.configuration
         } else {
             &self.others
@@ -231,14 +232,14 @@
 /// Rate limit of reads of the store, for the prefixes that share it together: one call per pause
 /// while no read succeeds. While reads succeed, none of these prefixes is limited.
 #[derive(Debug)]
-pub struct StoreTurn {
+pub struct StoreReadLimiter {
     last_attempt_ms: Cell<Option<Millis>>,
     last_success_ms: Cell<Option<Millis>>,
     is_failing: Cell<bool>,
     delay_limit_ms: Cell<Millis>,
 }
 
-impl Default for StoreTurn {
+impl Default for StoreReadLimiter {
     fn default() -> Self {
         Self {
             last_attempt_ms: Cell::default(),
@@ -249,7 +250,7 @@
     }
 }
 
-impl StoreTurn {
+impl StoreReadLimiter {
     /// Time that an answer to a watch may take beyond its wait before the call is given up.
     pub fn delay_limit_ms(&self) -> Millis {
         self.delay_limit_ms.get()
@@ -257,7 +258,7 @@
 
     /// Adapts the allowed delay to the delay of the last answer beyond its wait. An answer with
     /// changes comes before the end of the wait and is ignored.
-    pub fn note_late(&self, late_ms: Millis) {
+    pub fn record_delay(&self, late_ms: Millis) {
         if late_ms > 0 {
             let delay_limit_ms = (late_ms as f64 * DELAY_LIMIT_FACTOR) as Millis;
             let delay_limit_ms = delay_limit_ms.clamp(MIN_DELAY_LIMIT_MS, MAX_DELAY_LIMIT_MS);
@@ -266,7 +267,7 @@
     }
 
     /// Requests permission to read the store now; returns false if the limit is used up.
-    pub fn take(&self, pause_ms: Millis, now_ms: Millis) -> bool {
+    pub fn try_acquire(&self, pause_ms: Millis, now_ms: Millis) -> bool {
         let is_within = |since_ms: Option<Millis>, span_ms: Millis| {
             since_ms.is_some_and(|since_ms| now_ms < since_ms + span_ms)
         };
@@ -282,12 +283,12 @@
     /// between it asks the relays of other zones. A relay that asked only those could not answer
     /// its zone for a while after the store has recovered, and a leaving server would be sent
     /// requests for longer than the allowed 2.0 s.
-    pub fn takes_relay(&self, now_ms: Millis) -> bool {
-        !self.is_failing() || self.take(RELAY_STORE_READ_PAUSE_MS, now_ms)
+    pub fn allows_relay_read(&self, now_ms: Millis) -> bool {
+        !self.is_failing() || self.try_acquire(RELAY_STORE_READ_PAUSE_MS, now_ms)
     }
 
     /// Records the outcome of a read of the store.
-    pub fn note<T>(&self, result: StoreResult<T>, now_ms: Millis) -> StoreResult<T> {
+    pub fn record_result<T>(&self, result: StoreResult<T>, now_ms: Millis) -> StoreResult<T> {
         match &result {
             Ok(_) => {
                 self.last_success_ms.set(Some(now_ms));
--- a/crates/tinbay-gateway/tests/asking_test.rs
+++ b/crates/tinbay-gateway/tests/asking_test.rs
@@ -4,7 +4,7 @@
 use tinbay_gateway::front::choice::HolderRequests;
 use tinbay_gateway::port::store::StoreError;
 use tinbay_gateway::watch::WatchPace;
-use tinbay_gateway::watch::source::{StoreTurn, StoreTurns};
+use tinbay_gateway::watch::source::{StoreReadLimiter, StoreReadLimiters};
 
 const SERVER: u64 = 7;
 
@@ -45,23 +45,23 @@
 /// two seconds over all prefixes.
 #[test]
 fn store_turn_one_call_until_one_succeeds() {
-    let turn = StoreTurn::default();
-    let take = |now_ms| turn.take(2_000, now_ms);
+    let limiter = StoreReadLimiter::default();
+    let take = |now_ms| limiter.try_acquire(2_000, now_ms);
     assert!(take(0));
     assert!(!take(0) && !take(1_999));
     assert!(take(2_000));
     assert!(!take(2_100));
-    assert_eq!(turn.note(Ok(()), 2_100), Ok(()));
+    assert_eq!(limiter.record_result(Ok(()), 2_100), Ok(()));
     assert!(take(2_100) && take(2_200) && take(4_099));
     assert!(!take(4_100));
 }
 
-fn pace(has_own_turns: bool) -> WatchPace {
+fn pace(has_own_read_limiter: bool) -> WatchPace {
     WatchPace {
         wait_ms: 600,
         gap_ms: 20,
-        begins_stale: false,
-        has_own_turns,
+        allows_stale_start: false,
+        has_own_read_limiter,
     }
 }
 
@@ -69,54 +69,54 @@
 /// once, whatever was read before.
 #[test]
 fn store_turns_of_the_configuration_wait_for_no_other_prefix() {
-    let turns = StoreTurns::default();
-    assert!(turns.of(pace(false)).take(2_000, 0));
-    assert!(!turns.of(pace(false)).take(2_000, 10));
-    assert!(turns.of(pace(true)).take(2_000, 10));
+    let limiters = StoreReadLimiters::default();
+    assert!(limiters.of(pace(false)).try_acquire(2_000, 0));
+    assert!(!limiters.of(pace(false)).try_acquire(2_000, 10));
+    assert!(limiters.of(pace(true)).try_acquire(2_000, 10));
 }
 
 /// A box that reads the store for its zone asks other boxes first while the store rejects it.
 #[test]
 fn note_failure_until_a_read_succeeds() {
-    let turn = StoreTurn::default();
-    assert!(!turn.is_failing());
-    let _ = turn.note::<()>(Err(StoreError::NoAnswer), 100);
-    assert!(turn.is_failing());
-    let _ = turn.note::<()>(Err(StoreError::HistoryGone), 200);
-    assert!(turn.is_failing());
-    let _ = turn.note(Ok(()), 300);
-    assert!(!turn.is_failing());
+    let limiter = StoreReadLimiter::default();
+    assert!(!limiter.is_failing());
+    let _ = limiter.record_result::<()>(Err(StoreError::NoAnswer), 100);
+    assert!(limiter.is_failing());
+    let _ = limiter.record_result::<()>(Err(StoreError::HistoryGone), 200);
+    assert!(limiter.is_failing());
+    let _ = limiter.record_result(Ok(()), 300);
+    assert!(!limiter.is_failing());
 }
 
 /// A relay rejected by the store must keep trying it even while other boxes answer. Otherwise it
 /// would stay out of touch with the store for its zone.
 #[test]
 fn takes_relay_looks_again_after_a_failure() {
-    let turn = StoreTurn::default();
-    assert!(turn.takes_relay(0) && turn.takes_relay(10));
-    let _ = turn.note::<()>(Err(StoreError::NoAnswer), 100);
-    assert!(turn.takes_relay(200));
-    assert!(!turn.takes_relay(300) && !turn.takes_relay(1_199));
-    assert!(turn.takes_relay(1_200));
-    let _ = turn.note(Ok(()), 1_210);
-    assert!(turn.takes_relay(1_220) && turn.takes_relay(1_230));
+    let limiter = StoreReadLimiter::default();
+    assert!(limiter.allows_relay_read(0) && limiter.allows_relay_read(10));
+    let _ = limiter.record_result::<()>(Err(StoreError::NoAnswer), 100);
+    assert!(limiter.allows_relay_read(200));
+    assert!(!limiter.allows_relay_read(300) && !limiter.allows_relay_read(1_199));
+    assert!(limiter.allows_relay_read(1_200));
+    let _ = limiter.record_result(Ok(()), 1_210);
+    assert!(limiter.allows_relay_read(1_220) && limiter.allows_relay_read(1_230));
 }
 
 /// A slow store must still be read: a late answer raises the time-out for the next read.
 #[test]
 fn patience_grows_with_a_slow_store_and_falls_again() {
-    let turn = StoreTurn::default();
-    let least_ms = turn.delay_limit_ms();
-    let no_answer = || turn.note::<()>(Err(StoreError::NoAnswer), 0);
+    let limiter = StoreReadLimiter::default();
+    let least_ms = limiter.delay_limit_ms();
+    let no_answer = || limiter.record_result::<()>(Err(StoreError::NoAnswer), 0);
     assert!(no_answer().is_err());
-    assert_eq!(turn.delay_limit_ms(), 2 * least_ms);
-    turn.note_late(600);
-    assert!(turn.delay_limit_ms() > 1_200);
-    turn.note_late(0);
+    assert_eq!(limiter.delay_limit_ms(), 2 * least_ms);
+    limiter.record_delay(600);
+    assert!(limiter.delay_limit_ms() > 1_200);
+    limiter.record_delay(0);
     assert!(
-        turn.delay_limit_ms() > 1_200,
+        limiter.delay_limit_ms() > 1_200,
         "an early answer tells nothing"
     );
-    turn.note_late(3);
-    assert_eq!(turn.delay_limit_ms(), least_ms);
+    limiter.record_delay(3);
+    assert_eq!(limiter.delay_limit_ms(), least_ms);
 }
