--- a/crates/tinbay-gateway/src/watch/mod.rs
+++ b/crates/tinbay-gateway/src/watch/mod.rs
@@ -130,11 +130,11 @@
     pause_ms: &mut Millis,
 ) -> Result<(), StoreError> {
     let prefix = follower.prefix();
-    let (listing, evidence) = source::list(node, prefix, pace).await?;
+    let (listing, freshness) = source::list(node, prefix, pace).await?;
     node.sync_era();
     follower.reset(&listing);
-    let evidence = evidence.of(follower);
-    node.replica.note_listing(prefix, &listing, evidence);
+    let freshness = freshness.checked_by(follower);
+    node.replica.note_listing(prefix, &listing, freshness);
     let event = StoreEvent {
         prefix,
         error: None,
@@ -152,7 +152,7 @@
     let mut failures = 0;
     loop {
         match source::watch(node, prefix, at, pace).await {
-            Ok((changes, evidence)) => {
+            Ok((changes, freshness)) => {
                 failures = 0;
                 // Positions of different eras can't be compared: list everything again.
                 let Some(later) = at.later_of(changes.at) else {
@@ -163,11 +163,11 @@
                 for change in &changes.changes {
                     apply_change(node, follower, change);
                 }
-                let evidence = evidence.of(follower);
-                node.replica.confirm(prefix, at, evidence);
+                let freshness = freshness.checked_by(follower);
+                node.replica.confirm(prefix, at, freshness);
                 node.members.borrow_mut().note_contact(node.now_ms());
                 if !changes.changes.is_empty() {
-                    let gap_ms = if evidence.passed_on_ms.is_some() {
+                    let gap_ms = if freshness.max_relayed_age_ms.is_some() {
                         pace.gap_ms
                     } else {
                         RELAY_WATCH_GAP_MS
--- a/crates/tinbay-gateway/src/watch/relay/ask.rs
+++ b/crates/tinbay-gateway/src/watch/relay/ask.rs
@@ -16,7 +16,7 @@
 use crate::http::call::{Call, Caller};
 use crate::node::Node;
 use crate::port::store::{Change, Changes, Item, Listing};
-use crate::watch::replica::Evidence;
+use crate::watch::replica::Freshness;
 
 /// Time that an answer may take beyond the requested wait; a round trip between boxes takes some
 /// milliseconds.
@@ -71,10 +71,10 @@
     node: &Node,
     relay: &RelayBox,
     prefix: &str,
-) -> Result<(Listing, Evidence), RelayError> {
+) -> Result<(Listing, Freshness), RelayError> {
     let prefix = prefix.to_string();
     let request = RelayRequest::List { prefix };
-    let (parts, at, evidence) = request_parts(node, relay, &request, LISTING_TIMEOUT_MS).await?;
+    let (parts, at, freshness) = request_parts(node, relay, &request, LISTING_TIMEOUT_MS).await?;
     let items = parts
         .into_iter()
         .filter_map(|part| match part.into_change(at.era) {
@@ -82,7 +82,7 @@
             Change::Gone { .. } => None,
         });
     let items = items.collect();
-    Ok((Listing { items, at }, evidence))
+    Ok((Listing { items, at }, freshness))
 }
 
 /// Asks another box for the items under a prefix that it keeps because a restored store lacks them.
@@ -123,20 +123,20 @@
     prefix: &str,
     after: Position,
     wait_ms: Millis,
-) -> Result<(Changes, Evidence), RelayError> {
+) -> Result<(Changes, Freshness), RelayError> {
     let request = RelayRequest::Watch {
         prefix: prefix.to_string(),
         after,
         wait_ms,
     };
     let timeout_ms = wait_ms + ANSWER_MARGIN_MS;
-    let (parts, at, evidence) = request_parts(node, relay, &request, timeout_ms).await?;
+    let (parts, at, freshness) = request_parts(node, relay, &request, timeout_ms).await?;
     if at.era != after.era {
         return Err(RelayError::HistoryGone);
     }
     let changes = parts.into_iter().map(|part| part.into_change(at.era));
     let changes = changes.collect();
-    Ok((Changes { changes, at }, evidence))
+    Ok((Changes { changes, at }, freshness))
 }
 
 async fn request_parts(
@@ -144,7 +144,7 @@
     relay: &RelayBox,
     request: &RelayRequest,
     timeout_ms: Millis,
-) -> Result<(Vec<ChangePart>, Position, Evidence), RelayError> {
+) -> Result<(Vec<ChangePart>, Position, Freshness), RelayError> {
     let asked_ms = node.now_ms();
     let answer = exchange(node, relay, request, timeout_ms).await;
     if let Some(RelayAnswer::Parts { at, .. }) = &answer {
@@ -163,13 +163,13 @@
             is_complete,
         }) => {
             // The relay sent its answer no earlier than `held_ms` after this box asked.
-            let evidence = Evidence {
+            let freshness = Freshness {
                 confirmed_ms: (asked_ms + held_ms).saturating_sub(age_ms),
-                passed_on_ms: None,
+                max_relayed_age_ms: None,
                 is_complete,
-                is_told_complete: is_complete,
+                is_reported_complete: is_complete,
             };
-            Ok((parts, at, evidence))
+            Ok((parts, at, freshness))
         }
         Some(RelayAnswer::HistoryGone) => Err(RelayError::HistoryGone),
         Some(RelayAnswer::NotInTouch | RelayAnswer::NothingKept) => Err(RelayError::NotInTouch),
--- a/crates/tinbay-gateway/src/watch/replica.rs
+++ b/crates/tinbay-gateway/src/watch/replica.rs
@@ -24,12 +24,12 @@
     /// Latest changes that are sent to other boxes, oldest first.
     log: VecDeque<Change>,
     confirmed_ms: Millis,
-    passed_on_ms: Option<Millis>,
+    max_relayed_age_ms: Option<Millis>,
     /// When the copy was last known to include everything that was ever written.
     complete_ms: Option<Millis>,
     is_complete: bool,
     /// Whether the source of the copy reported it as complete.
-    is_told_complete: bool,
+    is_reported_complete: bool,
 }
 
 /// Local copy of the store, by prefix.
@@ -45,22 +45,22 @@
 
 /// Age, source and completeness of a listing or of changes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Evidence {
+pub struct Freshness {
     /// Latest time at which the copy was certainly up to date.
     pub confirmed_ms: Millis,
     /// Age up to which other boxes are answered from the copy; `None` if it came from another box,
     /// not from the store.
-    pub passed_on_ms: Option<Millis>,
+    pub max_relayed_age_ms: Option<Millis>,
     /// Whether it includes everything that was ever written. False while the store, restored from a
     /// backup, lacks items that were written before.
     pub is_complete: bool,
     /// Whether its source reported it as complete, regardless of the checks of this box.
-    pub is_told_complete: bool,
+    pub is_reported_complete: bool,
 }
 
-impl Evidence {
-    /// Returns the evidence with the completeness check of a follower applied.
-    pub fn of(self, follower: &dyn Follower) -> Self {
+impl Freshness {
+    /// Returns the freshness with the completeness check of a follower applied.
+    pub fn checked_by(self, follower: &dyn Follower) -> Self {
         Self {
             is_complete: self.is_complete && follower.is_complete(),
             ..self
@@ -84,24 +84,24 @@
 
 impl Replica {
     /// Replaces the copy of a prefix with a new listing.
-    pub fn note_listing(&self, prefix: &str, listing: &Listing, evidence: Evidence) {
+    pub fn note_listing(&self, prefix: &str, listing: &Listing, freshness: Freshness) {
         let items = listing.items.iter();
         let mut by_prefix = self.by_prefix.borrow_mut();
         let before = by_prefix.get(prefix);
-        let complete_ms = match evidence.is_complete {
-            true => Some(evidence.confirmed_ms),
+        let complete_ms = match freshness.is_complete {
+            true => Some(freshness.confirmed_ms),
             false => before.and_then(|before| before.complete_ms),
         };
         let copy = PrefixCopy {
             complete_ms,
-            is_complete: evidence.is_complete,
-            is_told_complete: evidence.is_told_complete,
+            is_complete: freshness.is_complete,
+            is_reported_complete: freshness.is_reported_complete,
             items: items.map(|item| (item.key.clone(), item.clone())).collect(),
             log_begins_at: listing.at,
             at: listing.at,
             log: VecDeque::new(),
-            confirmed_ms: evidence.confirmed_ms,
-            passed_on_ms: evidence.passed_on_ms,
+            confirmed_ms: freshness.confirmed_ms,
+            max_relayed_age_ms: freshness.max_relayed_age_ms,
         };
         by_prefix.insert(prefix.to_string(), copy);
         self.changed.notify_waiters();
@@ -135,7 +135,7 @@
 
     /// Records that all changes up to a position have been applied. A position of another era than
     /// the listing is ignored.
-    pub fn confirm(&self, prefix: &str, at: Position, evidence: Evidence) {
+    pub fn confirm(&self, prefix: &str, at: Position, freshness: Freshness) {
         let mut by_prefix = self.by_prefix.borrow_mut();
         let Some(copy) = by_prefix.get_mut(prefix) else {
             return;
@@ -144,12 +144,12 @@
             return;
         };
         copy.at = later;
-        copy.confirmed_ms = copy.confirmed_ms.max(evidence.confirmed_ms);
-        copy.passed_on_ms = evidence.passed_on_ms;
-        copy.is_complete = evidence.is_complete;
-        copy.is_told_complete = evidence.is_told_complete;
-        if evidence.is_complete {
-            copy.complete_ms = copy.complete_ms.max(Some(evidence.confirmed_ms));
+        copy.confirmed_ms = copy.confirmed_ms.max(freshness.confirmed_ms);
+        copy.max_relayed_age_ms = freshness.max_relayed_age_ms;
+        copy.is_complete = freshness.is_complete;
+        copy.is_reported_complete = freshness.is_reported_complete;
+        if freshness.is_complete {
+            copy.complete_ms = copy.complete_ms.max(Some(freshness.confirmed_ms));
         }
         self.confirmed.notify_waiters();
     }
@@ -158,7 +158,7 @@
     pub fn lose(&self, prefix: &str) {
         let mut by_prefix = self.by_prefix.borrow_mut();
         if let Some(copy) = by_prefix.get_mut(prefix) {
-            copy.passed_on_ms = None;
+            copy.max_relayed_age_ms = None;
         }
         self.changed.notify_waiters();
     }
@@ -180,7 +180,7 @@
         let mut by_prefix = self.by_prefix.borrow_mut();
         if let Some(copy) = by_prefix
             .get_mut(prefix)
-            .filter(|copy| copy.is_told_complete)
+            .filter(|copy| copy.is_reported_complete)
         {
             copy.is_complete = true;
             copy.complete_ms = copy.complete_ms.max(Some(copy.confirmed_ms));
@@ -211,7 +211,7 @@
         let by_prefix = self.by_prefix.borrow();
         let copy = by_prefix.get(prefix)?;
         let age_ms = now_ms.saturating_sub(copy.confirmed_ms);
-        (age_ms < copy.passed_on_ms?).then_some(age_ms)
+        (age_ms < copy.max_relayed_age_ms?).then_some(age_ms)
     }
 
     /// Copy of a prefix in the form of a listing.
--- a/crates/tinbay-gateway/src/watch/source.rs
+++ b/crates/tinbay-gateway/src/watch/source.rs
@@ -11,7 +11,7 @@
 use tinbay_core::units::Millis;
 
 use super::relay::{self, RelayBox, RelayError, Relays};
-use super::replica::Evidence;
+use super::replica::Freshness;
 use super::{WatchPace, counted};
 use crate::events::{self, part};
 use crate::node::Node;
@@ -28,13 +28,13 @@
 /// boxes from.
 const COPY_AGE_MARGIN_MS: Millis = 250;
 
-/// Evidence of a listing that may be some seconds old: it confirms nothing, and no other box is
+/// Freshness of a listing that may be some seconds old: it confirms nothing, and no other box is
 /// answered from it.
-const STALE_LISTING_EVIDENCE: Evidence = Evidence {
+const STALE_LISTING_FRESHNESS: Freshness = Freshness {
     confirmed_ms: 0,
-    passed_on_ms: None,
+    max_relayed_age_ms: None,
     is_complete: false,
-    is_told_complete: false,
+    is_reported_complete: false,
 };
 
 /// Pause between reads of the store by a box that is not a relay, while none succeeds.
@@ -70,7 +70,7 @@
 /// # Errors
 /// When neither a relay nor the store answers, or the rate limit keeps this box from reading the
 /// store now.
-pub async fn list(node: &Node, prefix: &str, pace: WatchPace) -> StoreResult<(Listing, Evidence)> {
+pub async fn list(node: &Node, prefix: &str, pace: WatchPace) -> StoreResult<(Listing, Freshness)> {
     let limiter = node.store_read_limiters.of(pace);
     let sources = Sources::choose(node, limiter);
     for relay in sources.to_ask() {
@@ -89,12 +89,12 @@
     for item in &mut listing.items {
         replace_account_keys(node, item);
     }
-    let evidence = if is_stale {
-        STALE_LISTING_EVIDENCE
+    let freshness = if is_stale {
+        STALE_LISTING_FRESHNESS
     } else {
         from_store(asked_ms, pace)
     };
-    Ok((listing, evidence))
+    Ok((listing, freshness))
 }
 
 /// Waits for changes under a prefix after a position.
@@ -106,7 +106,7 @@
     prefix: &str,
     after: Position,
     pace: WatchPace,
-) -> StoreResult<(Changes, Evidence)> {
+) -> StoreResult<(Changes, Freshness)> {
     let limiter = node.store_read_limiters.of(pace);
     let sources = Sources::choose(node, limiter);
     for relay in sources.to_ask() {
@@ -158,15 +158,15 @@
     };
 }
 
-/// Evidence of an answer of the store. Other boxes are answered from it until the next watch is
+/// Freshness of an answer of the store. Other boxes are answered from it until the next watch is
 /// overdue.
-fn from_store(confirmed_ms: Millis, pace: WatchPace) -> Evidence {
-    let passed_on_ms = 2 * pace.wait_ms + 2 * pace.gap_ms + COPY_AGE_MARGIN_MS;
-    Evidence {
+fn from_store(confirmed_ms: Millis, pace: WatchPace) -> Freshness {
+    let max_relayed_age_ms = 2 * pace.wait_ms + 2 * pace.gap_ms + COPY_AGE_MARGIN_MS;
+    Freshness {
         confirmed_ms,
-        passed_on_ms: Some(passed_on_ms),
+        max_relayed_age_ms: Some(max_relayed_age_ms),
         is_complete: true,
-        is_told_complete: true,
+        is_reported_complete: true,
     }
 }
 
--- a/crates/tinbay-gateway/tests/replica_test.rs
+++ b/crates/tinbay-gateway/tests/replica_test.rs
@@ -2,7 +2,7 @@
 
 use tinbay_core::serving::position::{Era, Position};
 use tinbay_gateway::port::store::{Change, Item, Listing};
-use tinbay_gateway::watch::replica::{Evidence, Replica, Since};
+use tinbay_gateway::watch::replica::{Freshness, Replica, Since};
 
 const PREFIX: &str = "a/";
 
@@ -19,12 +19,12 @@
     }
 }
 
-fn evidence(confirmed_ms: u64, is_from_store: bool) -> Evidence {
-    Evidence {
+fn freshness(confirmed_ms: u64, is_from_store: bool) -> Freshness {
+    Freshness {
         confirmed_ms,
-        passed_on_ms: is_from_store.then_some(2_000),
+        max_relayed_age_ms: is_from_store.then_some(2_000),
         is_complete: true,
-        is_told_complete: true,
+        is_reported_complete: true,
     }
 }
 
@@ -34,7 +34,7 @@
         items: vec![item("a/1", 5), item("a/2", 6)],
         at: at(10),
     };
-    replica.note_listing(PREFIX, &listing, evidence(1_000, is_from_store));
+    replica.note_listing(PREFIX, &listing, freshness(1_000, is_from_store));
     replica
 }
 
@@ -66,7 +66,7 @@
         position: at(12),
     };
     replica.note_change(PREFIX, &gone, true);
-    replica.confirm(PREFIX, at(12), evidence(1_500, true));
+    replica.confirm(PREFIX, at(12), freshness(1_500, true));
     assert_eq!(
         changes(replica.since(PREFIX, at(10))),
         Some((vec![11, 12], 12))
@@ -95,7 +95,7 @@
 fn note_change_not_passed_on_stands_in_the_listing_alone() {
     let replica = listed(true);
     replica.note_change(PREFIX, &Change::Put(item("a/1", 11)), false);
-    replica.confirm(PREFIX, at(11), evidence(1_500, true));
+    replica.confirm(PREFIX, at(11), freshness(1_500, true));
     assert_eq!(changes(replica.since(PREFIX, at(10))), Some((vec![], 11)));
     assert_eq!(replica.item(PREFIX, "a/1"), Some(item("a/1", 11)));
 }
@@ -112,7 +112,7 @@
     let replica = listed(true);
     replica.lose(PREFIX);
     assert_eq!(replica.age_ms(PREFIX, 1_200), None);
-    replica.confirm(PREFIX, at(10), evidence(1_300, true));
+    replica.confirm(PREFIX, at(10), freshness(1_300, true));
     assert_eq!(replica.age_ms(PREFIX, 1_400), Some(100));
 }
 
@@ -131,7 +131,7 @@
 fn confirm_of_another_era_confirms_nothing() {
     let replica = listed(true);
     let next = Position::new(Era(2), 50);
-    replica.confirm(PREFIX, next, evidence(9_000, true));
+    replica.confirm(PREFIX, next, freshness(9_000, true));
     assert_eq!(replica.confirmed_ms(PREFIX), Some(1_000));
     assert_eq!(replica.at(PREFIX), Some(at(10)));
 }
@@ -140,9 +140,9 @@
 #[test]
 fn complete_stays_behind_while_the_store_lacks_something() {
     let replica = listed(true);
-    let lacking = Evidence {
+    let lacking = Freshness {
         is_complete: false,
-        ..evidence(4_000, true)
+        ..freshness(4_000, true)
     };
     let listing = Listing {
         items: vec![item("a/1", 5)],
@@ -153,7 +153,7 @@
     assert_eq!(replica.complete_ms(PREFIX), Some(1_000));
     assert!(!replica.is_complete(PREFIX));
     let next = Position::new(Era(2), 8);
-    replica.confirm(PREFIX, next, evidence(5_000, true));
+    replica.confirm(PREFIX, next, freshness(5_000, true));
     assert_eq!(replica.complete_ms(PREFIX), Some(5_000));
 }
 
@@ -161,9 +161,9 @@
 /// the box that it came from reported otherwise.
 #[test]
 fn note_complete_counts_from_what_was_last_seen() {
-    let unsure = Evidence {
+    let unsure = Freshness {
         is_complete: false,
-        ..evidence(4_000, true)
+        ..freshness(4_000, true)
     };
     let listing = Listing {
         items: Vec::new(),
@@ -174,8 +174,8 @@
     assert_eq!(replica.complete_ms(PREFIX), None);
     replica.note_complete(PREFIX);
     assert_eq!(replica.complete_ms(PREFIX), Some(4_000));
-    let told = Evidence {
-        is_told_complete: false,
+    let told = Freshness {
+        is_reported_complete: false,
         ..unsure
     };
     let replica = Replica::default();
