--- a/crates/tinbay-gateway/src/orders/era_mark.rs
+++ b/crates/tinbay-gateway/src/orders/era_mark.rs
@@ -27,16 +27,16 @@
 pub fn take(node: &Node, item: &Item) {
     if let Ok(mark) = serde_json::from_slice::<Mark>(&item.value) {
         node.claims.borrow_mut().note_settled(mark.era);
-        note_complete(node);
+        mark_complete(node);
     }
 }
 
 /// Marks the replica as complete once the era is settled, as nothing from an earlier era can be
 /// missing then. Without this a starting box would refuse all keys until its next read of the
 /// configuration, which can take 2 s.
-fn note_complete(node: &Node) {
+fn mark_complete(node: &Node) {
     if node.unsettled_era().is_none() && node.kept_items.borrow().is_empty() {
-        node.replica.note_complete(&node.dialect.keys().operator);
+        node.replica.mark_complete(&node.dialect.keys().operator);
     }
 }
 
--- a/crates/tinbay-gateway/src/watch/mod.rs
+++ b/crates/tinbay-gateway/src/watch/mod.rs
@@ -105,7 +105,7 @@
             Ok(()) => continue,
             Err(error) => error,
         };
-        node.replica.lose(follower.prefix());
+        node.replica.mark_unconfirmed(follower.prefix());
         if !is_lost {
             is_lost = true;
             let event = StoreEvent {
@@ -134,7 +134,7 @@
     node.sync_era();
     follower.reset(&listing);
     let freshness = freshness.checked_by(follower);
-    node.replica.note_listing(prefix, &listing, freshness);
+    node.replica.record_listing(prefix, &listing, freshness);
     let event = StoreEvent {
         prefix,
         error: None,
@@ -182,7 +182,7 @@
             Err(error) if failures >= 1 => return Err(error),
             Err(error) => {
                 failures += 1;
-                node.replica.lose(prefix);
+                node.replica.mark_unconfirmed(prefix);
                 // A call without answer has already waited for its timeout. The retry is sent at
                 // once, as another relay may have the changes by now.
                 if error != StoreError::NoAnswer {
@@ -214,7 +214,7 @@
             .is_none_or(|before| follower.is_relayed(&before, item)),
         Change::Gone { .. } => true,
     };
-    node.replica.note_change(prefix, change, is_relayed);
+    node.replica.record_change(prefix, change, is_relayed);
     follower.apply(change);
 }
 
--- a/crates/tinbay-gateway/src/watch/relay/answer.rs
+++ b/crates/tinbay-gateway/src/watch/relay/answer.rs
@@ -8,7 +8,7 @@
 use super::message::{ChangePart, RelayAnswer, RelayRequest};
 use crate::node::Node;
 use crate::port::store::Item;
-use crate::watch::replica::Since;
+use crate::watch::replica::ChangesSince;
 
 /// Upper bound of the wait that a request may ask for.
 const MAX_WAIT_MS: Millis = 10_000;
@@ -86,8 +86,8 @@
         };
         match node.replica.since(prefix, after) {
             None => return RelayAnswer::NotInTouch,
-            Some(Since::HistoryGone) => return RelayAnswer::HistoryGone,
-            Some(Since::Changes { changes, at }) => {
+            Some(ChangesSince::HistoryGone) => return RelayAnswer::HistoryGone,
+            Some(ChangesSince::Changes { changes, at }) => {
                 let is_over = tokio::time::Instant::now() >= end || node.is_leaving.get();
                 if is_over || !changes.is_empty() {
                     return RelayAnswer::Parts {
--- a/crates/tinbay-gateway/src/watch/replica.rs
+++ b/crates/tinbay-gateway/src/watch/replica.rs
@@ -70,7 +70,7 @@
 
 /// Answer to a box that asks for the changes after a position.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Since {
+pub enum ChangesSince {
     /// The later changes are known in full.
     Changes {
         /// The changes, oldest first.
@@ -84,7 +84,7 @@
 
 impl Replica {
     /// Replaces the copy of a prefix with a new listing.
-    pub fn note_listing(&self, prefix: &str, listing: &Listing, freshness: Freshness) {
+    pub fn record_listing(&self, prefix: &str, listing: &Listing, freshness: Freshness) {
         let items = listing.items.iter();
         let mut by_prefix = self.by_prefix.borrow_mut();
         let before = by_prefix.get(prefix);
@@ -109,7 +109,7 @@
     }
 
     /// Applies one change; `is_relayed` is false if other boxes need not be sent it at once.
-    pub fn note_change(&self, prefix: &str, change: &Change, is_relayed: bool) {
+    pub fn record_change(&self, prefix: &str, change: &Change, is_relayed: bool) {
         let mut by_prefix = self.by_prefix.borrow_mut();
         let Some(copy) = by_prefix.get_mut(prefix) else {
             return;
@@ -155,7 +155,7 @@
     }
 
     /// Records that a read failed: no box is answered from the copy until it is confirmed again.
-    pub fn lose(&self, prefix: &str) {
+    pub fn mark_unconfirmed(&self, prefix: &str) {
         let mut by_prefix = self.by_prefix.borrow_mut();
         if let Some(copy) = by_prefix.get_mut(prefix) {
             copy.max_relayed_age_ms = None;
@@ -176,7 +176,7 @@
     }
 
     /// Marks the copy as including everything ever written, unless its source reported otherwise.
-    pub fn note_complete(&self, prefix: &str) {
+    pub fn mark_complete(&self, prefix: &str) {
         let mut by_prefix = self.by_prefix.borrow_mut();
         if let Some(copy) = by_prefix
             .get_mut(prefix)
@@ -229,21 +229,21 @@
     ///
     /// Comparing only the revisions of positions of different eras would leave the asking box on an
     /// outdated configuration for good.
-    pub fn since(&self, prefix: &str, after: Position) -> Option<Since> {
+    pub fn since(&self, prefix: &str, after: Position) -> Option<ChangesSince> {
         let by_prefix = self.by_prefix.borrow();
         let copy = by_prefix.get(prefix)?;
         let Some(at) = copy.at.later_of(after) else {
             let is_behind = copy.at.era < after.era;
-            return (!is_behind).then_some(Since::HistoryGone);
+            return (!is_behind).then_some(ChangesSince::HistoryGone);
         };
         if !after.covers(copy.log_begins_at) {
-            return Some(Since::HistoryGone);
+            return Some(ChangesSince::HistoryGone);
         }
         let newer = copy
             .log
             .iter()
             .filter(|change| !after.covers(change.position()));
-        Some(Since::Changes {
+        Some(ChangesSince::Changes {
             changes: newer.cloned().collect(),
             at,
         })
--- a/crates/tinbay-gateway/tests/replica_test.rs
+++ b/crates/tinbay-gateway/tests/replica_test.rs
@@ -2,7 +2,7 @@
 
 use tinbay_core::serving::position::{Era, Position};
 use tinbay_gateway::port::store::{Change, Item, Listing};
-use tinbay_gateway::watch::replica::{Freshness, Replica, Since};
+use tinbay_gateway::watch::replica::{ChangesSince, Freshness, Replica};
 
 const PREFIX: &str = "a/";
 
@@ -34,38 +34,41 @@
         items: vec![item("a/1", 5), item("a/2", 6)],
         at: at(10),
     };
-    replica.note_listing(PREFIX, &listing, freshness(1_000, is_from_store));
+    replica.record_listing(PREFIX, &listing, freshness(1_000, is_from_store));
     replica
 }
 
-fn changes(since: Option<Since>) -> Option<(Vec<u64>, u64)> {
+fn changes(since: Option<ChangesSince>) -> Option<(Vec<u64>, u64)> {
     match since? {
-        Since::Changes { changes, at } => Some((
+        ChangesSince::Changes { changes, at } => Some((
             changes
                 .iter()
                 .map(|change| change.position().revision)
                 .collect(),
             at.revision,
         )),
-        Since::HistoryGone => None,
+        ChangesSince::HistoryGone => None,
     }
 }
 
 #[test]
 fn since_before_the_listing_is_gone() {
-    assert_eq!(listed(true).since(PREFIX, at(9)), Some(Since::HistoryGone));
+    assert_eq!(
+        listed(true).since(PREFIX, at(9)),
+        Some(ChangesSince::HistoryGone)
+    );
     assert_eq!(listed(true).since("b/", at(9)), None);
 }
 
 #[test]
 fn since_gives_what_is_newer() {
     let replica = listed(true);
-    replica.note_change(PREFIX, &Change::Put(item("a/1", 11)), true);
+    replica.record_change(PREFIX, &Change::Put(item("a/1", 11)), true);
     let gone = Change::Gone {
         key: "a/2".into(),
         position: at(12),
     };
-    replica.note_change(PREFIX, &gone, true);
+    replica.record_change(PREFIX, &gone, true);
     replica.confirm(PREFIX, at(12), freshness(1_500, true));
     assert_eq!(
         changes(replica.since(PREFIX, at(10))),
@@ -94,7 +97,7 @@
 #[test]
 fn note_change_not_passed_on_stands_in_the_listing_alone() {
     let replica = listed(true);
-    replica.note_change(PREFIX, &Change::Put(item("a/1", 11)), false);
+    replica.record_change(PREFIX, &Change::Put(item("a/1", 11)), false);
     replica.confirm(PREFIX, at(11), freshness(1_500, true));
     assert_eq!(changes(replica.since(PREFIX, at(10))), Some((vec![], 11)));
     assert_eq!(replica.item(PREFIX, "a/1"), Some(item("a/1", 11)));
@@ -110,7 +113,7 @@
 #[test]
 fn lose_ends_passing_on_until_the_store_answers() {
     let replica = listed(true);
-    replica.lose(PREFIX);
+    replica.mark_unconfirmed(PREFIX);
     assert_eq!(replica.age_ms(PREFIX, 1_200), None);
     replica.confirm(PREFIX, at(10), freshness(1_300, true));
     assert_eq!(replica.age_ms(PREFIX, 1_400), Some(100));
@@ -123,7 +126,10 @@
     let replica = listed(true);
     let before = Position::new(Era(0), 10);
     let after = Position::new(Era(2), 10);
-    assert_eq!(replica.since(PREFIX, before), Some(Since::HistoryGone));
+    assert_eq!(
+        replica.since(PREFIX, before),
+        Some(ChangesSince::HistoryGone)
+    );
     assert_eq!(replica.since(PREFIX, after), None);
 }
 
@@ -148,7 +154,7 @@
         items: vec![item("a/1", 5)],
         at: Position::new(Era(2), 7),
     };
-    replica.note_listing(PREFIX, &listing, lacking);
+    replica.record_listing(PREFIX, &listing, lacking);
     assert_eq!(replica.confirmed_ms(PREFIX), Some(4_000));
     assert_eq!(replica.complete_ms(PREFIX), Some(1_000));
     assert!(!replica.is_complete(PREFIX));
@@ -170,16 +176,16 @@
         at: at(7),
     };
     let replica = Replica::default();
-    replica.note_listing(PREFIX, &listing, unsure);
+    replica.record_listing(PREFIX, &listing, unsure);
     assert_eq!(replica.complete_ms(PREFIX), None);
-    replica.note_complete(PREFIX);
+    replica.mark_complete(PREFIX);
     assert_eq!(replica.complete_ms(PREFIX), Some(4_000));
     let told = Freshness {
         is_reported_complete: false,
         ..unsure
     };
     let replica = Replica::default();
-    replica.note_listing(PREFIX, &listing, told);
-    replica.note_complete(PREFIX);
+    replica.record_listing(PREFIX, &listing, told);
+    replica.mark_complete(PREFIX);
     assert_eq!(replica.complete_ms(PREFIX), None);
 }
