--- a/crates/tinbay-gateway/src/watch/access.rs
+++ b/crates/tinbay-gateway/src/watch/access.rs
@@ -88,7 +88,7 @@
     /// Whether an era reported by another box is the present one. An era later than the known one
     /// is checked with the cheapest read of the store; if the store does not answer, the reported
     /// era is assumed until the store names another one.
-    pub async fn confirm_told(&self, era: Era) -> bool {
+    pub async fn verify_era(&self, era: Era) -> bool {
         if self.is_present(era) {
             return true;
         }
--- a/crates/tinbay-gateway/src/watch/relay/ask.rs
+++ b/crates/tinbay-gateway/src/watch/relay/ask.rs
@@ -148,7 +148,7 @@
     let asked_ms = node.now_ms();
     let answer = exchange(node, relay, request, timeout_ms).await;
     if let Some(RelayAnswer::Parts { at, .. }) = &answer {
-        node.store.confirm_told(at.era).await;
+        node.store.verify_era(at.era).await;
     }
     let result = match answer {
         // The relay has not noticed the latest restore of the store yet.
--- a/crates/tinbay-gateway/tests/access_test.rs
+++ b/crates/tinbay-gateway/tests/access_test.rs
@@ -225,7 +225,7 @@
     let (access, eras) = access();
     see(&access, &eras, 1);
     eras.name(&[Some(2)]);
-    let is_present = access.confirm_told(Era(2)).now_or_never();
+    let is_present = access.verify_era(Era(2)).now_or_never();
     assert_eq!(is_present, Some(true));
     assert!(access.next_restore().is_some());
 }
@@ -236,7 +236,7 @@
     let (access, eras) = access();
     see(&access, &eras, 1);
     eras.name(&[Some(1)]);
-    let is_present = access.confirm_told(Era(9)).now_or_never();
+    let is_present = access.verify_era(Era(9)).now_or_never();
     assert_eq!(is_present, Some(false));
     assert_eq!(access.era(), Some(Era(1)));
 }
@@ -245,7 +245,7 @@
 fn confirm_told_earlier_era_is_over() {
     let (access, eras) = access();
     see(&access, &eras, 2);
-    assert_eq!(access.confirm_told(Era(1)).now_or_never(), Some(false));
+    assert_eq!(access.verify_era(Era(1)).now_or_never(), Some(false));
 }
 
 /// While the store is unreachable, another box's report counts until the store answers.
@@ -254,7 +254,7 @@
     let (access, eras) = access();
     see(&access, &eras, 1);
     eras.lose(1);
-    assert_eq!(access.confirm_told(Era(9)).now_or_never(), Some(true));
+    assert_eq!(access.verify_era(Era(9)).now_or_never(), Some(true));
     see(&access, &eras, 1);
     assert_eq!(access.era(), Some(Era(1)));
 }
