--- a/crates/tinbay-gateway/src/crashes/spread.rs
+++ b/crates/tinbay-gateway/src/crashes/spread.rs
@@ -92,10 +92,10 @@
             .post(box_id, FramePart::Refused(refused.clone()));
     }
     let relays = relay::relays(node);
-    if audience == Audience::AsRelay && !relays.is_one {
+    if audience == Audience::AsRelay && !relays.includes_self {
         return;
     }
-    for zone in relays.far_by_zone {
+    for zone in relays.ids_by_other_zone {
         if let Some(box_id) = zone.choose(&mut rand::rng()) {
             node.outbox
                 .post(box_id, FramePart::Refused(refused.clone()));
--- a/crates/tinbay-gateway/src/peers/gossip.rs
+++ b/crates/tinbay-gateway/src/peers/gossip.rs
@@ -48,14 +48,14 @@
     // Relays of other zones report only to boxes that they see in the store. A box whose entry has
     // expired would get no reports and take these relays for silent; two boxes could then act as
     // home of the same limit and together grant twice its units.
-    if !relays.is_one || !node.is_surely_registered() {
+    if !relays.includes_self || !node.is_surely_registered() {
         return;
     }
     let now_ms = node.now_ms();
     {
         let mut members = node.members.borrow_mut();
         for reporter in relays
-            .far_by_zone
+            .ids_by_other_zone
             .iter()
             .filter_map(|relays| relays.first())
         {
@@ -74,7 +74,7 @@
     };
     let mut rng = rand::rng();
     let refused = spread::refused_part(node);
-    let mut other_zones = relays.far_by_zone;
+    let mut other_zones = relays.ids_by_other_zone;
     other_zones.shuffle(&mut rng);
     for relays in other_zones.iter().take(ZONES_PER_ROUND) {
         if let Some(box_id) = relays.choose(&mut rng) {
--- a/crates/tinbay-gateway/src/watch/mod.rs
+++ b/crates/tinbay-gateway/src/watch/mod.rs
@@ -196,7 +196,7 @@
 /// Delays the listing that each box makes after a restore of the store. Relays list without delay,
 /// so that they can answer the other boxes.
 async fn delay_listing(node: &Node) {
-    if !node.store.is_being_rewritten() || relay::relays(node).is_one {
+    if !node.store.is_being_rewritten() || relay::relays(node).includes_self {
         return;
     }
     let boxes = node.box_count.get() as Millis;
--- a/crates/tinbay-gateway/src/watch/relay/selection.rs
+++ b/crates/tinbay-gateway/src/watch/relay/selection.rs
@@ -13,11 +13,11 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Relays {
     /// Whether this box is a relay and so reads the store itself.
-    pub is_one: bool,
+    pub includes_self: bool,
     /// Relays to ask, in order of preference; those that failed recently are left out.
     pub to_ask: Vec<RelayBox>,
     /// Ids of the relays of other zones, grouped by zone.
-    pub far_by_zone: Vec<Vec<String>>,
+    pub ids_by_other_zone: Vec<Vec<String>>,
 }
 
 /// Computes the present relays of this box.
@@ -47,7 +47,7 @@
         .iter()
         .map(|(zone, boxes)| relays_of(zone, boxes))
         .collect();
-    let is_one = own_zone_relays.contains(&own.id);
+    let includes_self = own_zone_relays.contains(&own.id);
     let mut other_relays_of_zone = own_zone_relays;
     other_relays_of_zone.retain(|id| *id != own.id);
     let failed = node.failed_relays.borrow();
@@ -63,8 +63,8 @@
         .collect();
     let to_ids = |relays: Vec<&str>| relays.into_iter().map(str::to_string).collect();
     Relays {
-        is_one,
+        includes_self,
         to_ask,
-        far_by_zone: other_zone_relays.into_iter().map(to_ids).collect(),
+        ids_by_other_zone: other_zone_relays.into_iter().map(to_ids).collect(),
     }
 }
--- a/crates/tinbay-gateway/src/watch/returns.rs
+++ b/crates/tinbay-gateway/src/watch/returns.rs
@@ -54,7 +54,7 @@
     node.sync_era();
     // All boxes know the same quarantined requests, so only relays write them: otherwise all boxes
     // of the fleet would save the same entries.
-    let writes_refused = relay::relays(node).is_one;
+    let writes_refused = relay::relays(node).includes_self;
     let refused_to_write = if writes_refused {
         crashes::save_again(node)
     } else {
--- a/crates/tinbay-gateway/src/watch/source.rs
+++ b/crates/tinbay-gateway/src/watch/source.rs
@@ -180,7 +180,7 @@
 impl Sources {
     fn choose(node: &Node, limiter: &StoreReadLimiter) -> Self {
         let relays = relay::relays(node);
-        let reads_itself = relays.is_one && limiter.allows_relay_read(node.now_ms());
+        let reads_itself = relays.includes_self && limiter.allows_relay_read(node.now_ms());
         Self {
             relays,
             reads_itself,
@@ -199,7 +199,7 @@
     /// Whether this box may read the store itself now.
     fn check_limiter(&self, node: &Node, limiter: &StoreReadLimiter) -> StoreResult<()> {
         let is_allowed =
-            !self.relays.is_one && limiter.try_acquire(STORE_READ_PAUSE_MS, node.now_ms());
+            !self.relays.includes_self && limiter.try_acquire(STORE_READ_PAUSE_MS, node.now_ms());
         if self.reads_itself || is_allowed {
             return Ok(());
         }
