--- a/crates/tinbay-gateway/src/limits/home.rs
+++ b/crates/tinbay-gateway/src/limits/home.rs
@@ -206,6 +206,6 @@
             listed.max(ASSUMED_FLEET_SIZE)
         },
         reached: heard as f64 / listed as f64,
-        is_reliable: is_entered && members.may_keep(now_ms),
+        is_reliable: is_entered && members.may_hold_exclusive_role(now_ms),
     }
 }
--- a/crates/tinbay-gateway/src/members.rs
+++ b/crates/tinbay-gateway/src/members.rs
@@ -119,7 +119,7 @@
     }
 
     /// Records contact with another box or with the store.
-    pub fn note_contact(&mut self, now_ms: Millis) {
+    pub fn record_contact(&mut self, now_ms: Millis) {
         let contact = match self.contact {
             Some(contact) if now_ms < contact.last_ms + MAX_CONTACT_GAP_MS => Contact {
                 last_ms: now_ms,
@@ -138,7 +138,7 @@
     /// other box can have taken it for failed meanwhile. A box that has just started may do so at
     /// once. If it first had to be in contact for `SILENT_AFTER_MS`, no box could hold such a role for
     /// that long after a restart of the whole fleet, and many requests would be refused.
-    pub fn may_keep(&self, now_ms: Millis) -> bool {
+    pub fn may_hold_exclusive_role(&self, now_ms: Millis) -> bool {
         let is_in_first_contact = self.contact.is_some_and(|contact| {
             contact.is_first && now_ms < contact.last_ms + MAX_CONTACT_GAP_MS
         });
@@ -156,7 +156,7 @@
 
     /// Boxes of this zone that no box of the zone hears, as reported to other zones. Empty if this
     /// box may have been cut off itself, or if more than half of its zone is missing.
-    pub fn silent_near(&self, own_id: &str, now_ms: Millis) -> Vec<Fingerprint> {
+    pub fn silent_in_own_zone(&self, own_id: &str, now_ms: Millis) -> Vec<Fingerprint> {
         if !self.can_detect_failures(now_ms) {
             return Vec::new();
         }
@@ -182,7 +182,7 @@
 
     /// Records a box's report of the silent boxes in its zone; boxes that it does not name are no
     /// longer silent. Returns whether a box is newly silent.
-    pub fn note_zone_report(
+    pub fn record_zone_report(
         &mut self,
         reporter: &str,
         silent: &[Fingerprint],
@@ -203,7 +203,7 @@
         }
         let mut is_new = false;
         for fingerprint in silent {
-            is_new |= self.note_silent(*fingerprint, now_ms);
+            is_new |= self.record_silence_report(*fingerprint, now_ms);
         }
         is_new
     }
@@ -214,7 +214,7 @@
     }
 
     /// Records that another box received a report from a zone at `heard_ms`.
-    pub fn hear_zone_at(&mut self, zone: Fingerprint, heard_ms: Millis) {
+    pub fn record_zone_heard(&mut self, zone: Fingerprint, heard_ms: Millis) {
         if zone == zone_fingerprint(&self.zone) {
             return;
         }
@@ -251,7 +251,7 @@
 
     /// Marks the last reporting box of each zone that stopped reporting as silent: in a zone of one
     /// box no other box can report it.
-    pub fn judge_zone_reporters(&mut self, now_ms: Millis) {
+    pub fn mark_silent_zone_reporters(&mut self, now_ms: Millis) {
         if !self.can_detect_failures(now_ms) {
             return;
         }
@@ -264,13 +264,13 @@
             .filter_map(|reporter| Some(box_fingerprint(reporter.id.as_deref()?)))
             .collect();
         for fingerprint in silent {
-            self.note_silent(fingerprint, now_ms);
+            self.record_silence_report(fingerprint, now_ms);
         }
     }
 
     /// Records another zone's report, made at `report_ms`, that a box there is silent. Returns
     /// whether the box is newly silent.
-    pub fn note_silent(&mut self, fingerprint: Fingerprint, report_ms: Millis) -> bool {
+    pub fn record_silence_report(&mut self, fingerprint: Fingerprint, report_ms: Millis) -> bool {
         let Some(id) = self.ids.get(&fingerprint) else {
             return false;
         };
@@ -286,7 +286,7 @@
     }
 
     /// Boxes of other zones that are reported as silent, with the age of the report.
-    pub fn silent_far(&self, now_ms: Millis) -> Vec<(Fingerprint, Millis)> {
+    pub fn silent_in_other_zones(&self, now_ms: Millis) -> Vec<(Fingerprint, Millis)> {
         let members = self.by_id.iter();
         let reported = members.filter_map(|(id, member)| {
             let age_ms = now_ms.saturating_sub(member.silence_reported_ms?);
@@ -317,14 +317,14 @@
     }
 
     /// Records that the watch was interrupted: unlisted boxes count as unlisted only from now on.
-    pub fn note_break(&mut self, now_ms: Millis) {
+    pub fn record_watch_gap(&mut self, now_ms: Millis) {
         for member in self.by_id.values_mut().filter(|member| !member.listed) {
             member.listed_changed_ms = now_ms;
         }
     }
 
     /// Records a message from a box; ignored for boxes of other zones.
-    pub fn hear(&mut self, id: &str, now_ms: Millis) {
+    pub fn record_heard(&mut self, id: &str, now_ms: Millis) {
         if let Some(member) = self.by_id.get_mut(id)
             && member.record.zone == self.zone
         {
@@ -333,11 +333,11 @@
     }
 
     /// Records that another box heard a box at `heard_ms`.
-    pub fn hear_at(&mut self, fingerprint: Fingerprint, heard_ms: Millis) {
+    pub fn record_heard_at(&mut self, fingerprint: Fingerprint, heard_ms: Millis) {
         let Some(id) = self.ids.get(&fingerprint).cloned() else {
             return;
         };
-        self.hear(&id, heard_ms);
+        self.record_heard(&id, heard_ms);
     }
 
     /// Boxes of this zone that were heard recently, with the time since then.
@@ -349,9 +349,9 @@
     }
 
     /// Records a box's own record from its message.
-    pub fn note_hello(&mut self, id: &str, record: MemberRecord, now_ms: Millis) {
+    pub fn record_hello(&mut self, id: &str, record: MemberRecord, now_ms: Millis) {
         self.upsert(id, record, now_ms);
-        self.hear(id, now_ms);
+        self.record_heard(id, now_ms);
     }
 
     /// Stores a box's new record; a box not known before starts as neither listed nor heard.
--- a/crates/tinbay-gateway/src/peers/gossip.rs
+++ b/crates/tinbay-gateway/src/peers/gossip.rs
@@ -31,7 +31,7 @@
 
 /// Sends the known silent boxes of other zones to some boxes of this zone.
 pub fn post_silent(node: &Node) {
-    let mut silent = to_ages(node.members.borrow().silent_far(node.now_ms()));
+    let mut silent = to_ages(node.members.borrow().silent_in_other_zones(node.now_ms()));
     if silent.is_empty() {
         return;
     }
@@ -61,11 +61,11 @@
         {
             members.expect_zone_reporter(reporter, now_ms);
         }
-        members.judge_zone_reporters(now_ms);
+        members.mark_silent_zone_reporters(now_ms);
     }
     let report = {
         let members = node.members.borrow();
-        let mut silent = members.silent_near(&node.settings.borrow().box_id, now_ms);
+        let mut silent = members.silent_in_own_zone(&node.settings.borrow().box_id, now_ms);
         silent.truncate(MAX_SILENT);
         ZoneReportPart {
             silent,
--- a/crates/tinbay-gateway/src/peers/inbox.rs
+++ b/crates/tinbay-gateway/src/peers/inbox.rs
@@ -83,14 +83,14 @@
     let now_ms = node.now_ms();
     {
         let mut members = node.members.borrow_mut();
-        members.note_contact(now_ms);
-        members.hear(&frame.box_id, now_ms);
+        members.record_contact(now_ms);
+        members.record_heard(&frame.box_id, now_ms);
     }
     for part in frame.parts {
         match part {
             FramePart::Hello(record) => {
                 let mut members = node.members.borrow_mut();
-                members.note_hello(&frame.box_id, record, now_ms);
+                members.record_hello(&frame.box_id, record, now_ms);
             }
             FramePart::LastHeard(heard) => handle_last_heard(node, &heard, now_ms),
             FramePart::ZoneReport(report) => {
@@ -145,14 +145,14 @@
     let mut members = node.members.borrow_mut();
     for (fingerprint, age_ms) in heard {
         let heard_ms = now_ms.saturating_sub(Millis::from(*age_ms));
-        members.hear_at(*fingerprint, heard_ms);
+        members.record_heard_at(*fingerprint, heard_ms);
     }
 }
 
 fn handle_zone_report(node: &Node, reporter: &str, report: &ZoneReportPart, now_ms: Millis) {
     handle_zones_heard(node, &report.zones_heard, now_ms);
     let mut members = node.members.borrow_mut();
-    let is_newly_silent = members.note_zone_report(reporter, &report.silent, now_ms);
+    let is_newly_silent = members.record_zone_report(reporter, &report.silent, now_ms);
     drop(members);
     if is_newly_silent {
         gossip::post_silent(node);
@@ -162,7 +162,7 @@
 fn handle_zones_heard(node: &Node, zones: &[(Fingerprint, u16)], now_ms: Millis) {
     let mut members = node.members.borrow_mut();
     for (zone, age_ms) in zones {
-        members.hear_zone_at(*zone, now_ms.saturating_sub(Millis::from(*age_ms)));
+        members.record_zone_heard(*zone, now_ms.saturating_sub(Millis::from(*age_ms)));
     }
 }
 
@@ -172,7 +172,7 @@
         let mut is_newly_silent = false;
         for (fingerprint, age_ms) in silent {
             let reported_ms = now_ms.saturating_sub(Millis::from(*age_ms));
-            is_newly_silent |= members.note_silent(*fingerprint, reported_ms);
+            is_newly_silent |= members.record_silence_report(*fingerprint, reported_ms);
         }
         is_newly_silent
     };
--- a/crates/tinbay-gateway/src/watch/boxes.rs
+++ b/crates/tinbay-gateway/src/watch/boxes.rs
@@ -145,7 +145,7 @@
             }
         }
         let now_ms = self.node.now_ms();
-        self.node.members.borrow_mut().note_break(now_ms);
+        self.node.members.borrow_mut().record_watch_gap(now_ms);
         self.node.boxes_listed_ms.set(now_ms);
         for item in items {
             self.apply_item(item);
--- a/crates/tinbay-gateway/src/watch/mod.rs
+++ b/crates/tinbay-gateway/src/watch/mod.rs
@@ -165,7 +165,7 @@
                 }
                 let freshness = freshness.checked_by(follower);
                 node.replica.confirm(prefix, at, freshness);
-                node.members.borrow_mut().note_contact(node.now_ms());
+                node.members.borrow_mut().record_contact(node.now_ms());
                 if !changes.changes.is_empty() {
                     let gap_ms = if freshness.max_relayed_age_ms.is_some() {
                         pace.gap_ms
--- a/crates/tinbay-gateway/tests/members_test.rs
+++ b/crates/tinbay-gateway/tests/members_test.rs
@@ -35,7 +35,7 @@
 /// Records contact twice a second from `from_ms` to `to_ms`.
 fn keep_in_touch(members: &mut Members, from_ms: Millis, to_ms: Millis) {
     for now_ms in (from_ms..=to_ms).step_by(500) {
-        members.note_contact(now_ms);
+        members.record_contact(now_ms);
     }
 }
 
@@ -43,18 +43,18 @@
 fn note_zone_word_box_of_other_zone_is_not_up() {
     let mut members = members();
     let silent = [box_fingerprint("far-2")];
-    assert!(members.note_zone_report("far-1", &silent, 5_000));
-    assert!(!members.note_zone_report("far-1", &silent, 5_500));
+    assert!(members.record_zone_report("far-1", &silent, 5_000));
+    assert!(!members.record_zone_report("far-1", &silent, 5_500));
     assert!(!is_up(&members, "far-2", 5_500));
     assert!(is_up(&members, "far-1", 5_500));
-    assert_eq!(members.silent_far(5_700), vec![(silent[0], 200)]);
+    assert_eq!(members.silent_in_other_zones(5_700), vec![(silent[0], 200)]);
 }
 
 #[test]
 fn note_zone_word_ends_with_the_next_that_does_not_name_it() {
     let mut members = members();
-    members.note_zone_report("far-1", &[box_fingerprint("far-2")], 5_000);
-    members.note_zone_report("far-1", &[], 5_500);
+    members.record_zone_report("far-1", &[box_fingerprint("far-2")], 5_000);
+    members.record_zone_report("far-1", &[], 5_500);
     assert!(is_up(&members, "far-2", 5_500));
 }
 
@@ -63,16 +63,16 @@
 #[test]
 fn note_zone_word_lapses() {
     let mut members = members();
-    members.note_zone_report("far-1", &[box_fingerprint("far-2")], 5_000);
+    members.record_zone_report("far-1", &[box_fingerprint("far-2")], 5_000);
     assert!(!is_up(&members, "far-2", 7_400));
     assert!(is_up(&members, "far-2", 7_500));
-    assert!(members.silent_far(7_500).is_empty());
+    assert!(members.silent_in_other_zones(7_500).is_empty());
 }
 
 #[test]
 fn put_entry_ends_the_silence_report() {
     let mut members = members();
-    members.note_zone_report("far-1", &[box_fingerprint("far-2")], 5_000);
+    members.record_zone_report("far-1", &[box_fingerprint("far-2")], 5_000);
     members.put("far-2", record("z2"), 5_100);
     assert!(is_up(&members, "far-2", 5_100));
 }
@@ -81,7 +81,7 @@
 #[test]
 fn note_silent_own_zone_is_ignored() {
     let mut members = members();
-    assert!(!members.note_silent(box_fingerprint("near-1"), 5_000));
+    assert!(!members.record_silence_report(box_fingerprint("near-1"), 5_000));
     assert!(is_up(&members, "near-1", 5_000));
 }
 
@@ -89,10 +89,10 @@
 fn silent_near_names_who_was_not_heard() {
     let mut members = members();
     keep_in_touch(&mut members, 0, 6_000);
-    members.hear("near-1", 5_500);
-    members.hear("near-2", 3_000);
+    members.record_heard("near-1", 5_500);
+    members.record_heard("near-2", 3_000);
     assert_eq!(
-        members.silent_near("own", 6_000),
+        members.silent_in_own_zone("own", 6_000),
         vec![box_fingerprint("near-2")]
     );
 }
@@ -103,13 +103,13 @@
 fn silent_near_nothing_after_a_gap_of_its_own() {
     let mut members = members();
     keep_in_touch(&mut members, 0, 3_000);
-    members.hear("near-1", 7_900);
-    members.note_contact(8_000);
-    assert!(members.silent_near("own", 8_000).is_empty());
+    members.record_heard("near-1", 7_900);
+    members.record_contact(8_000);
+    assert!(members.silent_in_own_zone("own", 8_000).is_empty());
     keep_in_touch(&mut members, 8_000, 10_500);
-    members.hear("near-1", 10_500);
+    members.record_heard("near-1", 10_500);
     assert_eq!(
-        members.silent_near("own", 10_500),
+        members.silent_in_own_zone("own", 10_500),
         vec![box_fingerprint("near-2")]
     );
 }
@@ -119,7 +119,7 @@
 fn silent_near_nothing_where_most_are_missed() {
     let mut members = members();
     keep_in_touch(&mut members, 0, 6_000);
-    assert!(members.silent_near("own", 6_000).is_empty());
+    assert!(members.silent_in_own_zone("own", 6_000).is_empty());
 }
 
 /// A box is listed in its own table but heard by no other box of a one-box zone, so it reported
@@ -130,18 +130,18 @@
     let mut members = Members::new("z1");
     members.put("own", record("z1"), 0);
     keep_in_touch(&mut members, 0, 6_000);
-    assert!(members.silent_near("own", 6_000).is_empty());
+    assert!(members.silent_in_own_zone("own", 6_000).is_empty());
 }
 
 /// In a zone of one box, no other box can report that it is down.
 #[test]
 fn judge_speakers_last_speaker_of_a_silent_zone() {
     let mut members = members();
-    members.note_zone_report("far-1", &[], 1_000);
+    members.record_zone_report("far-1", &[], 1_000);
     keep_in_touch(&mut members, 0, 4_000);
-    members.judge_zone_reporters(3_900);
+    members.mark_silent_zone_reporters(3_900);
     assert!(is_up(&members, "far-1", 3_900));
-    members.judge_zone_reporters(4_000);
+    members.mark_silent_zone_reporters(4_000);
     assert!(!is_up(&members, "far-1", 4_000));
     assert!(is_up(&members, "far-2", 4_000));
 }
@@ -150,10 +150,10 @@
 #[test]
 fn judge_speakers_not_while_others_hear_the_zone() {
     let mut members = members();
-    members.note_zone_report("far-1", &[], 1_000);
-    members.hear_zone_at(zone_fingerprint("z2"), 3_500);
+    members.record_zone_report("far-1", &[], 1_000);
+    members.record_zone_heard(zone_fingerprint("z2"), 3_500);
     keep_in_touch(&mut members, 0, 4_500);
-    members.judge_zone_reporters(4_500);
+    members.mark_silent_zone_reporters(4_500);
     assert!(is_up(&members, "far-1", 4_500));
 }
 
@@ -164,9 +164,9 @@
     keep_in_touch(&mut members, 0, 4_000);
     members.expect_zone_reporter("far-1", 1_000);
     members.expect_zone_reporter("far-2", 1_500);
-    members.judge_zone_reporters(3_900);
+    members.mark_silent_zone_reporters(3_900);
     assert!(is_up(&members, "far-1", 3_900));
-    members.judge_zone_reporters(4_000);
+    members.mark_silent_zone_reporters(4_000);
     assert!(!is_up(&members, "far-1", 4_000));
     assert!(is_up(&members, "far-2", 4_000));
 }
@@ -177,14 +177,14 @@
 fn silent_near_goes_on_after_the_entry_is_gone() {
     let mut members = members();
     keep_in_touch(&mut members, 0, 20_000);
-    members.hear("near-1", 20_000);
+    members.record_heard("near-1", 20_000);
     members.unlist("near-2", 9_000);
     assert_eq!(
-        members.silent_near("own", 14_900),
+        members.silent_in_own_zone("own", 14_900),
         vec![box_fingerprint("near-2")]
     );
     keep_in_touch(&mut members, 0, 15_000);
-    assert!(members.silent_near("own", 15_000).is_empty());
+    assert!(members.silent_in_own_zone("own", 15_000).is_empty());
 }
 
 /// A box that has just started may keep limits at once; after a gap in its own contact it waits
@@ -192,13 +192,13 @@
 #[test]
 fn may_keep_at_once_but_not_right_after_a_gap() {
     let mut members = members();
-    assert!(!members.may_keep(0));
-    members.note_contact(100);
-    assert!(members.may_keep(200));
+    assert!(!members.may_hold_exclusive_role(0));
+    members.record_contact(100);
+    assert!(members.may_hold_exclusive_role(200));
     keep_in_touch(&mut members, 500, 3_000);
-    assert!(members.may_keep(4_000));
-    members.note_contact(8_000);
-    assert!(!members.may_keep(8_100));
+    assert!(members.may_hold_exclusive_role(4_000));
+    members.record_contact(8_000);
+    assert!(!members.may_hold_exclusive_role(8_100));
     keep_in_touch(&mut members, 8_500, 10_500);
-    assert!(members.may_keep(10_500));
+    assert!(members.may_hold_exclusive_role(10_500));
 }
