--- a/crates/tinbay-gateway/src/front/adapters.rs
+++ b/crates/tinbay-gateway/src/front/adapters.rs
@@ -68,7 +68,7 @@
 /// the request is sent. Asked at most once per request and server.
 pub(super) fn needs_status(node: &Node, server: &Server, asked: &HolderRequests) -> bool {
     let is_refreshed = asked.status_requests.contains_key(&server.key);
-    !is_refreshed && node.should_ask(server)
+    !is_refreshed && node.should_request_status(server)
 }
 
 /// Requests the status of a server from its holder and waits up to `ANSWER_WAIT` for it.
--- a/crates/tinbay-gateway/src/front/choice.rs
+++ b/crates/tinbay-gateway/src/front/choice.rs
@@ -270,7 +270,8 @@
             let Some(added) = survey.candidates.last() else {
                 continue;
             };
-            let is_home = node.is_answered_for(&server) && (entry.is_some() || added.takes_loads);
+            let is_home =
+                node.has_responsive_holder(&server) && (entry.is_some() || added.takes_loads);
             if is_home && !is_home_found {
                 is_home_found = true;
                 survey.copies = entry.map_or(1, |entry| entry.copies.max(1));
@@ -371,7 +372,7 @@
         }
         let is_first = self.servers.is_empty();
         let is_refreshed = asked.status_requests.contains_key(&server.key);
-        if !is_first && !is_refreshed && node.should_ask(server) {
+        if !is_first && !is_refreshed && node.should_request_status(server) {
             return Presence::Ready;
         }
         Presence::Absent
--- a/crates/tinbay-gateway/src/front/deliver.rs
+++ b/crates/tinbay-gateway/src/front/deliver.rs
@@ -120,7 +120,7 @@
         let sent = send_hedged(node, inbound, &mut tries, outgoing).await;
         let (server, sent_ms, result) = (sent.server, sent.sent_ms, sent.result);
         if matches!(result, AttemptResult::Begun(_)) {
-            node.note_prefill(inbound, before_ms, node.now_ms() - sent_ms);
+            node.record_prefill(inbound, before_ms, node.now_ms() - sent_ms);
             note_answer_time(node, inbound, &server, sent_ms);
         }
         note_delay(node, inbound, &server, sent_ms);
--- a/crates/tinbay-gateway/src/limits/home.rs
+++ b/crates/tinbay-gateway/src/limits/home.rs
@@ -191,7 +191,7 @@
 
 fn observe_fleet(node: &Node, now_ms: Millis) -> FleetView {
     let own_id = node.settings.borrow().box_id.clone();
-    let is_entered = node.is_entered();
+    let is_registered = node.is_registered();
     let members = node.members.borrow();
     let others = members.others(&own_id).filter(|(_, member)| member.listed);
     let (mut listed, mut heard) = (1, 1);
@@ -200,12 +200,12 @@
         heard += usize::from(member.is_heard(now_ms));
     }
     FleetView {
-        boxes: if is_entered {
+        boxes: if is_registered {
             listed
         } else {
             listed.max(ASSUMED_FLEET_SIZE)
         },
         reached: heard as f64 / listed as f64,
-        is_reliable: is_entered && members.may_hold_exclusive_role(now_ms),
+        is_reliable: is_registered && members.may_hold_exclusive_role(now_ms),
     }
 }
--- a/crates/tinbay-gateway/src/node.rs
+++ b/crates/tinbay-gateway/src/node.rs
@@ -175,7 +175,7 @@
     /// Contents and state of the servers whose claims this box holds.
     pub held_servers: RefCell<HashMap<ServerKey, Rc<HeldServer>>>,
     /// This box's share of the weight store's rate, by service.
-    pub paces: RefCell<HashMap<String, LoadQuotaCounter>>,
+    pub load_quotas: RefCell<HashMap<String, LoadQuotaCounter>>,
     /// Requests that wait for an adapter.
     pub waiters: Waiters,
     /// Messages waiting to be sent to other boxes.
@@ -245,7 +245,7 @@
             claims: RefCell::default(),
             proof: Cell::default(),
             held_servers: RefCell::default(),
-            paces: RefCell::default(),
+            load_quotas: RefCell::default(),
             waiters: Waiters::default(),
             outbox: Outbox::default(),
             entry_due: Notify::new(),
@@ -305,7 +305,7 @@
     }
 
     /// Whether this box sees its own entry in the store, in which case other boxes see it too.
-    pub fn is_entered(&self) -> bool {
+    pub fn is_registered(&self) -> bool {
         let own_key = format!("{MEMBER_PREFIX}{}", self.settings.borrow().box_id);
         self.replica.item(BOXES_PREFIX, &own_key).is_some()
     }
@@ -313,7 +313,7 @@
     /// Whether this box has recently seen its own entry in the store.
     pub fn is_surely_registered(&self) -> bool {
         let seen_ms = self.replica.confirmed_ms(BOXES_PREFIX).unwrap_or_default();
-        self.is_entered() && self.now_ms() < seen_ms + ENTRY_SEEN_LIFE_MS
+        self.is_registered() && self.now_ms() < seen_ms + ENTRY_SEEN_LIFE_MS
     }
 
     /// Updates `box_count`.
@@ -392,7 +392,7 @@
     }
 
     /// Records a claim as read from the store.
-    pub fn note_claim(&self, address: &str, item: &Item) {
+    pub fn record_claim(&self, address: &str, item: &Item) {
         self.sync_era();
         let mut claims = self.claims.borrow_mut();
         claims.note(address, &item.value, item.position, self.now_ms());
@@ -505,7 +505,7 @@
             Some(held) => held.takes_loads(self, server),
             None => {
                 let takes_loads = server.view.borrow().takes_loads(self.now_ms());
-                takes_loads && self.is_answered_for(server)
+                takes_loads && self.has_responsive_holder(server)
             }
         }
     }
@@ -527,7 +527,7 @@
 
     /// Whether a status request could yield news about the server's load: another live box holds the
     /// claim and answers, and its last status is not fresh.
-    pub fn should_ask(&self, server: &Server) -> bool {
+    pub fn should_request_status(&self, server: &Server) -> bool {
         let now_ms = self.now_ms();
         let view = server.view.borrow();
         let is_needless = view.is_fresh(now_ms) || view.is_silent(now_ms);
@@ -582,7 +582,7 @@
 
     /// Whether the claim on a server is held by this box, or by a box that may be alive and
     /// answers.
-    pub fn is_answered_for(&self, server: &Server) -> bool {
+    pub fn has_responsive_holder(&self, server: &Server) -> bool {
         let is_silent = server.view.borrow().is_silent(self.now_ms());
         self.held_server(server.key).is_some() || (!is_silent && self.has_holder(server))
     }
@@ -593,7 +593,7 @@
     }
 
     /// Records a request's time to first byte, given the server's prompt backlog at that time.
-    pub fn note_prefill(&self, inbound: &InboundRequest, backlog_ms: f64, took_ms: Millis) {
+    pub fn record_prefill(&self, inbound: &InboundRequest, backlog_ms: f64, took_ms: Millis) {
         let mut rates = self.prefill_rates.borrow_mut();
         let rate = rates.entry(inbound.service.clone()).or_default();
         rate.note_answer(inbound.prompt.tokens, backlog_ms, took_ms as f64);
--- a/crates/tinbay-gateway/src/orders/claiming.rs
+++ b/crates/tinbay-gateway/src/orders/claiming.rs
@@ -181,7 +181,7 @@
                 value,
                 position,
             };
-            node.note_claim(&server.address_text, &item);
+            node.record_claim(&server.address_text, &item);
             let event = ClaimEvent {
                 server: &server.record().id,
                 address: &server.address_text,
@@ -193,7 +193,7 @@
         }
         Err(StoreError::Conflict { items }) => {
             for item in items.iter().filter(|item| item.key == key) {
-                node.note_claim(&server.address_text, item);
+                node.record_claim(&server.address_text, item);
             }
         }
         Err(_) => {}
--- a/crates/tinbay-gateway/src/orders/holder.rs
+++ b/crates/tinbay-gateway/src/orders/holder.rs
@@ -136,8 +136,8 @@
         let service = self.holder.server.record().service.clone();
         let quota = quota::of_service(node, &service).unwrap_or_default();
         let window_ms = node.settings.borrow().bounds.loads.window_ms;
-        let mut paces = node.paces.borrow_mut();
-        let pace = paces.entry(service).or_default();
+        let mut load_quotas = node.load_quotas.borrow_mut();
+        let pace = load_quotas.entry(service).or_default();
         pace.take(quota, window_ms, self.now_ms)
     }
 }
--- a/crates/tinbay-gateway/src/orders/membership.rs
+++ b/crates/tinbay-gateway/src/orders/membership.rs
@@ -216,7 +216,7 @@
     let listing = counted(node, "list", node.store.list(CLAIM_PREFIX, false).await)?;
     for item in &listing.items {
         if let Some(address) = item.key.strip_prefix(CLAIM_PREFIX) {
-            node.note_claim(address, item);
+            node.record_claim(address, item);
         }
     }
     Ok(())
--- a/crates/tinbay-gateway/src/watch/boxes.rs
+++ b/crates/tinbay-gateway/src/watch/boxes.rs
@@ -56,7 +56,7 @@
         if let Some(id) = item.key.strip_prefix(MEMBER_PREFIX) {
             self.apply_member(id, item);
         } else if let Some(address) = item.key.strip_prefix(CLAIM_PREFIX) {
-            self.node.note_claim(address, item);
+            self.node.record_claim(address, item);
         } else if item.key == era_mark::KEY {
             era_mark::take(&self.node, item);
         } else {
