--- a/crates/tinbay-gateway/src/orders/membership.rs
+++ b/crates/tinbay-gateway/src/orders/membership.rs
@@ -11,7 +11,7 @@
 
 use crate::events::{self, part};
 use crate::node::Node;
-use crate::port::store::{Lease, MOST_ENTRIES, StoreError, StoreResult, Transaction};
+use crate::port::store::{Lease, MAX_TRANSACTION_ENTRIES, StoreError, StoreResult, Transaction};
 use crate::watch::boxes::{CLAIM_PREFIX, MEMBER_PREFIX, PREFIX as BOXES_PREFIX};
 use crate::watch::{counted, sleep_with_jitter};
 
@@ -116,9 +116,9 @@
         write(node, entry, lease).await?;
     }
     match counted(node, "keep", node.store.keep(lease).await) {
-        Err(StoreError::LeaseOver) => {
+        Err(StoreError::LeaseExpired) => {
             *entry = Entry::default();
-            return Err(StoreError::LeaseOver);
+            return Err(StoreError::LeaseExpired);
         }
         result => result?,
     }
@@ -142,9 +142,9 @@
         ..Transaction::default()
     };
     match counted(node, "commit", node.store.commit(&transaction).await) {
-        Err(StoreError::LeaseOver | StoreError::EraOver) => {
+        Err(StoreError::LeaseExpired | StoreError::EraChanged) => {
             *entry = Entry::default();
-            Err(StoreError::LeaseOver)
+            Err(StoreError::LeaseExpired)
         }
         Err(error) => Err(error),
         Ok(position) => {
@@ -202,7 +202,7 @@
     let item = counted(node, "read", node.store.read(&own_key(node)).await)?;
     if item.is_none() {
         entry.is_written = false;
-        return Err(StoreError::LeaseOver);
+        return Err(StoreError::LeaseExpired);
     }
     if !node.proof.get().holds(&node.claim_terms(), asked_ms) {
         read_claims(node).await?;
@@ -237,7 +237,7 @@
             .map(|address| (address.clone(), claims.stored_position(&address)))
             .collect()
     };
-    for chunk in held.chunks(MOST_ENTRIES) {
+    for chunk in held.chunks(MAX_TRANSACTION_ENTRIES) {
         let transaction = super::claiming::release_transaction(&own_id, chunk);
         let committing = node.store.commit(&transaction);
         let result = tokio::time::timeout(RELEASE_TIMEOUT, committing).await;
--- a/crates/tinbay-gateway/src/port/store.rs
+++ b/crates/tinbay-gateway/src/port/store.rs
@@ -30,7 +30,7 @@
     /// The key was written.
     Put(Item),
     /// The key no longer exists.
-    Gone {
+    Deleted {
         /// Key in the store.
         key: String,
         /// Position of the deletion.
@@ -43,7 +43,7 @@
     pub fn position(&self) -> Position {
         match self {
             Self::Put(item) => item.position,
-            Self::Gone { position, .. } => *position,
+            Self::Deleted { position, .. } => *position,
         }
     }
 }
@@ -78,7 +78,7 @@
 }
 
 /// Maximum number of entries in one transaction.
-pub const MOST_ENTRIES: usize = 32;
+pub const MAX_TRANSACTION_ENTRIES: usize = 32;
 
 /// Why a store call failed.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
@@ -107,10 +107,10 @@
     },
     /// The lease has expired.
     #[error("the lease has expired")]
-    LeaseOver,
+    LeaseExpired,
     /// The store was restored from a backup after the data that the call relies on was read.
     #[error("the store was restored from a backup")]
-    EraOver,
+    EraChanged,
     /// The response was given before the store was restored from a backup.
     #[error("the store's response belongs to an earlier era: {}", era.0)]
     LateAnswer {
--- a/crates/tinbay-gateway/src/watch/access.rs
+++ b/crates/tinbay-gateway/src/watch/access.rs
@@ -187,17 +187,17 @@
     /// Commits a transaction and returns its position.
     ///
     /// # Errors
-    /// When the store does not answer or refuses; `EraOver` if it was restored after the expected
+    /// When the store does not answer or refuses; `EraChanged` if it was restored after the expected
     /// positions were read: the transaction was either not sent, or its expected positions may have
     /// matched other content.
     pub async fn commit(&self, transaction: &Transaction) -> StoreResult<Position> {
         let eras = eras_of(transaction);
         if !eras.iter().all(|era| self.is_present(*era)) {
-            return Err(StoreError::EraOver);
+            return Err(StoreError::EraChanged);
         }
         let committed = self.check_era(self.inner.commit(transaction).await)?;
         if eras.iter().any(|era| *era != committed.era) {
-            return Err(StoreError::EraOver);
+            return Err(StoreError::EraChanged);
         }
         Ok(committed)
     }
@@ -216,11 +216,11 @@
     /// When the lease is over, or the store does not answer or refuses.
     pub async fn keep(&self, lease: Lease) -> StoreResult<()> {
         if !self.is_present(lease.era) {
-            return Err(StoreError::LeaseOver);
+            return Err(StoreError::LeaseExpired);
         }
         let kept = self.check_era(self.inner.keep(lease.id).await);
         if !self.is_present(lease.era) {
-            return Err(StoreError::LeaseOver);
+            return Err(StoreError::LeaseExpired);
         }
         kept
     }
--- a/crates/tinbay-gateway/src/watch/boxes.rs
+++ b/crates/tinbay-gateway/src/watch/boxes.rs
@@ -155,7 +155,7 @@
     fn apply(&self, change: &Change) {
         match change {
             Change::Put(item) => self.apply_item(item),
-            Change::Gone { key, position } => {
+            Change::Deleted { key, position } => {
                 if let Some(id) = key.strip_prefix(MEMBER_PREFIX) {
                     remove_member(&self.node, id, position.revision);
                 }
--- a/crates/tinbay-gateway/src/watch/mod.rs
+++ b/crates/tinbay-gateway/src/watch/mod.rs
@@ -212,7 +212,7 @@
             .replica
             .item(prefix, &item.key)
             .is_none_or(|before| follower.is_relayed(&before, item)),
-        Change::Gone { .. } => true,
+        Change::Deleted { .. } => true,
     };
     node.replica.record_change(prefix, change, is_relayed);
     follower.apply(change);
@@ -227,8 +227,8 @@
         Err(StoreError::Refused { .. }) => "refused",
         Err(StoreError::HistoryGone) => "history_gone",
         Err(StoreError::Conflict { .. }) => "conflict",
-        Err(StoreError::LeaseOver) => "lease_over",
-        Err(StoreError::EraOver) => "era_over",
+        Err(StoreError::LeaseExpired) => "lease_over",
+        Err(StoreError::EraChanged) => "era_over",
         Err(StoreError::LateAnswer { .. }) => "late_answer",
         Err(StoreError::Malformed { .. }) => "malformed",
     };
--- a/crates/tinbay-gateway/src/watch/relay/ask.rs
+++ b/crates/tinbay-gateway/src/watch/relay/ask.rs
@@ -79,7 +79,7 @@
         .into_iter()
         .filter_map(|part| match part.into_change(at.era) {
             Change::Put(item) => Some(item),
-            Change::Gone { .. } => None,
+            Change::Deleted { .. } => None,
         });
     let items = items.collect();
     Ok((Listing { items, at }, freshness))
@@ -107,7 +107,7 @@
     let changes = parts.into_iter().map(|part| part.into_change(at.era));
     let items = changes.filter_map(|change| match change {
         Change::Put(item) => Some(item),
-        Change::Gone { .. } => None,
+        Change::Deleted { .. } => None,
     });
     Ok(items.collect())
 }
--- a/crates/tinbay-gateway/src/watch/relay/message.rs
+++ b/crates/tinbay-gateway/src/watch/relay/message.rs
@@ -78,7 +78,7 @@
     pub(super) fn of_change(change: &Change) -> Self {
         match change {
             Change::Put(item) => Self::of_item(item),
-            Change::Gone { key, position } => Self {
+            Change::Deleted { key, position } => Self {
                 key: key.clone(),
                 revision: position.revision,
                 value: None,
@@ -94,7 +94,7 @@
                 value,
                 position,
             }),
-            None => Change::Gone {
+            None => Change::Deleted {
                 key: self.key,
                 position,
             },
--- a/crates/tinbay-gateway/src/watch/replica.rs
+++ b/crates/tinbay-gateway/src/watch/replica.rs
@@ -116,7 +116,7 @@
         };
         match change {
             Change::Put(item) => copy.items.insert(item.key.clone(), item.clone()),
-            Change::Gone { key, .. } => copy.items.remove(key),
+            Change::Deleted { key, .. } => copy.items.remove(key),
         };
         if !is_relayed {
             return;
--- a/crates/tinbay-gateway/src/watch/servers.rs
+++ b/crates/tinbay-gateway/src/watch/servers.rs
@@ -188,7 +188,7 @@
     fn apply(&self, change: &Change) {
         match change {
             Change::Put(item) => self.apply_item(item),
-            Change::Gone { key, .. } => {
+            Change::Deleted { key, .. } => {
                 if let Some(id) = self.id_of(key) {
                     self.logged_unreadable.borrow_mut().remove(id);
                     remove_server(&self.node, id);
--- a/crates/tinbay-gateway/tests/access_test.rs
+++ b/crates/tinbay-gateway/tests/access_test.rs
@@ -188,7 +188,7 @@
     see(&access, &eras, 2);
     assert_eq!(
         now(access.commit(&transaction(1))),
-        Err(StoreError::EraOver)
+        Err(StoreError::EraChanged)
     );
     eras.name(&[Some(2)]);
     assert!(now(access.commit(&transaction(2))).is_ok());
@@ -203,7 +203,7 @@
     eras.name(&[Some(2)]);
     assert_eq!(
         now(access.commit(&transaction(1))),
-        Err(StoreError::EraOver)
+        Err(StoreError::EraChanged)
     );
 }
 
@@ -215,8 +215,8 @@
     let lease = now(access.grant(1_000)).expect("a lease");
     assert!(now(access.keep(lease)).is_ok());
     eras.name(&[Some(2)]);
-    assert_eq!(now(access.keep(lease)), Err(StoreError::LeaseOver));
-    assert_eq!(now(access.keep(lease)), Err(StoreError::LeaseOver));
+    assert_eq!(now(access.keep(lease)), Err(StoreError::LeaseExpired));
+    assert_eq!(now(access.keep(lease)), Err(StoreError::LeaseExpired));
 }
 
 /// Another box reports a later era, and the store confirms it when asked.
--- a/crates/tinbay-gateway/tests/replica_test.rs
+++ b/crates/tinbay-gateway/tests/replica_test.rs
@@ -64,7 +64,7 @@
 fn since_gives_what_is_newer() {
     let replica = listed(true);
     replica.record_change(PREFIX, &Change::Put(item("a/1", 11)), true);
-    let gone = Change::Gone {
+    let gone = Change::Deleted {
         key: "a/2".into(),
         position: at(12),
     };
