--- a/crates/tinbay-gateway/src/front/handover/actions.rs
+++ b/crates/tinbay-gateway/src/front/handover/actions.rs
@@ -118,12 +118,12 @@
         self.begun_ms.set(self.node.now_ms());
         self.inbound.handover.set(Some(Handover::Begun));
         let dialect = &self.node.dialect;
-        let body = dialect.encode_move(&self.inbound.id, target.record().address);
+        let body = dialect.encode_handover(&self.inbound.id, target.record().address);
         let request = call_to(
             &self.node,
             &self.source,
             Method::POST,
-            dialect.move_path(),
+            dialect.handover_path(),
             body,
         );
         let most_open = most_open(&self.node, &self.inbound);
@@ -332,7 +332,10 @@
         Err(CallError::NotConnected) => return MoveAnswer::NotStopped,
         Err(CallError::NoAnswer) => return MoveAnswer::Unknown,
     };
-    let decoded = node.dialect.decode_move(&reply.body).unwrap_or_default();
+    let decoded = node
+        .dialect
+        .decode_handover(&reply.body)
+        .unwrap_or_default();
     match (StatusCode::from_u16(reply.status), decoded.handle) {
         (Ok(StatusCode::OK), Some(handle)) => MoveAnswer::Copied { handle },
         (Ok(StatusCode::SERVICE_UNAVAILABLE), Some(handle)) => MoveAnswer::Kept { handle },
--- a/crates/tinbay-gateway/src/port/dialect.rs
+++ b/crates/tinbay-gateway/src/port/dialect.rs
@@ -196,16 +196,16 @@
     fn encode_order(&self, order: &Order) -> Bytes;
 
     /// Path of the call that hands a run over: the server stops it and copies it to another server.
-    fn move_path(&self) -> &str;
+    fn handover_path(&self) -> &str;
 
     /// Encodes the body of the call that hands the run of a request over to `target`.
-    fn encode_move(&self, request_id: &str, target: SocketAddr) -> Bytes;
+    fn encode_handover(&self, request_id: &str, target: SocketAddr) -> Bytes;
 
     /// Decodes the response to the call that hands a run over.
     ///
     /// # Errors
     /// When the value cannot be decoded.
-    fn decode_move(&self, value: &[u8]) -> Result<HandoverReply, DecodeError>;
+    fn decode_handover(&self, value: &[u8]) -> Result<HandoverReply, DecodeError>;
 
     /// Path at the server that made a copy; frees the copy if no server resumes from it.
     fn copy_path(&self, handle: &str) -> String;
