--- a/crates/tinbay-gateway/src/front/filters/mod.rs
+++ b/crates/tinbay-gateway/src/front/filters/mod.rs
@@ -16,7 +16,7 @@
 use super::inbound::InboundRequest;
 use super::refusal::Refusal;
 use crate::http::body::{AnswerBody, RequestBody};
-use crate::memory::Hold;
+use crate::memory::Reservation;
 use crate::node::Node;
 
 /// A routed request on its way through the filters.
@@ -26,7 +26,7 @@
     /// The unread body; `None` once a filter has read it.
     pub incoming: Option<Incoming>,
     /// Memory accounted to the body while it is read.
-    pub held: Option<Hold>,
+    pub held: Option<Reservation>,
     /// The body to send to a server, once it has been read.
     pub body: Option<RequestBody>,
 }
--- a/crates/tinbay-gateway/src/http/body.rs
+++ b/crates/tinbay-gateway/src/http/body.rs
@@ -10,7 +10,7 @@
 
 use crate::http::pump::WatchedAnswer;
 use crate::http::relay::Relay;
-use crate::memory::Hold;
+use crate::memory::Reservation;
 
 /// Why a request or response body ended before it was complete.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
@@ -44,7 +44,7 @@
     first: Bytes,
     rest: Option<Incoming>,
     /// Accounts for the memory of `first`; shared with the copies made for retries.
-    held: Option<Rc<Hold>>,
+    held: Option<Rc<Reservation>>,
 }
 
 impl RequestBody {
@@ -67,7 +67,7 @@
     }
 
     /// Accounts for the memory of the buffered bytes in `held` until the body is dropped.
-    pub fn held_by(self, held: Option<Hold>) -> Self {
+    pub fn held_by(self, held: Option<Reservation>) -> Self {
         let held = held.map(|mut hold| {
             hold.resize(self.first.len() as u64);
             Rc::new(hold)
@@ -107,7 +107,7 @@
     mut body: Incoming,
     most_kept: usize,
     most: usize,
-    mut held: Option<&mut Hold>,
+    mut held: Option<&mut Reservation>,
 ) -> Result<RequestBody, BodyError> {
     if body.size_hint().lower() > most as u64 {
         return Err(BodyError::TooLong);
--- a/crates/tinbay-gateway/src/http/pump/readahead.rs
+++ b/crates/tinbay-gateway/src/http/pump/readahead.rs
@@ -11,7 +11,7 @@
 
 use super::answer::Shared;
 use crate::http::buffers::UNREAD_BUFFER_BYTES;
-use crate::memory::Hold;
+use crate::memory::Reservation;
 
 /// Read-ahead pauses when the buffer reaches this size; the last frame may exceed it.
 const MAX_READ_AHEAD_BYTES: u64 = 262_144;
@@ -21,14 +21,14 @@
 pub struct ReadAhead {
     frames: VecDeque<Frame<Bytes>>,
     bytes: u64,
-    hold: Hold,
+    hold: Reservation,
     room: Option<Waker>,
     task: AbortHandle,
 }
 
 impl ReadAhead {
     /// Starts the read-ahead task; `hold` accounts for the buffered memory.
-    pub fn begin(shared: &Rc<Shared>, mut hold: Hold) -> Self {
+    pub fn begin(shared: &Rc<Shared>, mut hold: Reservation) -> Self {
         hold.resize(UNREAD_BUFFER_BYTES);
         let reading = Rc::clone(shared);
         let task = tokio::task::spawn_local(poll_fn(move |context| read(&reading, context)));
--- a/crates/tinbay-gateway/src/memory.rs
+++ b/crates/tinbay-gateway/src/memory.rs
@@ -18,7 +18,7 @@
 
 /// A reservation of bytes, released on drop.
 #[derive(Debug)]
-pub struct Hold {
+pub struct Reservation {
     memory: Rc<BoxMemory>,
     holder: Holder,
     bytes: u64,
@@ -46,14 +46,14 @@
     ///
     /// # Errors
     /// Names the limit that would be exceeded.
-    pub fn admit(self: &Rc<Self>, holder: Holder, bytes: u64) -> Result<Hold, MemoryShort> {
+    pub fn admit(self: &Rc<Self>, holder: Holder, bytes: u64) -> Result<Reservation, MemoryShort> {
         self.ledger.borrow().admit(&self.terms, holder, bytes)?;
         Ok(self.hold(holder, bytes))
     }
 
     /// Reserves bytes that are already in memory, without checking the limits.
-    pub fn hold(self: &Rc<Self>, holder: Holder, bytes: u64) -> Hold {
-        let mut hold = Hold {
+    pub fn hold(self: &Rc<Self>, holder: Holder, bytes: u64) -> Reservation {
+        let mut hold = Reservation {
             memory: Rc::clone(self),
             holder,
             bytes: 0,
@@ -73,7 +73,7 @@
     }
 }
 
-impl Hold {
+impl Reservation {
     /// Size of the reservation.
     pub fn bytes(&self) -> u64 {
         self.bytes
@@ -102,7 +102,7 @@
     }
 }
 
-impl Drop for Hold {
+impl Drop for Reservation {
     fn drop(&mut self) {
         self.resize(0);
     }
