--- a/crates/tinbay-gateway/src/front/adapters.rs
+++ b/crates/tinbay-gateway/src/front/adapters.rs
@@ -76,7 +76,7 @@
 /// the request is sent. Asked at most once per request and server.
 pub(super) fn needs_status(node: &Node, server: &Server, holder_requests: &HolderRequests) -> bool {
     let is_refreshed = holder_requests.status_requests.contains_key(&server.key);
-    !is_refreshed && node.should_ask(server)
+    !is_refreshed && node.should_request_status(server)
 }
 
 /// Requests the status of a server from its holder and waits up to `STATUS_TIMEOUT` for it.
--- a/crates/tinbay-gateway/src/front/choice.rs
+++ b/crates/tinbay-gateway/src/front/choice.rs
@@ -280,7 +280,7 @@
                 continue;
             };
             let is_eligible =
-                node.is_answered_for(&server) && (entry.is_some() || added.takes_loads);
+                node.has_responsive_holder(&server) && (entry.is_some() || added.takes_loads);
             if is_eligible && !is_first_found {
                 is_first_found = true;
                 set.copies = entry.map_or(1, |entry| entry.copies.max(1));
@@ -389,7 +389,7 @@
         }
         let is_first = self.servers.is_empty();
         let is_refreshed = holder_requests.status_requests.contains_key(&server.key);
-        if !is_first && !is_refreshed && node.should_ask(server) {
+        if !is_first && !is_refreshed && node.should_request_status(server) {
             return Presence::Ready;
         }
         Presence::Absent
--- a/crates/tinbay-gateway/src/front/deliver.rs
+++ b/crates/tinbay-gateway/src/front/deliver.rs
@@ -120,7 +120,7 @@
         let sent = send_hedged(node, inbound, &mut history, outgoing).await;
         let (server, sent_ms, result) = (sent.server, sent.sent_ms, sent.result);
         if matches!(result, AttemptResult::Answering(_)) {
-            node.note_prefill(inbound, before_ms, node.now_ms() - sent_ms);
+            node.record_prefill(inbound, before_ms, node.now_ms() - sent_ms);
             record_response_time(node, inbound, &server, sent_ms);
         }
         record_relative_delay(node, inbound, &server, sent_ms);
--- a/crates/tinbay-gateway/src/front/handover/actions.rs
+++ b/crates/tinbay-gateway/src/front/handover/actions.rs
@@ -119,7 +119,7 @@
         self.requested_ms.set(self.node.now_ms());
         self.inbound.handover.set(Some(Handover::Requested));
         let dialect = &self.node.dialect;
-        let body = dialect.encode_move(&self.inbound.id, target.record().address);
+        let body = dialect.encode_handover(&self.inbound.id, target.record().address);
         let request = request_to(
             &self.node,
             &self.source,
--- a/crates/tinbay-gateway/src/http/body.rs
+++ b/crates/tinbay-gateway/src/http/body.rs
@@ -44,7 +44,7 @@
     first: Bytes,
     rest: Option<Incoming>,
     /// Accounts for the memory of `first` until the last copy made for a retry is dropped.
-    held: Option<Rc<Hold>>,
+    held: Option<Rc<Reservation>>,
 }
 
 impl RequestBody {
@@ -107,7 +107,7 @@
     mut body: Incoming,
     max_buffered_bytes: usize,
     max_bytes: usize,
-    mut held: Option<&mut Hold>,
+    mut held: Option<&mut Reservation>,
 ) -> Result<RequestBody, BodyError> {
     if body.size_hint().lower() > max_bytes as u64 {
         return Err(BodyError::TooLong);
--- a/crates/tinbay-gateway/src/http/pump/readahead.rs
+++ b/crates/tinbay-gateway/src/http/pump/readahead.rs
@@ -21,7 +21,7 @@
 pub struct ReadAhead {
     frames: VecDeque<Frame<Bytes>>,
     bytes: u64,
-    hold: Hold,
+    hold: Reservation,
     /// Wakes the task when the buffer has space again.
     space_waker: Option<Waker>,
     task: AbortHandle,
@@ -29,7 +29,7 @@
 
 impl ReadAhead {
     /// Starts the read-ahead task; `hold` accounts for the buffered memory.
-    pub fn begin(state: &Rc<AnswerState>, mut hold: Hold) -> Self {
+    pub fn begin(state: &Rc<AnswerState>, mut hold: Reservation) -> Self {
         hold.resize(UNREAD_BUFFER_BYTES);
         let state = Rc::clone(state);
         let task = tokio::task::spawn_local(poll_fn(move |context| read(&state, context)));
--- a/crates/tinbay-gateway/src/node.rs
+++ b/crates/tinbay-gateway/src/node.rs
@@ -461,7 +461,7 @@
         let now_ms = self.now_ms();
         if let Some(held) = self.held_server(server.key) {
             let own_id = self.settings.borrow().box_id.clone();
-            held.record_load_request(&own_id, want, now_ms);
+            held.record_load_request(&own_id, wanted_load, now_ms);
             server.order_due.notify_one();
             return;
         }
--- a/crates/tinbay-gateway/src/peers/inbox.rs
+++ b/crates/tinbay-gateway/src/peers/inbox.rs
@@ -193,7 +193,7 @@
         version: request.version,
         is_copy: request.is_copy,
     };
-    held.record_load_request(box_id, want, now_ms);
+    held.record_load_request(box_id, wanted_load, now_ms);
     server.order_due.notify_one();
     node.outbox.post_status(server.key, box_id);
 }
--- a/crates/tinbay-gateway/tests/access_test.rs
+++ b/crates/tinbay-gateway/tests/access_test.rs
@@ -188,7 +188,7 @@
     read_in_era(&access, &eras, 2);
     assert_eq!(
         complete_now(access.commit(&transaction(1))),
-        Err(StoreError::EraOver)
+        Err(StoreError::EraChanged)
     );
     eras.queue_answers(&[Some(2)]);
     assert!(complete_now(access.commit(&transaction(2))).is_ok());
@@ -203,7 +203,7 @@
     eras.queue_answers(&[Some(2)]);
     assert_eq!(
         complete_now(access.commit(&transaction(1))),
-        Err(StoreError::EraOver)
+        Err(StoreError::EraChanged)
     );
 }
 
@@ -215,8 +215,14 @@
     let lease = complete_now(access.grant(1_000)).expect("a lease");
     assert!(complete_now(access.keep(lease)).is_ok());
     eras.queue_answers(&[Some(2)]);
-    assert_eq!(complete_now(access.keep(lease)), Err(StoreError::LeaseOver));
-    assert_eq!(complete_now(access.keep(lease)), Err(StoreError::LeaseOver));
+    assert_eq!(
+        complete_now(access.keep(lease)),
+        Err(StoreError::LeaseExpired)
+    );
+    assert_eq!(
+        complete_now(access.keep(lease)),
+        Err(StoreError::LeaseExpired)
+    );
 }
 
 /// Another box reports a later era, and the store confirms it when asked.
@@ -225,7 +231,7 @@
     let (access, eras) = access();
     read_in_era(&access, &eras, 1);
     eras.queue_answers(&[Some(2)]);
-    let is_present = access.confirm_told(Era(2)).now_or_never();
+    let is_present = access.verify_era(Era(2)).now_or_never();
     assert_eq!(is_present, Some(true));
     assert!(access.next_restore().is_some());
 }
@@ -236,7 +242,7 @@
     let (access, eras) = access();
     read_in_era(&access, &eras, 1);
     eras.queue_answers(&[Some(1)]);
-    let is_present = access.confirm_told(Era(9)).now_or_never();
+    let is_present = access.verify_era(Era(9)).now_or_never();
     assert_eq!(is_present, Some(false));
     assert_eq!(access.era(), Some(Era(1)));
 }
@@ -245,7 +251,7 @@
 fn confirm_told_earlier_era_is_over() {
     let (access, eras) = access();
     read_in_era(&access, &eras, 2);
-    assert_eq!(access.confirm_told(Era(1)).now_or_never(), Some(false));
+    assert_eq!(access.verify_era(Era(1)).now_or_never(), Some(false));
 }
 
 /// While the store is unreachable, another box's report counts until the store answers.
@@ -254,7 +260,7 @@
     let (access, eras) = access();
     read_in_era(&access, &eras, 1);
     eras.queue_lost_answers(1);
-    assert_eq!(access.confirm_told(Era(9)).now_or_never(), Some(true));
+    assert_eq!(access.verify_era(Era(9)).now_or_never(), Some(true));
     read_in_era(&access, &eras, 1);
     assert_eq!(access.era(), Some(Era(1)));
 }
--- a/crates/tinbay-gateway/tests/asking_test.rs
+++ b/crates/tinbay-gateway/tests/asking_test.rs
@@ -92,31 +92,31 @@
 /// whole zone would lose direct access to the store.
 #[test]
 fn takes_relay_retries_after_a_failure() {
-    let turn = StoreTurn::default();
-    assert!(turn.takes_relay(0) && turn.takes_relay(10));
-    let _ = turn.note::<()>(Err(StoreError::NoAnswer), 100);
-    assert!(turn.takes_relay(200));
-    assert!(!turn.takes_relay(300) && !turn.takes_relay(1_199));
-    assert!(turn.takes_relay(1_200));
-    let _ = turn.note(Ok(()), 1_210);
-    assert!(turn.takes_relay(1_220) && turn.takes_relay(1_230));
+    let limiter = StoreReadLimiter::default();
+    assert!(limiter.allows_relay_read(0) && limiter.allows_relay_read(10));
+    let _ = limiter.record_result::<()>(Err(StoreError::NoAnswer), 100);
+    assert!(limiter.allows_relay_read(200));
+    assert!(!limiter.allows_relay_read(300) && !limiter.allows_relay_read(1_199));
+    assert!(limiter.allows_relay_read(1_200));
+    let _ = limiter.record_result(Ok(()), 1_210);
+    assert!(limiter.allows_relay_read(1_220) && limiter.allows_relay_read(1_230));
 }
 
 /// A slow store must still be read: a late answer raises the time-out for the next read.
 #[test]
 fn delay_limit_grows_with_a_slow_store_and_falls_again() {
-    let turn = StoreTurn::default();
-    let min_ms = turn.delay_limit_ms();
-    let no_answer = || turn.note::<()>(Err(StoreError::NoAnswer), 0);
+    let limiter = StoreReadLimiter::default();
+    let min_ms = limiter.delay_limit_ms();
+    let no_answer = || limiter.record_result::<()>(Err(StoreError::NoAnswer), 0);
     assert!(no_answer().is_err());
-    assert_eq!(turn.delay_limit_ms(), 2 * min_ms);
-    turn.note_late(600);
-    assert!(turn.delay_limit_ms() > 1_200);
-    turn.note_late(0);
+    assert_eq!(limiter.delay_limit_ms(), 2 * min_ms);
+    limiter.record_delay(600);
+    assert!(limiter.delay_limit_ms() > 1_200);
+    limiter.record_delay(0);
     assert!(
         limiter.delay_limit_ms() > 1_200,
         "an early answer tells nothing"
     );
-    turn.note_late(3);
-    assert_eq!(turn.delay_limit_ms(), min_ms);
+    limiter.record_delay(3);
+    assert_eq!(limiter.delay_limit_ms(), min_ms);
 }
--- a/crates/tinbay-gateway/tests/replica_test.rs
+++ b/crates/tinbay-gateway/tests/replica_test.rs
@@ -53,7 +53,10 @@
 
 #[test]
 fn since_before_the_listing_is_history_gone() {
-    assert_eq!(listed(true).since(PREFIX, at(9)), Some(Since::HistoryGone));
+    assert_eq!(
+        listed(true).since(PREFIX, at(9)),
+        Some(ChangesSince::HistoryGone)
+    );
     assert_eq!(listed(true).since("b/", at(9)), None);
 }
 
@@ -164,7 +167,7 @@
 /// unless the box that it came from reported otherwise.
 #[test]
 fn note_complete_counts_from_the_last_confirmation() {
-    let incomplete = Evidence {
+    let incomplete = Freshness {
         is_complete: false,
         ..freshness(4_000, true)
     };
@@ -173,16 +176,16 @@
         at: at(7),
     };
     let replica = Replica::default();
-    replica.note_listing(PREFIX, &listing, incomplete);
+    replica.record_listing(PREFIX, &listing, incomplete);
     assert_eq!(replica.complete_ms(PREFIX), None);
     replica.mark_complete(PREFIX);
     assert_eq!(replica.complete_ms(PREFIX), Some(4_000));
-    let reported_incomplete = Evidence {
-        is_told_complete: false,
+    let reported_incomplete = Freshness {
+        is_reported_complete: false,
         ..incomplete
     };
     let replica = Replica::default();
-    replica.note_listing(PREFIX, &listing, reported_incomplete);
-    replica.note_complete(PREFIX);
+    replica.record_listing(PREFIX, &listing, reported_incomplete);
+    replica.mark_complete(PREFIX);
     assert_eq!(replica.complete_ms(PREFIX), None);
 }
