--- a/crates/tinbay-node/src/entry/attempts.rs
+++ b/crates/tinbay-node/src/entry/attempts.rs
@@ -78,8 +78,8 @@
     engine: EngineId,
     /// The owner through which it was sent.
     owner: Option<BoxRun>,
-    /// Until when its run is looked for.
-    until_ms: Millis,
+    /// Deadline for finding the run and resuming it.
+    resume_by_ms: Millis,
     /// Failed attempts to resume it that reached an owner.
     resumes: u32,
 }
@@ -90,9 +90,9 @@
     job: Job,
     assembler: Assembler,
     /// Number of the last attempt, which distinguishes its chunks from those of earlier ones.
-    attempt: u32,
+    attempt_number: u32,
     /// Attempts that reached an owner and may have put load on an engine.
-    tries: u32,
+    counted_attempts: u32,
     /// Engines that have refused the request.
     refused: Vec<EngineId>,
     /// Engines found without an owner since the last wait for one.
@@ -104,7 +104,7 @@
     ends: AttemptEnds,
     /// The owner contacted last; `None` if the view had none.
     contacted: Option<BoxRun>,
-    /// Set while the run of an interrupted attempt is looked for, before another run may start.
+    /// The attempt to resume; no other run may start until the engine is known not to have it.
     interrupted: Option<Interrupted>,
     /// Position at which the stream was last resumed.
     resumed_at: Option<u64>,
@@ -121,8 +121,8 @@
             node: Arc::clone(node),
             job,
             assembler,
-            attempt: 0,
-            tries: 0,
+            attempt_number: 0,
+            counted_attempts: 0,
             refused: Vec::new(),
             vacant: Vec::new(),
             waits: 0,
@@ -184,7 +184,7 @@
             };
             self.stream = None;
             match error {
-                ChunkError::Wrong(error) => return Err(error.into()),
+                ChunkError::Mismatch(error) => return Err(error.into()),
                 ChunkError::Broken => self.resume().await?,
             }
         }
@@ -207,24 +207,24 @@
     fn next_engine(&mut self) -> Result<EngineId, Failure> {
         let job = &self.job;
         let engines = ranked_engines(&self.node, &job.model, &job.base_model, job.urgent);
-        let first = engines.first().cloned();
-        let first = first.ok_or_else(|| Failure::NoEngine(job.base_model.clone()))?;
+        let best = engines.first().cloned();
+        let best = best.ok_or_else(|| Failure::NoEngine(job.base_model.clone()))?;
         let next = engines.into_iter().find(|e| !self.refused.contains(e));
         Ok(next.unwrap_or_else(|| {
             self.refused.clear();
-            first
+            best
         }))
     }
 
     fn record_error(&mut self, engine: &EngineId, error: &AttemptError) {
         self.ends.note(error.end);
         if error.failure == Failure::EngineLeaves {
-            self.note_wait(engine, LEAVING_ENGINE_WAIT_MS);
+            self.record_expected_wait(engine, LEAVING_ENGINE_WAIT_MS);
         }
         log::debug!(
             target: part::ENTRY,
             "{} attempt {} on {engine} ended {:?}: {}",
-            self.job.request_id, self.attempt, error.end, error.failure,
+            self.job.request_id, self.attempt_number, error.end, error.failure,
         );
         if let Some(loss) = error.owner_loss {
             log::debug!(
@@ -246,10 +246,10 @@
             return Ok(());
         }
         let wait_ms = vacancy::record_owner_loss(&self.node, engine, self.contacted.as_ref(), loss);
-        self.note_wait(engine, wait_ms);
+        self.record_expected_wait(engine, wait_ms);
         if let Some(interrupted) = &self.interrupted {
-            let until_ms = interrupted.until_ms;
-            return self.await_owner(engine, until_ms).await;
+            let resume_by_ms = interrupted.resume_by_ms;
+            return self.await_owner(engine, resume_by_ms).await;
         }
         self.vacant.push(engine.clone());
         let next = self.next_engine()?;
@@ -302,7 +302,7 @@
                     AttemptError::not_run(Failure::BackendFailed { not_run: true })
                 }
                 ChunkError::Broken => AttemptError::unknown(),
-                ChunkError::Wrong(error) => AttemptError {
+                ChunkError::Mismatch(error) => AttemptError {
                     end: AttemptEnd::Answered,
                     failure: error.into(),
                     owner_loss: None,
@@ -316,31 +316,38 @@
         Ok(chunk)
     }
 
-    /// Starts an attempt or a resume on an engine, directly or through the box that owns it.
+    /// Starts or resumes the run on an engine, directly or through the box that owns the engine.
     async fn open(
         &mut self,
         engine: &EngineId,
         resume_from: Option<u64>,
     ) -> Result<AnswerStream, AttemptError> {
-        self.attempt += 1;
-        self.assembler.start_attempt(self.attempt);
+        self.attempt_number += 1;
+        self.assembler.start_attempt(self.attempt_number);
         let owner = owner_of(&self.node, engine);
         self.contacted = owner.as_ref().map(BoxRecord::run);
         let owner = owner.ok_or_else(|| AttemptError::owner_lost(OwnerLoss::TakingOver))?;
         let stream = if owner.id == *self.node.id() {
-            local::run(&self.node, &self.job, engine, self.attempt, resume_from).await?
+            local::run(
+                &self.node,
+                &self.job,
+                engine,
+                self.attempt_number,
+                resume_from,
+            )
+            .await?
         } else {
             remote::run(
                 &self.node,
                 &self.job,
                 engine,
                 &owner,
-                self.attempt,
+                self.attempt_number,
                 resume_from,
             )
             .await?
         };
-        self.note_wait(engine, stream.info.expected_wait_ms);
+        self.record_expected_wait(engine, stream.info.expected_wait_ms);
         if self.waits > 0 {
             lock(&self.node.vacancies).note_owned(engine);
         }
@@ -353,15 +360,15 @@
         };
         let position = self.assembler.next_position();
         if self.resumed_at == Some(position) {
-            vacancy::delay_resume(self.tries).await;
+            vacancy::delay_resume(self.counted_attempts).await;
         }
         self.resumed_at = Some(position);
         let until_ms = self.node.clock.now_ms() + RESUME_TIMEOUT_MS;
-        while self.tries < MAX_ATTEMPTS {
+        while self.counted_attempts < MAX_ATTEMPTS {
             let error = match self.open(&info.engine, Some(position)).await {
                 Ok(stream) => {
                     log::info!(target: part::ENTRY, "{} resumed at position {position}", self.job.request_id);
-                    self.tries += 1;
+                    self.counted_attempts += 1;
                     self.stream = Some(stream);
                     return Ok(());
                 }
@@ -382,13 +389,13 @@
                     }
                 }
                 None if error.failure == Failure::CannotResume => break,
-                None => self.tries += 1,
+                None => self.counted_attempts += 1,
             }
         }
         log::info!(
             target: part::ENTRY,
-            "{} could not be resumed at position {position} after {} of {MAX_ATTEMPTS} tries",
-            self.job.request_id, self.tries,
+            "{} could not be resumed at position {position} after {} of {MAX_ATTEMPTS} attempts",
+            self.job.request_id, self.counted_attempts,
         );
         Err(self.without_rerun_hint(Failure::CannotResume))
     }
@@ -404,9 +411,9 @@
         if error.end == AttemptEnd::Answered {
             return Err(NoRetry::AnswerBegun);
         }
-        let is_gone = error.failure == Failure::CannotResume;
+        let is_run_unknown = error.failure == Failure::CannotResume;
         if let Some(mut interrupted) = self.interrupted.take() {
-            if is_gone {
+            if is_run_unknown {
                 return self.allow_second_run(&interrupted);
             }
             interrupted.resumes += 1;
@@ -417,20 +424,20 @@
             self.interrupted = Some(interrupted);
             return Ok(());
         }
-        self.tries += 1;
+        self.counted_attempts += 1;
         if error.end == AttemptEnd::Unknown {
             self.interrupted = Some(Interrupted {
                 engine,
                 owner: self.contacted.clone(),
-                until_ms: self.node.clock.now_ms() + RESUME_TIMEOUT_MS,
+                resume_by_ms: self.node.clock.now_ms() + RESUME_TIMEOUT_MS,
                 resumes: 0,
             });
             return Ok(());
         }
         self.check_retry(error.end)?;
-        self.check_tries()?;
+        self.check_attempt_limit()?;
         let is_resume = self.job.resume_from.is_some();
-        if is_gone || !is_resume {
+        if is_run_unknown || !is_resume {
             self.refused.push(engine);
         }
         if is_resume {
@@ -448,15 +455,15 @@
     fn allow_second_run(&mut self, interrupted: &Interrupted) -> Result<(), NoRetry> {
         self.check_retry(AttemptEnd::Unknown)?;
         if self.contacted != interrupted.owner {
-            self.tries -= 1;
+            self.counted_attempts -= 1;
             return Ok(());
         }
-        self.check_tries()?;
+        self.check_attempt_limit()?;
         self.spend_retry()
     }
 
-    fn check_tries(&self) -> Result<(), NoRetry> {
-        match self.tries < MAX_ATTEMPTS {
+    fn check_attempt_limit(&self) -> Result<(), NoRetry> {
+        match self.counted_attempts < MAX_ATTEMPTS {
             true => Ok(()),
             false => Err(NoRetry::AttemptsUsed),
         }
@@ -485,15 +492,15 @@
         let left_ms = job.start_by_ms.saturating_sub(self.node.clock.now_ms());
         log::info!(
             target: part::ENTRY,
-            "{} {} is not retried: {reason}; try {} of {MAX_ATTEMPTS} ended {:?} ({}), {left_ms} ms \
+            "{} {} is not retried: {reason}; attempt {} of {MAX_ATTEMPTS} ended {:?} ({}), {left_ms} ms \
              left to start, {:.1} retries left for class {}",
-            job.request_id, job.model, self.tries, error.end, error.failure,
+            job.request_id, job.model, self.counted_attempts, error.end, error.failure,
             self.node.retry_balance(&job.class), job.class,
         );
     }
 
     /// The failure for the caller after the last attempt. If an earlier attempt may have run, the
-    /// outcome is unknown, unless the last one received a (wrong) answer.
+    /// outcome is unknown, unless the last one received an answer, which did not match the request.
     fn final_failure(&self, failure: Failure) -> Failure {
         let is_answer = matches!(failure, Failure::WrongAnswer(_));
         if is_answer || self.ends.are_all_not_run() {
@@ -511,7 +518,7 @@
         }
     }
 
-    fn note_wait(&self, engine: &EngineId, wait_ms: Millis) {
+    fn record_expected_wait(&self, engine: &EngineId, wait_ms: Millis) {
         let now_ms = self.node.clock.now_ms();
         let mut router = lock(self.node.router(&self.job.model));
         router.note_wait(engine, self.job.urgent, wait_ms, now_ms);
--- a/crates/tinbay-node/src/entry/completions.rs
+++ b/crates/tinbay-node/src/entry/completions.rs
@@ -1,4 +1,4 @@
-//! `POST /v1/completions`.
+//! Handles completion requests of callers (`POST /v1/completions`).
 
 use std::sync::Arc;
 
--- a/crates/tinbay-node/src/entry/job.rs
+++ b/crates/tinbay-node/src/entry/job.rs
@@ -1,13 +1,13 @@
-//! A caller's request in the form in which attempts run it.
+//! A caller's request after the filter chain, as it is queued and sent to engines.
 
 use tinbay_core::ids::ModelRef;
 use tinbay_core::units::Millis;
 use tinbay_wire::engine::EngineRequest;
 
-/// A request that has passed the filter chain.
+/// A request that has passed the filter chain, with its deadline and scheduling class.
 #[derive(Debug, Clone)]
 pub struct Job {
-    /// Name under which engines know the request.
+    /// Identifies the request at engines; the same for all its attempts.
     pub name: String,
     /// Id of the request in logs.
     pub request_id: String,
@@ -31,7 +31,7 @@
     pub repeatable: bool,
     /// When it arrived, on the clock of this box.
     pub arrived_ms: Millis,
-    /// Deadline for its start or, when resuming, the time until which its run is looked for.
+    /// Deadline for the start of its run or, when resuming, for finding the run to resume.
     pub start_by_ms: Millis,
     /// First position of the answer that a resuming caller needs; `None` for a new request.
     pub resume_from: Option<u64>,
--- a/crates/tinbay-node/src/entry/local.rs
+++ b/crates/tinbay-node/src/entry/local.rs
@@ -98,8 +98,8 @@
             Ok(stream) => return Ok(stream),
             Err(error) => error,
         };
-        // The engine has fewer free places than the scheduler assumed. Update its state and queue
-        // again.
+        // The engine has fewer free places in its batch than the scheduler assumed. Update its
+        // state and queue again.
         let queue_again = error.refusal == Some(EngineRefusal::BatchFull)
             && node.clock.now_ms() < job.start_by_ms;
         if !queue_again {
@@ -122,7 +122,7 @@
     owned: &Arc<OwnedEngine>,
     call: &EngineRequest,
 ) -> Result<AnswerStream, SendError> {
-    let ask = QueuedRequest {
+    let queued = QueuedRequest {
         id: node.next_request_id(),
         model: job.model.clone(),
         organisation: job.organisation.clone(),
@@ -131,7 +131,7 @@
         arrived_ms: job.arrived_ms,
         start_by_ms: job.start_by_ms,
     };
-    let mut guard = match owned.submit(ask, &call.request).await {
+    let mut guard = match owned.submit(queued, &call.request).await {
         QueueOutcome::Run(guard) => guard,
         QueueOutcome::Refused {
             reason,
@@ -148,7 +148,7 @@
     let error = match api.complete(owned.order(), call, HEAD_TIMEOUT).await {
         Ok(reader) => {
             let info = run_info(node, owned, job, guard.stall_ms);
-            return Ok(AnswerStream::of_engine(info, reader, Some(guard)));
+            return Ok(AnswerStream::from_engine(info, reader, Some(guard)));
         }
         Err(error) => error,
     };
@@ -180,7 +180,7 @@
                 queue_ms: 0,
                 expected_wait_ms: owned.expected_wait_ms(call.priority),
             };
-            Ok(AnswerStream::of_engine(info, reader, None))
+            Ok(AnswerStream::from_engine(info, reader, None))
         }
         Err(error) => Err(handle_engine_error(node, owned, call, error)),
     }
--- a/crates/tinbay-node/src/entry/locate.rs
+++ b/crates/tinbay-node/src/entry/locate.rs
@@ -1,5 +1,5 @@
-//! Returns the addresses of boxes to a caller, with the time for which they are valid, and issues
-//! the key of its request.
+//! Tells a caller which boxes to send its request to, for how long that holds, and the key under
+//! which to send it.
 
 use std::sync::Arc;
 
@@ -42,13 +42,13 @@
         }
     })?;
     let owner = match &query.model {
-        Some(text) => owner_of(node, text)?,
+        Some(text) => preferred_owner(node, text)?,
         None => None,
     };
     let boxes = candidates(node, owner);
-    let home = boxes.first().ok_or(Failure::Leaving)?;
+    let first = boxes.first().ok_or(Failure::Leaving)?;
     Ok(LocateAnswer {
-        key: node.mint_key(home).to_string(),
+        key: node.mint_key(first).to_string(),
         addresses: boxes.iter().map(|b| b.address.clone()).collect(),
         valid_ms: node.options.locate_valid_ms,
     })
@@ -56,7 +56,7 @@
 
 /// The owner of the engine that ranks first for a model. A request sent there need not be
 /// forwarded.
-fn owner_of(node: &Node, text: &str) -> Result<Option<BoxRecord>, Failure> {
+fn preferred_owner(node: &Node, text: &str) -> Result<Option<BoxRecord>, Failure> {
     let model: ModelRef = text.parse().map_err(|error| Failure::BadParameter {
         name: "model",
         reason: format!("{error}"),
--- a/crates/tinbay-node/src/entry/remote.rs
+++ b/crates/tinbay-node/src/entry/remote.rs
@@ -88,7 +88,7 @@
         expected_wait_ms: parse_millis(&response, headers::EXPECTED_WAIT_MS),
     };
     let reader = LineReader::new(response.take_payload());
-    Ok(AnswerStream::of_owner(info, reader, owner_watch))
+    Ok(AnswerStream::from_owner(info, reader, owner_watch))
 }
 
 /// Waits for the response head until the owner is removed from the view. A connection attempt is
--- a/crates/tinbay-node/src/entry/services.rs
+++ b/crates/tinbay-node/src/entry/services.rs
@@ -125,8 +125,8 @@
         ends.note(failure.attempt_end());
         // A failed connection put no load on the service, so it does not count against the retry
         // budget.
-        let is_free = failure == CallFailure::NotSent;
-        if !may_retry(&case) || !(is_free || node.spend_retry(class)) {
+        let is_exempt = failure == CallFailure::NotSent;
+        if !may_retry(&case) || !(is_exempt || node.spend_retry(class)) {
             break;
         }
     }
--- a/crates/tinbay-node/src/entry/stream.rs
+++ b/crates/tinbay-node/src/entry/stream.rs
@@ -1,4 +1,4 @@
-//! The answer stream of one attempt.
+//! Reads the chunks of an answer from the engine or from the box that relays it.
 
 use std::time::Duration;
 
@@ -37,7 +37,7 @@
     /// The place in the engine's batch, when this box owns the engine.
     guard: Option<RunGuard>,
     /// Watch on the owner that relays the stream, when another box owns the engine.
-    owner: Option<OwnerWatch>,
+    owner_watch: Option<OwnerWatch>,
 }
 
 /// Why a stream has no further chunk.
@@ -46,42 +46,42 @@
     /// The stream ended early, timed out or could not be parsed.
     #[error("stream ended early")]
     Broken,
-    /// The stream contains a chunk that does not belong to the answer, or lacks one.
+    /// The stream contains a chunk of another answer, or lacks a chunk.
     #[error("{0}")]
-    Wrong(#[from] tinbay_core::assemble::AssembleError),
+    Mismatch(#[from] tinbay_core::assemble::AssembleError),
 }
 
 impl AnswerStream {
     /// A stream from an engine owned by this box, with its place in the batch; `None` when
     /// resuming.
-    pub fn of_engine(info: RunInfo, reader: LineReader, guard: Option<RunGuard>) -> Self {
+    pub fn from_engine(info: RunInfo, reader: LineReader, guard: Option<RunGuard>) -> Self {
         Self {
             info,
             reader,
             guard,
-            owner: None,
+            owner_watch: None,
         }
     }
 
     /// A stream relayed by another box that owns the engine.
-    pub fn of_owner(info: RunInfo, reader: LineReader, owner: OwnerWatch) -> Self {
+    pub fn from_owner(info: RunInfo, reader: LineReader, owner_watch: OwnerWatch) -> Self {
         Self {
             info,
             reader,
             guard: None,
-            owner: Some(owner),
+            owner_watch: Some(owner_watch),
         }
     }
 
     /// The next event, unparsed; `None` after the end of the stream or when it breaks.
     pub async fn next_raw(&mut self) -> Option<Vec<u8>> {
         let event = tokio::time::timeout(EVENT_TIMEOUT, self.reader.next_event());
-        let event = match &mut self.owner {
+        let event = match &mut self.owner_watch {
             None => event.await,
-            Some(owner) => tokio::select! {
+            Some(owner_watch) => tokio::select! {
                 biased;
                 event = event => event,
-                () = owner.removed() => return None,
+                () = owner_watch.removed() => return None,
             },
         };
         let event = event.ok()?.ok().flatten()?;
@@ -107,7 +107,7 @@
     /// The next chunk of the answer; repeated chunks and those of abandoned attempts are skipped.
     ///
     /// # Errors
-    /// [`ChunkError`] when the stream breaks, contains a foreign chunk or lacks one.
+    /// [`ChunkError`] when the stream breaks, contains a chunk of another answer or lacks one.
     pub async fn next(&mut self, assembler: &mut Assembler) -> Result<Chunk, ChunkError> {
         loop {
             let event = self.next_raw().await.ok_or(ChunkError::Broken)?;
--- a/crates/tinbay-node/src/entry/vacancy.rs
+++ b/crates/tinbay-node/src/entry/vacancy.rs
@@ -1,4 +1,4 @@
-//! Waits for the next owner of an engine whose owner has failed or given it up.
+//! Estimates when an engine without an owner gets its next one, and delays requests until then.
 
 use std::time::Duration;
 
@@ -20,8 +20,8 @@
 /// Upper bound of the delay between two retries.
 const MAX_RETRY_MS: Millis = 1_000;
 
-/// Records that a run of a box, contacted as the owner of an engine, turned out not to own it.
-/// Returns the time until an owner is expected.
+/// Records that the process contacted as the owner of an engine does not own it or was not
+/// reached. Returns the time until the next owner is expected.
 pub fn record_owner_loss(
     node: &Node,
     engine: &EngineId,
@@ -72,7 +72,7 @@
 fn vacancy_terms(node: &Node, engine: &EngineId) -> VacancyTerms {
     let spec = node.config.engine(engine.as_str());
     let zone = spec.as_ref().map(|spec| &spec.zone);
-    let boxes = zone.map_or(0, |zone| read(&node.members).view().count_in(zone));
+    let box_count = zone.map_or(0, |zone| read(&node.members).view().count_in(zone));
     let checks_orders = spec.as_ref().is_none_or(|spec| spec.checks_orders);
     let lease_ms = if checks_orders {
         0
@@ -80,7 +80,7 @@
         FORMER_OWNER_LEASE_MS
     };
     VacancyTerms {
-        detect_ms: dead_after_ms(boxes, node.options.dead_after_ms) + lease_ms,
-        take_over_ms: heartbeat_period_ms(boxes) + OWNERSHIP_PERIOD_MS,
+        detect_ms: dead_after_ms(box_count, node.options.dead_after_ms) + lease_ms,
+        take_over_ms: heartbeat_period_ms(box_count) + OWNERSHIP_PERIOD_MS,
     }
 }
