--- a/crates/tinbay-node/src/owners/orders.rs
+++ b/crates/tinbay-node/src/owners/orders.rs
@@ -1,4 +1,4 @@
-//! Executes those commands of the scheduler that need I/O.
+//! Executes the scheduler's commands that need I/O: load requests and orders to engines.
 
 use std::sync::Arc;
 
@@ -36,7 +36,7 @@
             model,
             rank,
             since_ms,
-        } => ask_load(node, &engine, model, rank, since_ms).await,
+        } => request_load(node, &engine, model, rank, since_ms).await,
         Command::EndLoad(model) => {
             node.loads
                 .end(node, &engine.spec().name, &model, false)
@@ -53,20 +53,20 @@
     }
 }
 
-async fn ask_load(
+async fn request_load(
     node: &Arc<Node>,
     engine: &Arc<OwnedEngine>,
     model: ModelRef,
     rank: u8,
     since_ms: Millis,
 ) {
-    let wish = LoadRequest {
+    let request = LoadRequest {
         rank,
         since_ms,
         engine: engine.spec().name.clone(),
         model: model.clone(),
     };
-    node.loads.ask(node, wish).await;
+    node.loads.ask(node, request).await;
     engine.handle(Event::LoadGranted(model));
 }
 
@@ -114,7 +114,7 @@
 pub async fn handle_order_error(node: &Arc<Node>, engine: &Arc<OwnedEngine>, error: EngineError) {
     match error {
         EngineError::Refused(EngineRefusal::StaleFence) => {
-            log::info!(target: part::OWNER, "{} is owned by another box now", engine.spec().name);
+            log::info!(target: part::OWNER, "{} is owned by another box now; it is given up here", engine.spec().name);
             node.give_up(&engine.spec().name);
         }
         EngineError::Refused(EngineRefusal::Serving) => observe_engine(engine).await,
@@ -126,17 +126,17 @@
 /// Polls the engine for its running requests, some of which may not be tracked by this box. The
 /// known state of its slots is kept, including the delay before the next order.
 pub async fn observe_engine(engine: &Arc<OwnedEngine>) {
-    let asked_ms = engine.now_ms();
+    let requested_ms = engine.now_ms();
     if let Ok(state) = HttpEngine::new(&engine.spec().address).state().await {
-        engine.observe(&state, asked_ms);
+        engine.observe(&state, requested_ms);
     }
 }
 
-/// Replaces the known state by the one that the engine reports, as it has proved wrong.
+/// Replaces the known contents by those that the engine reports, after an order has failed.
 async fn relearn(engine: &Arc<OwnedEngine>) {
-    let asked_ms = engine.now_ms();
+    let requested_ms = engine.now_ms();
     if let Ok(state) = HttpEngine::new(&engine.spec().address).state().await {
-        engine.learn(&state, asked_ms);
+        engine.learn(&state, requested_ms);
     }
 }
 
@@ -148,8 +148,8 @@
     }
 }
 
-fn count_order(node: &Node, kind: &str, done: bool) {
-    let outcome = if done { "done" } else { "failed" };
+fn count_order(node: &Node, kind: &str, succeeded: bool) {
+    let outcome = if succeeded { "done" } else { "failed" };
     node.metrics
         .orders
         .with_label_values(&[kind, outcome])
--- a/crates/tinbay-node/src/owners/owned.rs
+++ b/crates/tinbay-node/src/owners/owned.rs
@@ -56,7 +56,7 @@
     /// Runs that this box has stopped tracking, kept until a state report requested after that.
     detached: Vec<DetachedRun>,
     order: Order,
-    released: bool,
+    is_released: bool,
 }
 
 /// A queued or running request.
@@ -78,10 +78,10 @@
 impl OwnedState {
     /// The engine's loaded models, and the models of its runs that this box does not track.
     ///
-    /// A run that was detached after the report was requested at `asked_ms` counts as running even
-    /// if it is not reported, as it may have begun after the report was made.
-    fn contents(&mut self, engine_state: &EngineState, asked_ms: Millis) -> EngineContents {
-        self.detached.retain(|run| run.detached_ms >= asked_ms);
+    /// A run that was detached after the report was requested at `requested_ms` counts as running
+    /// even if it is not reported, as it may have started after the report was made.
+    fn contents(&mut self, engine_state: &EngineState, requested_ms: Millis) -> EngineContents {
+        self.detached.retain(|run| run.detached_ms >= requested_ms);
         let tracked: HashSet<&str> = self
             .requests
             .values()
@@ -115,7 +115,7 @@
 pub struct RunGuard {
     engine: Arc<OwnedEngine>,
     id: RequestId,
-    may_run: bool,
+    may_be_running: bool,
     /// How long the request waited for its adapter to load.
     pub stall_ms: Millis,
 }
@@ -123,18 +123,18 @@
 impl RunGuard {
     /// Marks the request as sent, so that it may be running at the engine.
     pub fn mark_sent(&mut self) {
-        self.may_run = true;
+        self.may_be_running = true;
     }
 
     /// Marks the request as ended, or as not started by the engine.
     pub fn mark_ended(&mut self) {
-        self.may_run = false;
+        self.may_be_running = false;
     }
 }
 
 impl Drop for RunGuard {
     fn drop(&mut self) {
-        if self.may_run {
+        if self.may_be_running {
             self.engine.detach(self.id);
         } else {
             self.engine.untrack(self.id);
@@ -179,7 +179,7 @@
                 requests: HashMap::new(),
                 detached: Vec::new(),
                 order,
-                released: false,
+                is_released: false,
             }),
         })
     }
@@ -189,7 +189,7 @@
         &self.spec
     }
 
-    /// The current time on the clock to which `asked_ms` of state reports refers.
+    /// The current time on the clock to which `requested_ms` of state reports refers.
     pub fn now_ms(&self) -> Millis {
         self.clock.now_ms()
     }
@@ -200,28 +200,28 @@
     }
 
     /// Queues a request and waits until it may run or is refused; `name` is its name at the engine.
-    pub async fn submit(self: &Arc<Self>, ask: QueuedRequest, name: &str) -> QueueOutcome {
+    pub async fn submit(self: &Arc<Self>, queued: QueuedRequest, name: &str) -> QueueOutcome {
         let refused = QueueOutcome::Refused {
             reason: RefusalReason::NotOwner,
             retry_after_ms: 0,
         };
-        let id = ask.id;
+        let id = queued.id;
         let (sender, receiver) = oneshot::channel();
         {
             let mut state = lock(&self.state);
-            if state.released {
+            if state.is_released {
                 return refused;
             }
             state.waiters.insert(id, sender);
             let request = TrackedRequest {
                 name: name.to_owned(),
-                model: ask.model.clone(),
+                model: queued.model.clone(),
                 is_dispatched: false,
             };
             state.requests.insert(id, request);
         }
         let waiting = WaitGuard { engine: self, id };
-        self.handle(Event::Submit(ask));
+        self.handle(Event::Submit(queued));
         if self.is_released() {
             // The engine was released between the check and the submit; nothing else would flush
             // the queue.
@@ -273,7 +273,7 @@
                 let guard = RunGuard {
                     engine,
                     id,
-                    may_run: false,
+                    may_be_running: false,
                     stall_ms,
                 };
                 (id, QueueOutcome::Run(guard))
@@ -297,7 +297,8 @@
             }
         };
         let waiter = state.waiters.remove(&id);
-        // Without a waiter the caller has gone; sending on a closed channel drops the outcome.
+        // Without a waiter the caller has disconnected; sending on a closed channel drops the
+        // outcome.
         let waiter = waiter.unwrap_or_else(|| oneshot::channel().0);
         deliveries.push((waiter, outcome));
     }
@@ -329,41 +330,41 @@
         });
     }
 
-    /// Replaces the known state by a report that was requested at `asked_ms`, after a takeover, a
-    /// restart of the engine, or a failed order.
-    pub fn learn(self: &Arc<Self>, engine_state: &EngineState, asked_ms: Millis) {
+    /// Replaces the known contents by those in a report that was requested at `requested_ms`, after
+    /// a takeover, a restart of the engine, or a failed order.
+    pub fn learn(self: &Arc<Self>, engine_state: &EngineState, requested_ms: Millis) {
         self.handle_with(|state| {
             if state.order.incarnation != engine_state.incarnation {
                 state.order.incarnation = engine_state.incarnation;
                 state.detached.clear();
             }
-            Event::Learnt(state.contents(engine_state, asked_ms))
+            Event::Learnt(state.contents(engine_state, requested_ms))
         });
     }
 
-    /// Updates the known state from a report that was requested at `asked_ms`. Unlike
+    /// Updates the known contents from a report that was requested at `requested_ms`. Unlike
     /// [`learn`](Self::learn), it keeps the state of the engine's slots unless the engine has
     /// restarted.
-    pub fn observe(self: &Arc<Self>, engine_state: &EngineState, asked_ms: Millis) {
+    pub fn observe(self: &Arc<Self>, engine_state: &EngineState, requested_ms: Millis) {
         if engine_state.incarnation != self.order().incarnation {
-            self.learn(engine_state, asked_ms);
+            self.learn(engine_state, requested_ms);
             return;
         }
         self.handle_with(|state| match engine_state.leaving {
             true => Event::EngineLeaves,
-            false => Event::Observed(state.contents(engine_state, asked_ms)),
+            false => Event::Observed(state.contents(engine_state, requested_ms)),
         });
     }
 
     /// Gives up the engine: queued requests are refused as not run, running requests continue.
     pub fn release(self: &Arc<Self>) {
-        lock(&self.state).released = true;
+        lock(&self.state).is_released = true;
         self.handle(Event::Released);
     }
 
     /// Whether the engine was given up.
     pub fn is_released(&self) -> bool {
-        lock(&self.state).released
+        lock(&self.state).is_released
     }
 
     /// Replaces the scheduler's settings.
