--- a/crates/tinbay-node/src/controllers/box_lease.rs
+++ b/crates/tinbay-node/src/controllers/box_lease.rs
@@ -70,18 +70,20 @@
         if !self.is_needed() {
             return;
         }
-        let asked_ms = self.node.clock.now_ms();
-        let held = match self.lease {
+        let requested_ms = self.node.clock.now_ms();
+        let outcome = match self.lease {
             Some(lease) => self.renew(lease).await,
             None => self.acquire().await,
         };
-        match held {
+        match outcome {
             Ok(true) => {
                 let lifetime_ms = LEASE_TTL_MS - SAFETY_MARGIN_MS;
-                self.node.lease.extend(asked_ms + lifetime_ms);
+                self.node.lease.extend(requested_ms + lifetime_ms);
             }
             Ok(false) => self.lease = None,
-            Err(error) => log::debug!(target: part::OWNER, "lease not renewed: {error}"),
+            Err(error) => {
+                log::debug!(target: part::OWNER, "box lease not acquired or renewed, retrying: {error}")
+            }
         }
     }
 
--- a/crates/tinbay-node/src/controllers/box_list.rs
+++ b/crates/tinbay-node/src/controllers/box_list.rs
@@ -36,18 +36,18 @@
             return;
         }
         let Ok(listed) = self.node.box_list.read().await else {
-            log::debug!(target: part::MEMBER, "the box list service did not answer");
+            log::debug!(target: part::MEMBER, "the box list could not be read; keeping the previous one");
             return;
         };
-        let alone = listed.iter().all(|entry| entry.id == *self.node.id());
-        let marked_leaving = listed.iter().any(|entry| {
+        let is_alone = listed.iter().all(|entry| entry.id == *self.node.id());
+        let is_marked_leaving = listed.iter().any(|entry| {
             entry.id == *self.node.id() && entry.state == tinbay_core::view::BoxState::Leaving
         });
-        if marked_leaving && !self.node.is_leaving() {
+        if is_marked_leaving && !self.node.is_leaving() {
             self.node.leave();
         }
         write(&self.node.members).set_listed(listed);
-        if alone && !self.node.has_joined() {
+        if is_alone && !self.node.has_joined() {
             self.node.note_joined();
         }
     }
--- a/crates/tinbay-node/src/controllers/config_catch_up.rs
+++ b/crates/tinbay-node/src/controllers/config_catch_up.rs
@@ -1,5 +1,5 @@
 //! Fetches newer configuration from other boxes, not from the key-value service, once any of them
-//! has mentioned a newer revision.
+//! has announced a newer revision.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,7 +16,7 @@
 use crate::util::sync::read;
 
 /// Longest wait for a wake-up. A box without any contact for this long also asks other boxes.
-const IDLE: Duration = Duration::from_secs(1);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Time between the end of one step and the next wait for a wake-up.
 const PERIOD: Duration = Duration::from_millis(20);
@@ -42,10 +42,10 @@
     }
 
     async fn catch_up(&self) {
-        let _ = tokio::time::timeout(IDLE, self.node.catch_up.notified()).await;
-        let behind = self.node.wanted_revision() > self.node.config.in_force();
-        let silent = self.node.silent_ms() > IDLE.as_millis() as u64;
-        if behind || silent {
+        let _ = tokio::time::timeout(IDLE_TIMEOUT, self.node.catch_up.notified()).await;
+        let is_behind = self.node.wanted_revision() > self.node.config.in_force();
+        let lacks_contact = self.node.silent_ms() > IDLE_TIMEOUT.as_millis() as u64;
+        if is_behind || lacks_contact {
             self.ask_boxes().await;
         }
         let in_force = self.node.config.in_force();
--- a/crates/tinbay-node/src/controllers/config_watch.rs
+++ b/crates/tinbay-node/src/controllers/config_watch.rs
@@ -16,13 +16,13 @@
 
 /// Delay before a watch is restarted, doubled with each failure. The jitter of all controllers
 /// keeps keepers from reconnecting at the same moment after an outage.
-const RETRY: Duration = Duration::from_millis(500);
+const RETRY_DELAY: Duration = Duration::from_millis(500);
 
 /// Upper bound of the delay between attempts during a long outage.
-const MAX_RETRY: Duration = Duration::from_secs(5);
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(5);
 
 /// A watch without events for this long is checked against the newest revision.
-const IDLE_WATCH: Duration = Duration::from_secs(2);
+const WATCH_IDLE_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Applies configuration changes from the key-value service as they are made.
 pub struct ConfigWatchController {
@@ -48,7 +48,7 @@
             Ok(()) => self.failures = 0,
             Err(error) => {
                 self.failures = self.failures.saturating_add(1);
-                log::debug!(target: part::CONFIG, "configuration watch ended: {error}");
+                log::debug!(target: part::CONFIG, "configuration watch ended, restarting it: {error}");
             }
         }
     }
@@ -61,10 +61,10 @@
         self.node.config.apply_update(&whole_update(&listing));
         self.node.note_contact();
         self.failures = 0;
-        log::info!(target: part::CONFIG, "revision {from} is in force after a full read");
+        log::info!(target: part::CONFIG, "configuration revision {from} is in force after a full read");
         let mut watch = self.node.kv.watch(keys::CONFIG, from + 1).await?;
         while self.is_keeper() {
-            match tokio::time::timeout(IDLE_WATCH, watch.next()).await {
+            match tokio::time::timeout(WATCH_IDLE_TIMEOUT, watch.next()).await {
                 Ok(changes) => self.apply(&changes?),
                 Err(_) => self.check_head().await?,
             }
@@ -82,7 +82,7 @@
         // All changes of a transaction arrive in one batch, so the highest revision is complete.
         if let Some(newest) = changes.iter().map(|change| change.revision).max() {
             self.node.config.advance(newest);
-            log::debug!(target: part::CONFIG, "revision {newest} is in force");
+            log::debug!(target: part::CONFIG, "configuration revision {newest} is in force");
         }
     }
 
@@ -130,7 +130,7 @@
         Some(json) => match serde_json::from_slice::<ConfigObject>(json) {
             Ok(object) => Some(object),
             Err(error) => {
-                log::error!(target: part::CONFIG, "{key} at revision {revision} cannot be parsed: {error}");
+                log::error!(target: part::CONFIG, "{key} at revision {revision} cannot be parsed, skipping it: {error}");
                 return None;
             }
         },
@@ -144,7 +144,7 @@
 
 impl Controller for ConfigWatchController {
     fn period(&self) -> Duration {
-        (RETRY * 2_u32.saturating_pow(self.failures.min(4))).min(MAX_RETRY)
+        (RETRY_DELAY * 2_u32.saturating_pow(self.failures.min(4))).min(MAX_RETRY_DELAY)
     }
 
     fn step(&mut self) -> LocalBoxFuture<'_, ()> {
--- a/crates/tinbay-node/src/controllers/control_handler.rs
+++ b/crates/tinbay-node/src/controllers/control_handler.rs
@@ -44,8 +44,8 @@
             lock(&node.keys).release_not_run(&key);
             Reply::Ok
         }
-        Message::AskLoad(wish) => {
-            node.loads.wait_for_region_grant(node, wish).await;
+        Message::AskLoad(request) => {
+            node.loads.wait_for_region_grant(node, request).await;
             Reply::LoadGranted
         }
         Message::EndLoad {
@@ -74,7 +74,7 @@
 
 fn answer_heartbeat(node: &Node, revision: Revision, heartbeat: Heartbeat) -> Reply {
     let mut members = write(&node.members);
-    members.note_heard(&heartbeat.record.run(), revision, node.clock.now_ms());
+    members.record_heartbeat(&heartbeat.record.run(), revision, node.clock.now_ms());
     members.merge(heartbeat.record);
     Reply::View(members.update_since(
         heartbeat.view_version,
@@ -86,7 +86,7 @@
 /// The last heartbeat received from each box of this zone, with a current entry for this box.
 pub fn zone_status(node: &Node) -> Vec<HeardBox> {
     let members = read(&node.members);
-    let mut heard = members.heard_in(&node.options.zone, node.clock.now_ms());
+    let mut heard = members.last_heartbeats_in(&node.options.zone, node.clock.now_ms());
     heard.retain(|entry| entry.id != *node.id());
     heard.push(HeardBox {
         id: node.id().clone(),
--- a/crates/tinbay-node/src/controllers/discovery.rs
+++ b/crates/tinbay-node/src/controllers/discovery.rs
@@ -19,8 +19,8 @@
 /// Listed boxes contacted per step.
 const BOXES_PER_STEP: usize = 3;
 
-/// A box that reaches no other box within this time after its start continues alone.
-const ALONE_AFTER_MS: Millis = 3_000;
+/// A box that has reached no other box by this time after its start continues alone.
+const JOIN_TIMEOUT_MS: Millis = 3_000;
 
 /// Contacts listed boxes until one has answered. Afterwards keepers keep contacting listed boxes
 /// that are missing from their view, so that the two sides of a healed network partition merge
@@ -59,8 +59,8 @@
             drop(members);
             self.node.note_joined();
         }
-        let alone = self.node.clock.now_ms() >= ALONE_AFTER_MS;
-        if !self.node.has_joined() && alone {
+        let has_timed_out = self.node.clock.now_ms() >= JOIN_TIMEOUT_MS;
+        if !self.node.has_joined() && has_timed_out {
             self.node.note_joined();
         }
     }
--- a/crates/tinbay-node/src/controllers/heartbeat.rs
+++ b/crates/tinbay-node/src/controllers/heartbeat.rs
@@ -25,8 +25,8 @@
 use crate::state::Node;
 use crate::util::sync::{read, write};
 
-/// How long the time since a removed box was last heard is remembered, so that an older view from
-/// another box does not add it back as newly discovered.
+/// How long the last contact with a removed box is remembered, so that an older view from another
+/// box does not add it back as newly discovered.
 const SILENCE_RETENTION_MS: Millis = 600_000;
 
 /// Sends heartbeats within the zone and maintains the membership view.
@@ -34,9 +34,9 @@
     node: Arc<Node>,
     client: HeartbeatClient,
     /// When each keeper last answered a heartbeat of this box.
-    answers: Silences,
+    keeper_answers: Silences,
     /// When each box of the zone last sent a heartbeat; used while this box is a keeper.
-    heartbeats: Silences,
+    box_heartbeats: Silences,
     keeper_since_ms: Option<Millis>,
     /// The keeper whose view this box adopts.
     primary: Option<BoxId>,
@@ -48,8 +48,8 @@
         Self {
             node: Arc::clone(node),
             client: HeartbeatClient::new(node),
-            answers: Silences::default(),
-            heartbeats: Silences::default(),
+            keeper_answers: Silences::default(),
+            box_heartbeats: Silences::default(),
             keeper_since_ms: None,
             primary: None,
         }
@@ -73,17 +73,17 @@
             self.remove_silent(&me);
         }
         self.expire_silences();
-        let known = read(&self.node.members).view().boxes().count();
-        self.node.metrics.boxes.set(known as i64);
+        let box_count = read(&self.node.members).view().boxes().count();
+        self.node.metrics.boxes.set(box_count as i64);
     }
 
-    fn zone_boxes(&self) -> usize {
+    fn zone_box_count(&self) -> usize {
         let members = read(&self.node.members);
         members.view().count_in(&self.node.options.zone)
     }
 
     fn dead_after_ms(&self) -> Millis {
-        dead_after_ms(self.zone_boxes(), self.node.options.dead_after_ms)
+        dead_after_ms(self.zone_box_count(), self.node.options.dead_after_ms)
     }
 
     fn update_keeper_since(&mut self, is_keeper: bool) {
@@ -104,7 +104,7 @@
                 self.remove_if_unresponsive(&peer);
                 continue;
             };
-            self.answers.note_heard(&peer.run(), now_ms);
+            self.keeper_answers.note_heard(&peer.run(), now_ms);
             if has_primary {
                 self.client.record(&peer.id, &update);
                 continue;
@@ -117,9 +117,9 @@
     /// Adopts a keeper's view. After a change of keeper, an incremental update is discarded and the
     /// whole view is requested with the next heartbeat.
     fn adopt_view(&mut self, keeper: &BoxRecord, update: ViewUpdate) {
-        let same = self.primary.as_ref() == Some(&keeper.id);
+        let is_same_keeper = self.primary.as_ref() == Some(&keeper.id);
         self.primary = Some(keeper.id.clone());
-        if same || update.whole {
+        if is_same_keeper || update.whole {
             self.client.record(&keeper.id, &update);
             write(&self.node.members).apply(update);
         } else {
@@ -131,9 +131,9 @@
     fn remove_if_unresponsive(&mut self, keeper: &BoxRecord) {
         let now_ms = self.node.clock.now_ms();
         let run = keeper.run();
-        if self.answers.silent_ms(&run, now_ms) >= self.dead_after_ms() {
+        if self.keeper_answers.silent_ms(&run, now_ms) >= self.dead_after_ms() {
             // If it is heard again, for instance after a freeze, its detection time starts anew.
-            self.answers.forget(&run.id);
+            self.keeper_answers.forget(&run.id);
             self.remove(&run);
         }
     }
@@ -141,7 +141,7 @@
     fn remove(&mut self, run: &BoxRun) {
         let id = &run.id;
         if write(&self.node.members).remove_run(run) {
-            log::warn!(target: part::MEMBER, "box {id} is unresponsive and considered dead");
+            log::warn!(target: part::MEMBER, "box {id} is unresponsive and considered dead; removed from the view");
         }
         self.client.forget(id);
     }
@@ -152,8 +152,8 @@
             .clock
             .now_ms()
             .saturating_sub(SILENCE_RETENTION_MS);
-        self.answers.forget_before(oldest_ms);
-        self.heartbeats.forget_before(oldest_ms);
+        self.keeper_answers.forget_before(oldest_ms);
+        self.box_heartbeats.forget_before(oldest_ms);
     }
 
     /// Removes boxes of the zone whose heartbeats have stopped. A new keeper waits for the whole
@@ -164,7 +164,7 @@
         };
         let now_ms = self.node.clock.now_ms();
         let dead_after_ms = self.dead_after_ms();
-        let as_keeper_ms = now_ms.saturating_sub(keeper_since_ms);
+        let keeper_for_ms = now_ms.saturating_sub(keeper_since_ms);
         let mut silent: Vec<BoxRun> = Vec::new();
         let members = read(&self.node.members);
         let others = members
@@ -173,11 +173,11 @@
             .filter(|record| record.zone == me.zone && record.id != me.id);
         for record in others {
             let run = record.run();
-            if let Some(heard_ms) = members.heard_ms(&run) {
-                self.heartbeats.note_heard(&run, heard_ms);
+            if let Some(heartbeat_ms) = members.last_heartbeat_ms(&run) {
+                self.box_heartbeats.note_heard(&run, heartbeat_ms);
             }
-            let silent_ms = self.heartbeats.silent_ms(&run, now_ms);
-            if silent_ms.min(as_keeper_ms) >= dead_after_ms {
+            let silent_ms = self.box_heartbeats.silent_ms(&run, now_ms);
+            if silent_ms.min(keeper_for_ms) >= dead_after_ms {
                 silent.push(run);
             }
         }
@@ -190,7 +190,7 @@
 
 impl Controller for HeartbeatController {
     fn period(&self) -> Duration {
-        Duration::from_millis(heartbeat_period_ms(self.zone_boxes()))
+        Duration::from_millis(heartbeat_period_ms(self.zone_box_count()))
     }
 
     fn step(&mut self) -> LocalBoxFuture<'_, ()> {
--- a/crates/tinbay-node/src/controllers/loads.rs
+++ b/crates/tinbay-node/src/controllers/loads.rs
@@ -1,5 +1,5 @@
-//! Shares the weight store's allowance for adapter loads. One box of the region, the arbiter,
-//! grants loads to all boxes.
+//! Limits adapter loads to what the region's weight store allows. One box of the region, the
+//! arbiter, grants loads to all its boxes.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex};
@@ -26,8 +26,8 @@
 /// Time between checks for loads to grant.
 const PERIOD: Duration = Duration::from_millis(10);
 
-/// Allowance without a configured weight store, which hardly limits loads.
-const UNLIMITED: Allowance = Allowance {
+/// Allowance without a configured weight store, high enough to hardly limit loads.
+const DEFAULT_ALLOWANCE: Allowance = Allowance {
     loads_per_s: 1_000.0,
     at_once: 64,
 };
@@ -43,18 +43,18 @@
 impl Default for GrantQueue {
     fn default() -> Self {
         Self {
-            arbiter: LoadArbiter::new(UNLIMITED),
+            arbiter: LoadArbiter::new(DEFAULT_ALLOWANCE),
             waiting: HashMap::new(),
         }
     }
 }
 
 impl GrantQueue {
-    fn enqueue(&mut self, wish: LoadRequest) -> oneshot::Receiver<()> {
+    fn enqueue(&mut self, request: LoadRequest) -> oneshot::Receiver<()> {
         let (sender, receiver) = oneshot::channel();
-        let target = (wish.engine.clone(), wish.model.clone());
+        let target = (request.engine.clone(), request.model.clone());
         self.waiting.entry(target).or_default().push(sender);
-        self.arbiter.ask(wish);
+        self.arbiter.ask(request);
         receiver
     }
 
@@ -67,8 +67,8 @@
     }
 
     fn grant(&mut self, now_ms: u64) {
-        for wish in self.arbiter.grant(now_ms) {
-            let target = (wish.engine, wish.model);
+        for request in self.arbiter.grant(now_ms) {
+            let target = (request.engine, request.model);
             for waiter in self.waiting.remove(&target).unwrap_or_default() {
                 let _ = waiter.send(());
             }
@@ -87,15 +87,15 @@
 
 impl LoadLimiter {
     /// Waits until a load is granted.
-    pub async fn ask(&self, node: &Node, wish: LoadRequest) {
+    pub async fn wait_for_grant(&self, node: &Node, request: LoadRequest) {
         loop {
             let Some(arbiter) = find_arbiter(node) else {
-                return self.wait_for_local_grant(node, wish).await;
+                return self.wait_for_local_grant(node, request).await;
             };
             if arbiter.id == *node.id() {
-                return self.wait_for_region_grant(node, wish).await;
+                return self.wait_for_region_grant(node, request).await;
             }
-            let message = Message::AskLoad(wish.clone());
+            let message = Message::AskLoad(request.clone());
             let reply = node
                 .ask(&arbiter.control_address, message, GRANT_TIMEOUT)
                 .await;
@@ -104,15 +104,15 @@
                 // The arbiter has either a long queue or failed. If it failed, the view names
                 // another one once it has been removed.
                 Err(ControlError::TimedOut) => {}
-                _ => return self.wait_for_local_grant(node, wish).await,
+                _ => return self.wait_for_local_grant(node, request).await,
             }
         }
     }
 
     /// Waits for a grant from the region's queue while this box is the arbiter.
-    pub async fn wait_for_region_grant(&self, node: &Node, mut wish: LoadRequest) {
-        wish.since_ms = node.clock.now_ms();
-        let granted = lock(&self.region).enqueue(wish);
+    pub async fn wait_for_region_grant(&self, node: &Node, mut request: LoadRequest) {
+        request.since_ms = node.clock.now_ms();
+        let granted = lock(&self.region).enqueue(request);
         self.grant(node);
         let _ = granted.await;
     }
@@ -140,10 +140,10 @@
     }
 
     /// Waits for a grant from this box's share of the allowance, as there is no reachable arbiter.
-    async fn wait_for_local_grant(&self, node: &Node, mut wish: LoadRequest) {
-        log::debug!(target: part::LOADS, "no load arbiter for {} on {}, using the share of this box", wish.model, wish.engine);
-        wish.since_ms = node.clock.now_ms();
-        let granted = lock(&self.local).enqueue(wish);
+    async fn wait_for_local_grant(&self, node: &Node, mut request: LoadRequest) {
+        log::debug!(target: part::LOADS, "no load arbiter could be reached for {} on {}, using this box's share of the allowance", request.model, request.engine);
+        request.since_ms = node.clock.now_ms();
+        let granted = lock(&self.local).enqueue(request);
         self.grant(node);
         let _ = granted.await;
     }
@@ -151,12 +151,12 @@
     /// Grants the loads that the allowance permits now. Returns early while nothing waits, as it
     /// runs every [`PERIOD`].
     fn grant(&self, node: &Node) {
-        let anyone_waits =
+        let is_anyone_waiting =
             !lock(&self.region).waiting.is_empty() || !lock(&self.local).waiting.is_empty();
-        if !anyone_waits {
+        if !is_anyone_waiting {
             return;
         }
-        let boxes = {
+        let box_count = {
             let members = read(&node.members);
             members.view().live(&node.options.region).count()
         };
@@ -167,8 +167,8 @@
         region.grant(now_ms);
         drop(region);
         let share = Allowance {
-            loads_per_s: allowance.loads_per_s / boxes.max(1) as f64,
-            at_once: (allowance.at_once / boxes.max(1) as u32).max(1),
+            loads_per_s: allowance.loads_per_s / box_count.max(1) as f64,
+            at_once: (allowance.at_once / box_count.max(1) as u32).max(1),
         };
         let mut local = lock(&self.local);
         local.arbiter.set_allowance(share);
@@ -188,7 +188,7 @@
             loads_per_s: store.loads_per_s,
             at_once: store.at_once,
         },
-        _ => UNLIMITED,
+        _ => DEFAULT_ALLOWANCE,
     }
 }
 
--- a/crates/tinbay-node/src/controllers/members.rs
+++ b/crates/tinbay-node/src/controllers/members.rs
@@ -20,10 +20,10 @@
 
 /// The last heartbeat received from a box.
 #[derive(Debug, Clone, Copy)]
-struct Heard {
+struct LastHeartbeat {
     incarnation: Incarnation,
     revision: Revision,
-    at_ms: Millis,
+    received_ms: Millis,
 }
 
 /// The owner of an engine, computed from one version of the view.
@@ -34,7 +34,7 @@
     owner: Option<BoxId>,
 }
 
-/// Membership state of this box: its view, when each box was last heard, and the platform's list.
+/// Membership state of this box: its view, the last heartbeat of each box, and the platform's list.
 #[derive(Debug)]
 pub struct Members {
     me: BoxId,
@@ -46,10 +46,10 @@
     /// Removed boxes by the version of the view that removed them.
     removed: BTreeMap<u64, BoxId>,
     /// The newest version whose removal is no longer kept.
-    oldest_removal: u64,
-    heard: HashMap<BoxId, Heard>,
+    newest_dropped_removal: u64,
+    last_heartbeats: HashMap<BoxId, LastHeartbeat>,
     listed: Vec<ListedBox>,
-    joined: bool,
+    has_joined: bool,
     /// Cached because the cost of ranking boxes for each request would grow with the fleet.
     owners: Mutex<HashMap<EngineId, CachedOwner>>,
     changes: watch::Sender<u64>,
@@ -65,10 +65,10 @@
             version: 0,
             changed: HashMap::new(),
             removed: BTreeMap::new(),
-            oldest_removal: 0,
-            heard: HashMap::new(),
+            newest_dropped_removal: 0,
+            last_heartbeats: HashMap::new(),
             listed: Vec::new(),
-            joined: false,
+            has_joined: false,
             owners: Mutex::default(),
             changes: watch::Sender::new(0),
         };
@@ -120,12 +120,12 @@
 
     /// Whether this box has reached another box or established that there are none.
     pub fn has_joined(&self) -> bool {
-        self.joined
+        self.has_joined
     }
 
     /// Marks this box as joined.
     pub fn set_joined(&mut self) {
-        self.joined = true;
+        self.has_joined = true;
     }
 
     /// Merges a record into the view and returns whether the view changed.
@@ -135,7 +135,7 @@
         let changed = self.view.merge(record);
         if changed {
             log::debug!(target: part::MEMBER, "view: run {incarnation} of {id} is {state:?}");
-            self.note_change(id);
+            self.record_change(id);
         }
         changed
     }
@@ -144,7 +144,7 @@
     pub fn mark_live(&mut self, id: &BoxId, incarnation: Incarnation) {
         if self.view.mark_live(id, incarnation) {
             log::debug!(target: part::MEMBER, "view: run {incarnation} of {id} is live, as it owns an engine");
-            self.note_change(id.clone());
+            self.record_change(id.clone());
         }
     }
 
@@ -156,11 +156,11 @@
         log::debug!(target: part::MEMBER, "view: {id} removed");
         self.raise_version();
         self.changed.remove(id);
-        self.heard.remove(id);
+        self.last_heartbeats.remove(id);
         self.removed.insert(self.version, id.clone());
         while self.removed.len() > MAX_KEPT_REMOVALS {
             if let Some((version, _)) = self.removed.pop_first() {
-                self.oldest_removal = version;
+                self.newest_dropped_removal = version;
             }
         }
         true
@@ -172,32 +172,32 @@
     }
 
     /// Records a heartbeat from a run of a box, with the configuration revision it has in force.
-    pub fn note_heard(&mut self, run: &BoxRun, revision: Revision, now_ms: Millis) {
-        let heard = Heard {
+    pub fn record_heartbeat(&mut self, run: &BoxRun, revision: Revision, now_ms: Millis) {
+        let heartbeat = LastHeartbeat {
             incarnation: run.incarnation,
             revision,
-            at_ms: now_ms,
+            received_ms: now_ms,
         };
-        self.heard.insert(run.id.clone(), heard);
+        self.last_heartbeats.insert(run.id.clone(), heartbeat);
     }
 
     /// When the last heartbeat of a run of a box arrived; `None` if there was none.
-    pub fn heard_ms(&self, run: &BoxRun) -> Option<Millis> {
-        let heard = self.heard.get(&run.id)?;
-        (heard.incarnation == run.incarnation).then_some(heard.at_ms)
+    pub fn last_heartbeat_ms(&self, run: &BoxRun) -> Option<Millis> {
+        let heartbeat = self.last_heartbeats.get(&run.id)?;
+        (heartbeat.incarnation == run.incarnation).then_some(heartbeat.received_ms)
     }
 
     /// The last heartbeat from each box of a zone; boxes without one are left out.
-    pub fn heard_in(&self, zone: &ZoneId, now_ms: Millis) -> Vec<HeardBox> {
+    pub fn last_heartbeats_in(&self, zone: &ZoneId, now_ms: Millis) -> Vec<HeardBox> {
         self.view
             .boxes()
             .filter(|record| record.zone == *zone)
             .filter_map(|record| {
-                let heard = self.heard.get(&record.id)?;
+                let heartbeat = self.last_heartbeats.get(&record.id)?;
                 Some(HeardBox {
                     id: record.id.clone(),
-                    revision: heard.revision,
-                    silent_ms: now_ms.saturating_sub(heard.at_ms),
+                    revision: heartbeat.revision,
+                    silent_ms: now_ms.saturating_sub(heartbeat.received_ms),
                 })
             })
             .collect()
@@ -208,7 +208,7 @@
         for entry in &listed {
             let leaving = entry.state == BoxState::Leaving;
             if leaving && self.view.mark_leaving(&entry.id) {
-                self.note_change(entry.id.clone());
+                self.record_change(entry.id.clone());
             }
         }
         self.listed = listed;
@@ -218,7 +218,7 @@
     pub fn undiscovered(&self) -> Vec<ListedBox> {
         self.listed
             .iter()
-            .filter(|entry| entry.id != self.me && self.view.is_unmet(&entry.id, self.joined))
+            .filter(|entry| entry.id != self.me && self.view.is_unmet(&entry.id, self.has_joined))
             .cloned()
             .collect()
     }
@@ -226,7 +226,7 @@
     /// The changes of this view since `version`, which the receiver has from the run `incarnation`
     /// of this box. The whole view if that run has ended or its removals are no longer kept.
     pub fn update_since(&self, version: u64, incarnation: u64, revision: Revision) -> ViewUpdate {
-        let whole = incarnation != self.incarnation || version < self.oldest_removal;
+        let whole = incarnation != self.incarnation || version < self.newest_dropped_removal;
         let since = if whole { 0 } else { version };
         let present = self
             .view
@@ -324,7 +324,7 @@
         self.changes.send_replace(self.version);
     }
 
-    fn note_change(&mut self, id: BoxId) {
+    fn record_change(&mut self, id: BoxId) {
         self.raise_version();
         self.changed.insert(id, self.version);
     }
--- a/crates/tinbay-node/src/controllers/ownership.rs
+++ b/crates/tinbay-node/src/controllers/ownership.rs
@@ -31,11 +31,13 @@
 /// series of joins costs one write per engine.
 const VIEW_SETTLE_MS: Millis = 1_000;
 
+/// Progress of the takeovers, or extensions, of one engine.
 #[derive(Debug, Default)]
 struct Attempt {
-    running: bool,
+    is_running: bool,
     failures: u32,
-    next_ms: Millis,
+    /// Earliest time of the next attempt.
+    not_before_ms: Millis,
     /// The succession that a failed attempt has written, reused by the next one.
     claimed: Option<Succession>,
 }
@@ -48,9 +50,9 @@
 /// An engine that this box should own according to its view.
 struct DesiredEngine {
     spec: EngineSpec,
-    /// This box, the next in rank, and further successors from the engine's zone. Boxes of other
-    /// zones are left out beyond the second place: they only fill places that the zone leaves open,
-    /// and which of them do so changes whenever a zone is cut off.
+    /// This box, the next in rank, and further successors from the engine's zone. From the third
+    /// place on, boxes of other zones are left out: they only fill places for which the engine's
+    /// zone has too few boxes, and which ones do so changes whenever a zone is cut off.
     successors: Vec<BoxId>,
 }
 
@@ -159,8 +161,8 @@
         let current: HashSet<&EngineId> = engines.iter().map(|spec| &spec.name).collect();
         for owned in self.node.owners.all() {
             let spec = owned.spec();
-            let same = engines.iter().any(|known| known == spec);
-            if !current.contains(&spec.name) || !same {
+            let is_unchanged = engines.iter().any(|known| known == spec);
+            if !current.contains(&spec.name) || !is_unchanged {
                 self.node.give_up(&spec.name);
             }
         }
@@ -171,10 +173,10 @@
         let now_ms = self.node.clock.now_ms();
         let mut attempts = lock(attempts);
         let attempt = attempts.entry(engine.clone()).or_default();
-        if attempt.running || now_ms < attempt.next_ms {
+        if attempt.is_running || now_ms < attempt.not_before_ms {
             return false;
         }
-        attempt.running = true;
+        attempt.is_running = true;
         true
     }
 }
@@ -185,7 +187,7 @@
         .and_then(|attempt| attempt.claimed.take());
     let outcome = take_over(&node, &spec, claimed).await;
     if let Err((_, error)) = &outcome {
-        log::debug!(target: part::OWNER, "takeover of {} failed: {error}", spec.name);
+        log::debug!(target: part::OWNER, "takeover of {} failed, retrying: {error}", spec.name);
     }
     let failed = outcome.err().map(|(claimed, _)| claimed);
     end_attempt(&node, &attempts, &spec.name, failed);
@@ -199,7 +201,7 @@
 ) {
     let outcome = extend_succession(&node, &engine, &successors).await;
     if let Err(error) = &outcome {
-        log::debug!(target: part::OWNER, "extending the succession of {engine} failed: {error}");
+        log::debug!(target: part::OWNER, "extending the succession of {engine} failed, retrying: {error}");
     }
     let failed = outcome.is_err().then_some(None);
     end_attempt(&node, &attempts, &engine, failed);
@@ -215,14 +217,14 @@
 ) {
     let mut attempts = lock(attempts);
     let attempt = attempts.entry(engine.clone()).or_default();
-    attempt.running = false;
+    attempt.is_running = false;
     let Some(claimed) = failed else {
         *attempt = Attempt::default();
         return;
     };
-    let wait_ms = RETRY_MS << attempt.failures.min(6);
+    let delay_ms = RETRY_MS << attempt.failures.min(6);
     attempt.failures += 1;
-    attempt.next_ms = node.clock.now_ms() + wait_ms.min(MAX_RETRY_MS);
+    attempt.not_before_ms = node.clock.now_ms() + delay_ms.min(MAX_RETRY_MS);
     attempt.claimed = claimed;
 }
 
--- a/crates/tinbay-node/src/controllers/policies.rs
+++ b/crates/tinbay-node/src/controllers/policies.rs
@@ -41,7 +41,7 @@
             return request.base;
         };
         policy.classify(request).unwrap_or_else(|error| {
-            log::warn!(target: part::ENTRY, "policy {name} failed: {error}");
+            log::warn!(target: part::ENTRY, "policy {name} failed, using the class defaults: {error}");
             metrics.policy_failures.with_label_values(&[name]).inc();
             request.base
         })
--- a/crates/tinbay-node/src/controllers/succession.rs
+++ b/crates/tinbay-node/src/controllers/succession.rs
@@ -39,7 +39,7 @@
     #[error("key-value service: {0}")]
     Platform(#[from] PlatformError),
     /// Another box has changed the stored succession concurrently.
-    #[error("another box took over first")]
+    #[error("another box has changed the succession concurrently")]
     Raced,
     /// The former owner may still send orders to an engine that does not check them.
     #[error("the former owner {0} still holds its lease")]
@@ -263,8 +263,9 @@
         return Ok(());
     }
     let lease = node.kv.get(&keys::lease(owner)).await?;
-    let held = lease.is_some_and(|pair| pair.value == previous.incarnation.to_string().as_bytes());
-    if held {
+    let is_held =
+        lease.is_some_and(|pair| pair.value == previous.incarnation.to_string().as_bytes());
+    if is_held {
         return Err(TakeoverError::StillLeased(owner.clone()));
     }
     tokio::time::sleep(Duration::from_millis(LEASE_EXPIRY_GRACE_MS)).await;
@@ -292,7 +293,7 @@
     epoch: u64,
     place: u32,
 ) -> Result<(), EngineError> {
-    let asked_ms = node.clock.now_ms();
+    let requested_ms = node.clock.now_ms();
     let api = HttpEngine::new(&spec.address);
     let mut state: EngineState = api.state().await?;
     let fence = Fence::above(state.fence, epoch, place)
@@ -306,7 +307,7 @@
     }
     let settings = OwnerSettings::from_policy(node.policies.settings(&node.config));
     let owned = OwnedEngine::new(spec.clone(), settings, order, node.clock, node.jobs.clone());
-    owned.learn(&state, asked_ms);
+    owned.learn(&state, requested_ms);
     node.owners.insert(owned);
     node.metrics.engines_owned.set(node.owners.count() as i64);
     log::info!(
@@ -361,7 +362,7 @@
     }
     let owned = node.owners.get(&succession.engine);
     if owned.is_some_and(|owned| owned.fence().epoch < succession.epoch) {
-        log::info!(target: part::OWNER, "{} taken over by {:?}", succession.engine, succession.boxes.first());
+        log::info!(target: part::OWNER, "{} was taken over by {:?}; it is given up here", succession.engine, succession.boxes.first());
         node.give_up(&succession.engine);
     }
 }
--- a/crates/tinbay-node/src/controllers/zone_heartbeat.rs
+++ b/crates/tinbay-node/src/controllers/zone_heartbeat.rs
@@ -21,7 +21,7 @@
 /// A zone is considered cut off when none of its keepers has answered for this long.
 const ZONE_DEAD_AFTER_MS: Millis = 10_000;
 
-/// Learns about the boxes of other zones while this box is a keeper.
+/// Keeps the boxes of other zones in the view up to date while this box is a keeper.
 pub struct ZoneHeartbeatController {
     node: Arc<Node>,
     client: HeartbeatClient,
@@ -67,16 +67,16 @@
 
     /// The keepers of each other zone; empty unless this box is a keeper itself.
     fn keepers_of_other_zones(&self) -> BTreeMap<ZoneId, Vec<BoxRecord>> {
-        let own = &self.node.options.zone;
+        let own_zone = &self.node.options.zone;
         let members = read(&self.node.members);
         let view = members.view();
-        if !members.is_keeper(own) {
+        if !members.is_keeper(own_zone) {
             return BTreeMap::new();
         }
         let zones: BTreeSet<&ZoneId> = view.boxes().map(|record| &record.zone).collect();
         zones
             .into_iter()
-            .filter(|zone| *zone != own)
+            .filter(|zone| *zone != own_zone)
             .map(|zone| {
                 let keepers = view.keepers(zone).into_iter().cloned().collect();
                 (zone.clone(), keepers)
@@ -98,7 +98,7 @@
         if now_ms.saturating_sub(since_ms) >= ZONE_DEAD_AFTER_MS {
             self.answered_ms.remove(&zone);
             write(&self.node.members).remove_zone(&zone);
-            log::warn!(target: part::MEMBER, "zone {zone} is unresponsive and considered cut off");
+            log::warn!(target: part::MEMBER, "zone {zone} is unresponsive and considered cut off; its boxes are removed from the view");
         }
     }
 }
@@ -121,8 +121,8 @@
 impl Controller for ZoneHeartbeatController {
     fn period(&self) -> Duration {
         let members = read(&self.node.members);
-        let boxes = members.view().count_in(&self.node.options.zone);
-        Duration::from_millis(heartbeat_period_ms(boxes))
+        let box_count = members.view().count_in(&self.node.options.zone);
+        Duration::from_millis(heartbeat_period_ms(box_count))
     }
 
     fn step(&mut self) -> LocalBoxFuture<'_, ()> {
--- a/crates/tinbay-node/src/owners/orders.rs
+++ b/crates/tinbay-node/src/owners/orders.rs
@@ -66,7 +66,7 @@
         engine: engine.spec().name.clone(),
         model: model.clone(),
     };
-    node.loads.ask(node, request).await;
+    node.loads.wait_for_grant(node, request).await;
     engine.handle(Event::LoadGranted(model));
 }
 
