--- a/crates/tinbay-node/src/filters/claim.rs
+++ b/crates/tinbay-node/src/filters/claim.rs
@@ -30,8 +30,8 @@
         context: &'a mut Context<'_>,
     ) -> LocalBoxFuture<'a, Result<(), Failure>> {
         async move {
-            let resumes = context.identity.resume_from.is_some();
-            if context.treatment.repeatable || resumes {
+            let is_resume = context.identity.resume_from.is_some();
+            if context.treatment.repeatable || is_resume {
                 return Ok(());
             }
             let Some(key) = context.identity.key.clone() else {
--- a/crates/tinbay-node/src/filters/failure.rs
+++ b/crates/tinbay-node/src/filters/failure.rs
@@ -1,4 +1,4 @@
-//! The failures that callers and operators can receive.
+//! The failures that callers and operators can receive, with their codes and messages.
 
 use ntex::http::StatusCode;
 use ntex::web::HttpResponse;
@@ -17,10 +17,10 @@
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 pub enum Failure {
     /// The body is incomplete or cannot be parsed.
-    #[error("body: {0}")]
+    #[error("the request body is invalid: {0}")]
     MalformedBody(String),
     /// A header or query parameter cannot be parsed.
-    #[error("{name} is not understood: {reason}")]
+    #[error("{name} is invalid: {reason}")]
     BadParameter {
         /// Name of the header or parameter.
         name: &'static str,
@@ -28,19 +28,19 @@
         reason: String,
     },
     /// The body exceeds the configured limit.
-    #[error("body is over {limit_bytes} bytes")]
+    #[error("the request body exceeds {limit_bytes} bytes")]
     BodyTooLarge {
         /// The limit that was exceeded.
         limit_bytes: usize,
     },
     /// The request key cannot be parsed.
-    #[error("the request key is not one that locate gave")]
+    #[error("the request key is malformed; use one that locate has issued")]
     BadKey,
     /// The path does not exist.
-    #[error("nothing is at this path")]
+    #[error("this path does not exist")]
     NotFound,
     /// The path exists but does not support the method.
-    #[error("the path does not take this method")]
+    #[error("this path does not support the method")]
     MethodNotAllowed,
     /// The admin token is missing or wrong.
     #[error("the administration token is missing or wrong")]
@@ -61,16 +61,16 @@
     #[error("{0} does not exist")]
     UnknownObject(ConfigKey),
     /// No engine of the region serves the adapter's base model.
-    #[error("no engine of base model {0} can be used")]
+    #[error("no engine of this region serves base model {0}")]
     NoEngine(String),
     /// The queue is too long for the request to start before its deadline.
-    #[error("the queue is too long to start in time")]
+    #[error("the queue is too long for the request to start before its deadline")]
     Overloaded {
         /// Delay after which a retry may succeed.
         retry_after_ms: Millis,
     },
     /// The request was still queued at its deadline.
-    #[error("it could not start in time")]
+    #[error("the request was still queued at its deadline")]
     DeadlinePassed {
         /// Delay after which a retry may succeed.
         retry_after_ms: Millis,
@@ -82,34 +82,34 @@
         retry_after_ms: Millis,
     },
     /// The box is leaving the fleet and accepts no new work.
-    #[error("this box is leaving; ask locate for another")]
+    #[error("this box is leaving the fleet; ask locate for another one")]
     Leaving,
     /// The engine is leaving the fleet and accepts no new requests.
-    #[error("the engine is leaving")]
+    #[error("the engine is leaving the fleet")]
     EngineLeaves,
     /// No owner of the engine could be reached.
-    #[error("the engine has no owner that answers")]
+    #[error("no owner of the engine could be reached")]
     NotOwner {
         /// Time until the next owner is expected.
         retry_after_ms: Millis,
     },
     /// The box does not have the required configuration yet.
-    #[error("this box is catching up with the configuration")]
+    #[error("this box does not have the required configuration yet")]
     StaleConfiguration,
     /// The request key has been used already.
     #[error("the request with this key is running or was answered")]
     AlreadyUsed,
     /// The request may have run.
-    #[error("whether the request ran is not known")]
+    #[error("the outcome is unknown: the request may have run")]
     OutcomeUnknown,
     /// The engine no longer has the rest of the answer.
-    #[error("the rest of the answer is not there any more")]
+    #[error("the engine no longer has the rest of the answer")]
     CannotResume,
     /// The engine's answer is for another request or model, or has a gap.
-    #[error("wrong answer: {0}")]
+    #[error("the answer does not match the request: {0}")]
     WrongAnswer(#[from] AssembleError),
     /// The engine or service failed.
-    #[error("the back end failed")]
+    #[error("the engine or service failed")]
     BackendFailed {
         /// Whether it is certain that nothing ran.
         not_run: bool,
@@ -135,7 +135,7 @@
     #[error("the key-value service cannot be reached; nothing was changed")]
     PlatformUnavailable,
     /// The change may or may not have been made.
-    #[error("whether change {0} was made is not known yet; ask the audit trail for it")]
+    #[error("change {0} may or may not have been made; look it up in the audit trail")]
     ChangeUnknown(String),
 }
 
@@ -236,7 +236,7 @@
     fn from(error: BodyError) -> Self {
         match error {
             BodyError::TooLarge { limit_bytes } => Failure::BodyTooLarge { limit_bytes },
-            BodyError::Broken => Failure::MalformedBody("it broke off".to_owned()),
+            BodyError::Broken => Failure::MalformedBody("it ended early".to_owned()),
             BodyError::Json(error) => Failure::MalformedBody(error.to_string()),
         }
     }
--- a/crates/tinbay-node/src/filters/freshness.rs
+++ b/crates/tinbay-node/src/filters/freshness.rs
@@ -1,4 +1,5 @@
-//! Lets requests pass only while the configuration of the box is as recent as it can know.
+//! Prevents requests from being served with an outdated configuration, for instance after the
+//! process was suspended.
 
 use std::sync::Arc;
 
@@ -8,8 +9,8 @@
 use super::{Context, Failure, Filter};
 use crate::state::Node;
 
-/// Waits for contact with another box or the key-value service if there was none for a while, and
-/// refuses requests before the first configuration has arrived.
+/// Delays requests until there is contact with another box or the key-value service, if there was
+/// none for a while, and refuses them before the first configuration has arrived.
 pub struct FreshnessFilter;
 
 impl Filter for FreshnessFilter {
--- a/crates/tinbay-node/src/filters/identity.rs
+++ b/crates/tinbay-node/src/filters/identity.rs
@@ -1,4 +1,4 @@
-//! Identifies a request by its headers.
+//! Reads a request's id, key and resume position from its headers.
 
 use std::sync::Arc;
 
@@ -22,7 +22,7 @@
     pub key: Option<RequestKey>,
     /// First position of the answer that the caller still needs; `None` for a new request.
     pub resume_from: Option<u64>,
-    /// Name under which engines know the request: its key, so that repeated requests with that key
+    /// Identifies the request at engines: its key, so that repeated requests with that key
     /// share a run, or else a generated name.
     ///
     /// It is never an id chosen by the caller: two callers that chose the same one would share a
