--- a/crates/tinbay-core/src/limits/home.rs
+++ b/crates/tinbay-core/src/limits/home.rs
@@ -11,7 +11,7 @@
 use crate::units::{MS_PER_SECOND, Millis};
 
 use super::bucket::{Bucket, Refill};
-use super::denied::{CallerTry, DeniedRequests};
+use super::denied::{CallerTry, RejectedRequests};
 use super::retry_times::RetryTimes;
 use super::terms::LimitTerms;
 
@@ -19,8 +19,9 @@
 /// demand.
 const RESERVED_FRACTION: f64 = 0.5;
 
-/// After a pause in granting, the bucket holds the units of this time only: not none, as the account
-/// may just have been idle, and not all, as another home may have granted them.
+/// After a pause without requests, the bucket is reset to the units that accrue in this time: not
+/// to zero, as the account may just have been idle, and not to its capacity, as another home may
+/// have granted units meanwhile.
 const REFILL_AFTER_PAUSE_MS: Millis = 500;
 
 /// A box's request for units of a limit.
@@ -59,7 +60,7 @@
     /// Spaces the retry times of rejected requests.
     retry_times: RetryTimes,
     /// Rejected requests. Those that are late get only units that new ones leave.
-    denied: DeniedRequests,
+    rejected: RejectedRequests,
     /// When units were last requested.
     last_request_ms: Millis,
 }
@@ -71,7 +72,7 @@
         Self {
             bucket: Bucket::empty(now_ms),
             retry_times: RetryTimes::default(),
-            denied: DeniedRequests::default(),
+            rejected: RejectedRequests::default(),
             last_request_ms: now_ms,
         }
     }
@@ -85,12 +86,12 @@
 
     /// Grants units to a box.
     ///
-    /// From a bucket that is more than half full, a box gets more than it requests ahead: an equal
-    /// share of the surplus per box of the fleet.
+    /// While the bucket is more than half full, each box is granted at least an equal share of the
+    /// surplus ahead of demand, even if it requested less.
     ///
     /// Needed units are granted if the bucket holds all of them or is full. So short requests of an
     /// account at its limit are admitted before long ones. Granting on debt would treat both alike,
-    /// but reject almost three times as many requests without serving more of them in time.
+    /// but reject far more requests without serving more of them in time.
     pub fn deal(&mut self, terms: DealTerms, request: UnitRequest, now_ms: Millis) -> UnitGrant {
         self.deal_to(terms, request, None, now_ms)
     }
@@ -103,7 +104,7 @@
         &mut self,
         terms: DealTerms,
         request: UnitRequest,
-        of: Option<CallerTry>,
+        caller_try: Option<CallerTry>,
         now_ms: Millis,
     ) -> UnitGrant {
         let limit = terms.limit_terms.limit;
@@ -122,21 +123,22 @@
         }
         self.last_request_ms = now_ms;
         self.bucket.refill(refill, now_ms);
-        let is_late = of.is_some_and(|of| self.denied.is_late(of, now_ms));
+        let is_late =
+            caller_try.is_some_and(|caller_try| self.rejected.is_late(caller_try, now_ms));
         let reserved = if is_late {
             RESERVED_FRACTION * refill.capacity
         } else {
             0.0
         };
         if self.bucket.level() < request.needed.min(refill.capacity) + reserved {
-            if let Some(of) = of {
-                self.denied.note(of, now_ms);
+            if let Some(caller_try) = caller_try {
+                self.rejected.record(caller_try, now_ms);
             }
-            let longest_ms = terms.limit_terms.longest_away_ms;
+            let max_retry_ms = terms.limit_terms.longest_away_ms;
             let retry_after_ms = if is_late {
-                longest_ms
+                max_retry_ms
             } else {
-                self.schedule_retry(request.needed, refill, longest_ms, now_ms)
+                self.schedule_retry(request.needed, refill, max_retry_ms, now_ms)
             };
             return UnitGrant {
                 units: 0.0,
@@ -159,13 +161,13 @@
         &mut self,
         needed: f64,
         refill: Refill,
-        longest_ms: Millis,
+        max_retry_ms: Millis,
         now_ms: Millis,
     ) -> Millis {
         let needed = needed.min(refill.capacity);
-        let first_ms = now_ms.saturating_add(self.bucket.time_to_ms(needed, refill.per_s));
-        let own_ms = (needed / refill.per_s * MS_PER_SECOND as f64).ceil() as Millis;
+        let first_ms = now_ms.saturating_add(self.bucket.time_until_ms(needed, refill.per_s));
+        let gap_ms = (needed / refill.per_s * MS_PER_SECOND as f64).ceil() as Millis;
         self.retry_times
-            .next_ms(first_ms, own_ms, longest_ms, now_ms)
+            .next_ms(first_ms, gap_ms, max_retry_ms, now_ms)
     }
 }
--- a/crates/tinbay-core/src/limits/retry_times.rs
+++ b/crates/tinbay-core/src/limits/retry_times.rs
@@ -11,18 +11,18 @@
 
 impl RetryTimes {
     /// Time until the next retry: not before `first_ms`, and `gap_ms` after the previous one, but at
-    /// most `longest_ms`.
+    /// most `max_retry_ms`.
     pub fn next_ms(
         &mut self,
         first_ms: Millis,
         gap_ms: Millis,
-        longest_ms: Millis,
+        max_retry_ms: Millis,
         now_ms: Millis,
     ) -> Millis {
         let next_ms = self.last_retry_ms.saturating_add(gap_ms);
         let retry_ms = first_ms.max(next_ms);
-        let last_ms = now_ms.saturating_add(longest_ms);
-        self.last_retry_ms = retry_ms.min(last_ms);
-        retry_ms.saturating_sub(now_ms).min(longest_ms)
+        let latest_ms = now_ms.saturating_add(max_retry_ms);
+        self.last_retry_ms = retry_ms.min(latest_ms);
+        retry_ms.saturating_sub(now_ms).min(max_retry_ms)
     }
 }
--- a/crates/tinbay-core/src/limits/share.rs
+++ b/crates/tinbay-core/src/limits/share.rs
@@ -1,4 +1,4 @@
-//! A limit at a box that admits requests.
+//! Enforcement of a limit at a box that admits requests.
 //!
 //! Units granted by the limit's home are used first. A box whose home does not answer uses its own
 //! share, the limit divided by the number of boxes. A share may be too small for one request: 74
@@ -37,11 +37,13 @@
 /// State of a limit at one box.
 #[derive(Debug, Clone)]
 pub struct LimitShare {
+    /// Units granted by the home and not used yet.
     granted: f64,
-    granted_ms: Millis,
+    last_grant_ms: Millis,
     share: Bucket,
+    /// Decaying average of the use, as of `last_use_ms`.
     used_per_ms: f64,
-    used_ms: Millis,
+    last_use_ms: Millis,
     /// Until when the limit counts as reached.
     at_limit_until_ms: Millis,
 }
@@ -51,10 +53,10 @@
     pub fn new(now_ms: Millis) -> Self {
         Self {
             granted: 0.0,
-            granted_ms: now_ms,
+            last_grant_ms: now_ms,
             share: Bucket::empty(now_ms),
             used_per_ms: 0.0,
-            used_ms: now_ms,
+            last_use_ms: now_ms,
             at_limit_until_ms: now_ms,
         }
     }
@@ -77,7 +79,7 @@
     /// home grants.
     pub fn note_given(&mut self, units: f64, now_ms: Millis) {
         self.granted = self.unexpired_grant(now_ms) + units;
-        self.granted_ms = now_ms;
+        self.last_grant_ms = now_ms;
         self.share.clear(now_ms);
     }
 
@@ -88,7 +90,7 @@
             return false;
         }
         self.granted = granted - units;
-        self.note_use(units, now_ms);
+        self.record_use(units, now_ms);
         true
     }
 
@@ -112,10 +114,10 @@
             return Err(self.at_limit_until_ms - now_ms);
         }
         if self.share.level() < needed {
-            return Err(self.share.time_to_ms(needed, per_s).max(1));
+            return Err(self.share.time_until_ms(needed, per_s).max(1));
         }
         self.share.take(units);
-        self.note_use(units, now_ms);
+        self.record_use(units, now_ms);
         Ok(())
     }
 
@@ -137,7 +139,7 @@
     }
 
     fn unexpired_grant(&self, now_ms: Millis) -> f64 {
-        if now_ms < self.granted_ms + GRANT_LIFE_MS {
+        if now_ms < self.last_grant_ms + GRANT_LIFE_MS {
             self.granted
         } else {
             0.0
@@ -145,12 +147,12 @@
     }
 
     fn average_use_per_ms(&self, now_ms: Millis) -> f64 {
-        let passed_ms = now_ms.saturating_sub(self.used_ms) as f64;
+        let passed_ms = now_ms.saturating_sub(self.last_use_ms) as f64;
         self.used_per_ms * (-passed_ms / AVERAGE_USE_MS).exp()
     }
 
-    fn note_use(&mut self, units: f64, now_ms: Millis) {
+    fn record_use(&mut self, units: f64, now_ms: Millis) {
         self.used_per_ms = self.average_use_per_ms(now_ms) + units / AVERAGE_USE_MS;
-        self.used_ms = now_ms;
+        self.last_use_ms = now_ms;
     }
 }
--- a/crates/tinbay-core/src/limits/terms.rs
+++ b/crates/tinbay-core/src/limits/terms.rs
@@ -18,7 +18,8 @@
     pub limit: Limit,
     /// Units by which all boxes together may overdraw their shares while they can't reach a home.
     pub overdraft: f64,
-    /// Units that a new home withholds at first, and that all shares withhold together.
+    /// Units that a new home withholds at first. While no home can be reached, all shares together
+    /// withhold as many.
     pub first_debt: f64,
     /// Pause without requests after which a home drops its saved units: another box may have been
     /// the home in the meantime.
@@ -79,16 +80,16 @@
     /// If `binds_after_ms` is shorter than the window, the first windows include requests from before
     /// the announcement, which count as well.
     pub fn of_server(per_s: f64, binds_after_ms: Millis, known_for_ms: Millis) -> Self {
-        let reaches_back_ms = SERVER_WINDOW_MS.saturating_sub(binds_after_ms) as f64;
-        let held_back_ms = (reaches_back_ms * PRIOR_RATE_RATIO).min(binds_after_ms as f64);
-        let held_back_ms = (held_back_ms - known_for_ms as f64).max(0.0);
+        let window_before_ms = SERVER_WINDOW_MS.saturating_sub(binds_after_ms) as f64;
+        let withheld_ms = (window_before_ms * PRIOR_RATE_RATIO).min(binds_after_ms as f64);
+        let withheld_ms = (withheld_ms - known_for_ms as f64).max(0.0);
         Self {
             limit: Limit {
                 per_s,
                 burst: 1.0 + per_s * SERVER_BURST_S,
             },
             overdraft: SERVER_OVERDRAFT + SERVER_OVERDRAFT_S * per_s,
-            first_debt: per_s * held_back_ms / MS_PER_SECOND as f64,
+            first_debt: per_s * withheld_ms / MS_PER_SECOND as f64,
             reset_after_ms: SERVER_RESET_AFTER_MS,
             longest_away_ms: SERVER_MAX_RETRY_MS,
         }
--- a/crates/tinbay-core/tests/denied_test.rs
+++ b/crates/tinbay-core/tests/denied_test.rs
@@ -2,7 +2,7 @@
 
 use std::collections::VecDeque;
 
-use tinbay_core::limits::denied::{CallerTry, DeniedRequests};
+use tinbay_core::limits::denied::{CallerTry, RejectedRequests};
 use tinbay_core::limits::home::{DealTerms, LimitHome, UnitRequest};
 use tinbay_core::limits::terms::{Limit, LimitTerms};
 use tinbay_core::units::Millis;
@@ -30,7 +30,7 @@
     }
 }
 
-fn ask(home: &mut LimitHome, digest: u64, now_ms: Millis) -> Result<(), Millis> {
+fn request_units(home: &mut LimitHome, digest: u64, now_ms: Millis) -> Result<(), Millis> {
     let request = UnitRequest {
         needed: UNITS,
         ahead: 0.0,
@@ -48,15 +48,15 @@
 
 /// Sends three times the limit for 20 s. Rejected requests are retried once, at the given time but
 /// within 4 s.
-fn play_surge() -> Surge {
-    const LONGEST_AWAY_MS: Millis = 4_000;
+fn simulate_surge() -> Surge {
+    const MAX_RETRY_AFTER_MS: Millis = 4_000;
     let mut home = LimitHome::new(0);
     let mut surge = Surge::default();
-    let mut returns: Vec<VecDeque<(u64, Millis)>> = vec![VecDeque::new(); 30_000];
+    let mut retries_at: Vec<VecDeque<(u64, Millis)>> = vec![VecDeque::new(); 30_000];
     let mut digest = 0;
     for now_ms in 0..20_000 {
-        for (returned, first_ms) in std::mem::take(&mut returns[now_ms as usize]) {
-            if ask(&mut home, returned, now_ms).is_ok() {
+        for (retried, first_ms) in std::mem::take(&mut retries_at[now_ms as usize]) {
+            if request_units(&mut home, retried, now_ms).is_ok() {
                 let is_late = now_ms - first_ms >= OBJECTIVE_MS;
                 *(if is_late {
                     &mut surge.late
@@ -67,11 +67,11 @@
         }
         if now_ms % 20 < 3 {
             digest += 1;
-            match ask(&mut home, digest, now_ms) {
+            match request_units(&mut home, digest, now_ms) {
                 Ok(()) => surge.new += 1,
-                Err(away_ms) => {
-                    let back_ms = now_ms + away_ms.clamp(1, LONGEST_AWAY_MS);
-                    returns[back_ms as usize].push_back((digest, now_ms));
+                Err(retry_after_ms) => {
+                    let retry_ms = now_ms + retry_after_ms.clamp(1, MAX_RETRY_AFTER_MS);
+                    retries_at[retry_ms as usize].push_back((digest, now_ms));
                 }
             }
         }
@@ -83,7 +83,7 @@
 /// can still be in time.
 #[test]
 fn deal_surge_serves_new_requests_before_late_ones() {
-    let surge = play_surge();
+    let surge = simulate_surge();
     let allowed = (PER_S * 20.0 / UNITS) as usize;
     assert!(surge.late * 20 <= surge.new, "{surge:?}");
     assert!(surge.new * 10 >= allowed * 9, "{surge:?} of {allowed}");
@@ -92,28 +92,31 @@
 /// Empties the home's bucket at `now_ms`.
 fn drain(home: &mut LimitHome, now_ms: Millis) {
     let mut digest = 1 << 40;
-    while ask(home, digest, now_ms).is_ok() {
+    while request_units(home, digest, now_ms).is_ok() {
         digest += 1;
     }
 }
 
 #[test]
-fn deal_return_that_is_in_time_gets_its_turn() {
+fn deal_retry_in_time_is_granted() {
     let mut home = LimitHome::new(0);
     drain(&mut home, 1_000);
-    let away_ms = ask(&mut home, 7, 1_000).expect_err("no room");
-    assert!(away_ms < OBJECTIVE_MS);
-    assert_eq!(ask(&mut home, 7, 1_000 + away_ms.max(100)), Ok(()));
+    let retry_after_ms = request_units(&mut home, 7, 1_000).expect_err("the bucket is empty");
+    assert!(retry_after_ms < OBJECTIVE_MS);
+    assert_eq!(
+        request_units(&mut home, 7, 1_000 + retry_after_ms.max(100)),
+        Ok(())
+    );
 }
 
 #[test]
-fn deal_late_return_is_served_once_there_is_plenty() {
+fn deal_late_retry_is_granted_once_the_bucket_is_more_than_half_full() {
     let mut home = LimitHome::new(0);
     drain(&mut home, 1_000);
-    ask(&mut home, 7, 1_000).expect_err("no room");
+    request_units(&mut home, 7, 1_000).expect_err("the bucket is empty");
     drain(&mut home, 1_900);
-    assert!(ask(&mut home, 7, 1_950).is_err());
-    assert_eq!(ask(&mut home, 7, 3_500), Ok(()));
+    assert!(request_units(&mut home, 7, 1_950).is_err());
+    assert_eq!(request_units(&mut home, 7, 3_500), Ok(()));
 }
 
 /// Requests without a digest are never treated as late.
@@ -130,14 +133,14 @@
 }
 
 #[test]
-fn denied_memory_is_bounded_and_fades() {
-    let mut denied = DeniedRequests::default();
+fn rejected_requests_are_bounded_and_expire() {
+    let mut rejected = RejectedRequests::default();
     for digest in 0..100_000 {
-        denied.note(try_of(digest), 1_000);
+        rejected.record(try_of(digest), 1_000);
     }
-    assert!(denied.len() <= 5_000);
-    assert!(denied.is_late(try_of(99_999), 2_000));
-    assert!(!denied.is_late(try_of(1), 2_000));
-    denied.note(try_of(1), 60_000);
-    assert_eq!(denied.len(), 1);
+    assert!(rejected.len() <= 5_000);
+    assert!(rejected.is_late(try_of(99_999), 2_000));
+    assert!(!rejected.is_late(try_of(1), 2_000));
+    rejected.record(try_of(1), 60_000);
+    assert_eq!(rejected.len(), 1);
 }
--- a/crates/tinbay-core/tests/limits_test.rs
+++ b/crates/tinbay-core/tests/limits_test.rs
@@ -27,14 +27,14 @@
 /// Units by which all boxes together may overdraw their shares.
 const OVERDRAFT: f64 = 70_000.0;
 
-fn share_of(boxes: usize) -> ShareTerms {
+fn share_terms(boxes: usize) -> ShareTerms {
     ShareTerms {
         limit_terms: LimitTerms::of_account(LIMIT, OVERDRAFT),
         boxes,
     }
 }
 
-fn dealing(limit: Limit, reached: f64, boxes: usize) -> DealTerms {
+fn grant_terms(limit: Limit, reached: f64, boxes: usize) -> DealTerms {
     DealTerms {
         limit_terms: LimitTerms::of_account(limit, OVERDRAFT),
         reached,
@@ -52,7 +52,7 @@
 struct Admitted(Vec<(Millis, f64)>);
 
 impl Admitted {
-    fn note(&mut self, units: f64, now_ms: Millis) {
+    fn record(&mut self, units: f64, now_ms: Millis) {
         self.0.push((now_ms, units));
     }
 
@@ -104,13 +104,13 @@
             return true;
         }
         let Some((home, reached)) = home else {
-            return share.take_share(share_of(count), units, now_ms).is_ok();
+            return share.take_share(share_terms(count), units, now_ms).is_ok();
         };
         let request = UnitRequest {
             needed: units,
             ahead: share.ahead(now_ms),
         };
-        let grant = self.homes[home].deal(dealing(LIMIT, reached, count), request, now_ms);
+        let grant = self.homes[home].deal(grant_terms(LIMIT, reached, count), request, now_ms);
         share.note_given(grant.units, now_ms);
         if grant.retry_after_ms.is_some() {
             share.note_denied(now_ms);
@@ -133,7 +133,7 @@
         let units = cost_of(number);
         let now_ms = at_ms as Millis;
         if fleet.admit(number as usize * 31 % 74, Some((0, 1.0)), units, now_ms) {
-            admitted.note(units, now_ms);
+            admitted.record(units, now_ms);
         }
         number += 1;
         at_ms += gap_ms;
@@ -185,7 +185,7 @@
         };
         let units = cost_of(number);
         if fleet.admit((number * 31 % 74) as usize, home, units, now_ms) {
-            admitted.note(units, now_ms);
+            admitted.record(units, now_ms);
         }
     }
     let overdrawn = 74.0 * 960.0;
@@ -224,7 +224,7 @@
             };
             let units = cost_of(number);
             if fleet.admit(at, home, units, now_ms) {
-                admitted.note(units, now_ms);
+                admitted.record(units, now_ms);
             }
         }
         let max = admitted.window_max();
@@ -236,17 +236,17 @@
 
 /// Rejected callers get successive retry times, each when the bucket holds enough units.
 #[test]
-fn deal_tells_callers_to_come_back_in_turn() {
+fn deal_spaces_the_retry_times() {
     let mut home = LimitHome::new(0);
     let deal = |home: &mut LimitHome| {
-        home.deal(dealing(LIMIT, 1.0, 1_000_000), needs(6_000.0), 0)
+        home.deal(grant_terms(LIMIT, 1.0, 1_000_000), needs(6_000.0), 0)
             .retry_after_ms
     };
     assert_eq!(deal(&mut home), Some(100));
     assert_eq!(deal(&mut home), Some(200));
     assert_eq!(deal(&mut home), Some(300));
     assert_eq!(
-        home.deal(dealing(LIMIT, 1.0, 1_000_000), needs(6_000.0), 100)
+        home.deal(grant_terms(LIMIT, 1.0, 1_000_000), needs(6_000.0), 100)
             .retry_after_ms,
         None
     );
@@ -258,16 +258,16 @@
     let mut home = LimitHome::new(0);
     let large = needs(100_000.0);
     assert!(
-        home.deal(dealing(LIMIT, 1.0, 1_000_000), large, 900)
+        home.deal(grant_terms(LIMIT, 1.0, 1_000_000), large, 900)
             .retry_after_ms
             .is_some()
     );
     assert_eq!(
-        home.deal(dealing(LIMIT, 1.0, 1_000_000), large, 1_000)
+        home.deal(grant_terms(LIMIT, 1.0, 1_000_000), large, 1_000)
             .units,
         100_000.0
     );
-    let next = home.deal(dealing(LIMIT, 1.0, 1_000_000), needs(661.0), 1_000);
+    let next = home.deal(grant_terms(LIMIT, 1.0, 1_000_000), needs(661.0), 1_000);
     assert_eq!(next.units, 0.0);
 }
 
@@ -278,14 +278,14 @@
         per_s: 1_000.0,
         burst: 1_000.0,
     };
-    home.deal(dealing(LIMIT, 1.0, 1_000_000), needs(0.0), 1_900);
+    home.deal(grant_terms(LIMIT, 1.0, 1_000_000), needs(0.0), 1_900);
     assert_eq!(
-        home.deal(dealing(low, 1.0, 1_000_000), needs(1_001.0), 2_000)
+        home.deal(grant_terms(low, 1.0, 1_000_000), needs(1_001.0), 2_000)
             .units,
         1_001.0
     );
     assert_eq!(
-        home.deal(dealing(low, 1.0, 1_000_000), needs(500.0), 2_000)
+        home.deal(grant_terms(low, 1.0, 1_000_000), needs(500.0), 2_000)
             .units,
         0.0
     );
@@ -293,7 +293,7 @@
 
 /// Granted units expire.
 #[test]
-fn take_given_not_for_ever() {
+fn take_given_expires() {
     let mut share = LimitShare::new(0);
     share.note_given(1_000.0, 0);
     assert!(share.take_given(100.0, 999));
@@ -305,7 +305,7 @@
     let mut share = LimitShare::new(0);
     let terms = ShareTerms {
         limit_terms: LimitTerms::of_account(LIMIT, 60_000.0),
-        ..share_of(60)
+        ..share_terms(60)
     };
     let take = |share: &mut LimitShare, now_ms| share.take_share(terms, 1_200.0, now_ms);
     assert_eq!(take(&mut share, 100), Err(100));
@@ -325,9 +325,9 @@
 
 /// A box does not use its own share right after the home has refused units.
 #[test]
-fn take_share_not_right_after_the_home_had_no_room() {
+fn take_share_not_right_after_a_refusal_by_the_home() {
     let mut share = LimitShare::new(0);
     share.note_denied(100);
-    assert_eq!(share.take_share(share_of(1), 661.0, 600), Err(1_000));
-    assert_eq!(share.take_share(share_of(1), 661.0, 1_600), Ok(()));
+    assert_eq!(share.take_share(share_terms(1), 661.0, 600), Err(1_000));
+    assert_eq!(share.take_share(share_terms(1), 661.0, 1_600), Ok(()));
 }
--- a/crates/tinbay-core/tests/serving_server_limit_test.rs
+++ b/crates/tinbay-core/tests/serving_server_limit_test.rs
@@ -20,7 +20,7 @@
     }
 }
 
-fn said(notices: &[LimitNotice]) -> Option<f64> {
+fn announced(notices: &[LimitNotice]) -> Option<f64> {
     let mut limit = AnnouncedLimit::default();
     for notice in notices {
         limit.note(*notice);
@@ -31,8 +31,8 @@
 #[test]
 fn note_answer_to_a_later_request_ends_a_limit() {
     let named = notice(Some(4.0), 0, 100);
-    assert_eq!(said(&[named]), Some(4.0));
-    assert_eq!(said(&[named, notice(None, 100, 200)]), None);
+    assert_eq!(announced(&[named]), Some(4.0));
+    assert_eq!(announced(&[named, notice(None, 100, 200)]), None);
 }
 
 /// The request of the answer without a limit was sent before the answer with the limit arrived, so
@@ -40,8 +40,8 @@
 #[test]
 fn note_answer_that_may_be_older_ends_no_limit() {
     let named = notice(Some(4.0), 0, 100);
-    assert_eq!(said(&[named, notice(None, 99, 200)]), Some(4.0));
-    assert_eq!(said(&[notice(None, 0, 150), named]), Some(4.0));
+    assert_eq!(announced(&[named, notice(None, 99, 200)]), Some(4.0));
+    assert_eq!(announced(&[notice(None, 0, 150), named]), Some(4.0));
 }
 
 /// Overlapping requests, of which one is always in flight, must not keep a limit that has ended.
@@ -49,23 +49,26 @@
 fn note_answers_that_overlap_end_a_limit() {
     let named = notice(Some(4.0), 0, 100);
     let (first, second) = (notice(None, 60, 160), notice(None, 120, 220));
-    assert_eq!(said(&[named, first, second]), None);
+    assert_eq!(announced(&[named, first, second]), None);
 }
 
 #[test]
 fn note_of_two_limits_in_either_order_the_lower_one_holds() {
     let (high, low) = (notice(Some(8.0), 0, 200), notice(Some(2.0), 50, 150));
-    assert_eq!(said(&[high, low]), Some(2.0));
-    assert_eq!(said(&[low, high]), Some(2.0));
-    assert_eq!(said(&[high, low, notice(Some(8.0), 200, 300)]), Some(8.0));
+    assert_eq!(announced(&[high, low]), Some(2.0));
+    assert_eq!(announced(&[low, high]), Some(2.0));
+    assert_eq!(
+        announced(&[high, low, notice(Some(8.0), 200, 300)]),
+        Some(8.0)
+    );
 }
 
 #[test]
 fn note_certainly_older_notice_changes_nothing() {
     let named = notice(Some(4.0), 500, 600);
-    assert_eq!(said(&[named, notice(Some(1.0), 100, 400)]), Some(4.0));
+    assert_eq!(announced(&[named, notice(Some(1.0), 100, 400)]), Some(4.0));
     assert_eq!(
-        said(&[notice(None, 500, 600), notice(Some(1.0), 100, 400)]),
+        announced(&[notice(None, 500, 600), notice(Some(1.0), 100, 400)]),
         None
     );
 }
@@ -101,11 +104,11 @@
     cut: (Millis, Millis, usize),
     /// When the home of the limit is killed, and when another box takes its place.
     kill_ms: Millis,
-    replaced_ms: Millis,
+    new_home_ms: Millis,
 }
 
 impl Plan {
-    fn draw(random: &mut SmallRng) -> Self {
+    fn random(random: &mut SmallRng) -> Self {
         let mut limits = BTreeMap::new();
         limits.insert(0, None);
         let mut at_ms = FIRST_MS;
@@ -125,7 +128,7 @@
                 random.random_range(0..=BOXES),
             ),
             kill_ms,
-            replaced_ms: kill_ms + random.random_range(0..3_000),
+            new_home_ms: kill_ms + random.random_range(0..3_000),
         }
     }
 
@@ -139,7 +142,7 @@
 struct Fleet {
     plan: Plan,
     random: SmallRng,
-    said: Vec<AnnouncedLimit>,
+    announced: Vec<AnnouncedLimit>,
     shares: Vec<LimitShare>,
     denied_until_ms: Vec<Millis>,
     homes: HashMap<usize, (AnnouncedLimit, LimitHome)>,
@@ -148,7 +151,7 @@
     arrivals: Vec<Millis>,
     number: u64,
     /// When a box first learned of a limit.
-    first_heard_ms: Option<Millis>,
+    first_known_ms: Option<Millis>,
     /// Limits that the server named in its answers, by time.
     named: BTreeMap<Millis, Option<f64>>,
 }
@@ -157,9 +160,9 @@
     fn new(seed: u64) -> Self {
         let mut random = SmallRng::seed_from_u64(seed);
         Self {
-            plan: Plan::draw(&mut random),
+            plan: Plan::random(&mut random),
             random,
-            said: vec![AnnouncedLimit::default(); BOXES],
+            announced: vec![AnnouncedLimit::default(); BOXES],
             shares: vec![LimitShare::new(0); BOXES],
             denied_until_ms: vec![0; BOXES],
             homes: HashMap::new(),
@@ -167,7 +170,7 @@
             in_transit: BTreeMap::new(),
             arrivals: Vec::new(),
             number: 0,
-            first_heard_ms: None,
+            first_known_ms: None,
             named: BTreeMap::new(),
         }
     }
@@ -195,18 +198,18 @@
         if now_ms < self.plan.kill_ms {
             return Some((BOXES - 1, reached));
         }
-        (now_ms >= self.plan.replaced_ms).then_some((BOXES - 2, reached))
+        (now_ms >= self.plan.new_home_ms).then_some((BOXES - 2, reached))
     }
 
     /// Terms under which a box enforces the limit that it knows.
     fn terms(&self, at: usize, per_s: f64, now_ms: Millis) -> LimitTerms {
-        let known_for_ms = self.said[at].known_for_ms(now_ms);
+        let known_for_ms = self.announced[at].known_for_ms(now_ms);
         LimitTerms::of_server(per_s, BINDS_AFTER_MS, known_for_ms)
     }
 
     /// Whether a box may send a request.
     fn admit(&mut self, at: usize, now_ms: Millis) -> bool {
-        let Some(per_s) = self.said[at].per_s() else {
+        let Some(per_s) = self.announced[at].per_s() else {
             return true;
         };
         if now_ms < self.denied_until_ms[at] {
@@ -222,26 +225,26 @@
             };
             return self.shares[at].take_share(terms, 1.0, now_ms).is_ok();
         };
-        self.ask(at, home, reached, now_ms)
+        self.request_unit(at, home, reached, now_ms)
     }
 
-    fn ask(&mut self, at: usize, home: usize, reached: f64, now_ms: Millis) -> bool {
+    fn request_unit(&mut self, at: usize, home: usize, reached: f64, now_ms: Millis) -> bool {
         let ahead = self.shares[at].ahead(now_ms);
         // The home combines what its own box learned with what it receives with requests.
-        let mut known = self.said[home];
-        let own = self.said[at].notice();
+        let mut known = self.announced[home];
+        let own = self.announced[at].notice();
         own.into_iter().for_each(|notice| known.note(notice));
-        self.said[home] = known;
+        self.announced[home] = known;
         let Some(per_s) = known.per_s() else {
             self.homes.remove(&home);
             known
                 .notice()
                 .into_iter()
-                .for_each(|notice| self.said[at].note(notice));
-            return self.said[at].per_s().is_none();
+                .for_each(|notice| self.announced[at].note(notice));
+            return self.announced[at].per_s().is_none();
         };
         let terms = self.terms(home, per_s, now_ms);
-        let (_, dealer) = self
+        let (_, limit_home) = self
             .homes
             .entry(home)
             .or_insert_with(|| (known, LimitHome::in_debt(terms.first_debt, now_ms)));
@@ -251,11 +254,11 @@
             boxes: BOXES,
         };
         let request = UnitRequest { needed: 1.0, ahead };
-        let grant = dealer.deal(deal, request, now_ms);
+        let grant = limit_home.deal(deal, request, now_ms);
         known
             .notice()
             .into_iter()
-            .for_each(|notice| self.said[at].note(notice));
+            .for_each(|notice| self.announced[at].note(notice));
         self.shares[at].note_given(grant.units, now_ms);
         match grant.retry_after_ms {
             Some(retry_after_ms) => {
@@ -271,10 +274,10 @@
         self.arrivals.push(now_ms);
         let answer_ms = now_ms + self.random.random_range(1..LONGEST_ANSWER_MS);
         // The server generates the answer at some time before it arrives.
-        let said_ms = self.random.random_range(now_ms..answer_ms);
-        let per_s = self.plan.limit_at(said_ms);
+        let generated_ms = self.random.random_range(now_ms..answer_ms);
+        let per_s = self.plan.limit_at(generated_ms);
         let notice = notice(per_s, now_ms, answer_ms);
-        self.named.insert(said_ms, per_s);
+        self.named.insert(generated_ms, per_s);
         self.number += 1;
         self.answers.insert((answer_ms, self.number), (at, notice));
     }
@@ -285,14 +288,14 @@
                 return;
             }
             let (at, notice) = entry.remove();
-            let before = self.said[at].per_s();
-            self.said[at].note(notice);
-            let after = self.said[at].per_s();
+            let before = self.announced[at].per_s();
+            self.announced[at].note(notice);
+            let after = self.announced[at].per_s();
             if before == after {
                 continue;
             }
-            self.begin_share(at, before, now_ms);
-            self.first_heard_ms.get_or_insert(now_ms);
+            self.reset_share(at, before, now_ms);
+            self.first_known_ms.get_or_insert(now_ms);
             self.forward(at, now_ms);
         }
     }
@@ -300,12 +303,12 @@
     /// Sends a limit that a box received from the server to the boxes that it can reach: the home,
     /// and those that use the server.
     fn forward(&mut self, at: usize, now_ms: Millis) {
-        let Some(notice) = self.said[at].notice() else {
+        let Some(notice) = self.announced[at].notice() else {
             return;
         };
         if let Some((home, _)) = self.home_of(at, now_ms) {
-            self.said[home].note(notice);
-            if self.said[home].per_s().is_none() {
+            self.announced[home].note(notice);
+            if self.announced[home].per_s().is_none() {
                 self.homes.remove(&home);
             }
         }
@@ -316,10 +319,10 @@
             if self.is_cut_off(other, now_ms) != self.is_cut_off(at, now_ms) {
                 continue;
             }
-            let told_ms = now_ms + self.random.random_range(1..LONGEST_PROPAGATION_MS);
+            let arrival_ms = now_ms + self.random.random_range(1..LONGEST_PROPAGATION_MS);
             self.number += 1;
             self.in_transit
-                .insert((told_ms, self.number), (other, notice));
+                .insert((arrival_ms, self.number), (other, notice));
         }
     }
 
@@ -329,15 +332,15 @@
                 return;
             }
             let (at, notice) = entry.remove();
-            let before = self.said[at].per_s();
-            self.said[at].note(notice);
-            self.begin_share(at, before, now_ms);
+            let before = self.announced[at].per_s();
+            self.announced[at].note(notice);
+            self.reset_share(at, before, now_ms);
         }
     }
 
     /// A box that learns of a limit and knew none starts with a new share.
-    fn begin_share(&mut self, at: usize, before: Option<f64>, now_ms: Millis) {
-        if let (None, Some(per_s)) = (before, self.said[at].per_s()) {
+    fn reset_share(&mut self, at: usize, before: Option<f64>, now_ms: Millis) {
+        if let (None, Some(per_s)) = (before, self.announced[at].per_s()) {
             let debt = self.terms(at, per_s, now_ms).first_debt / BOXES as f64;
             self.shares[at] = LimitShare::in_debt(debt, now_ms);
         }
@@ -346,8 +349,8 @@
     /// Demand to scale from: the first limit until it is known, then the highest one.
     fn demand(&self, now_ms: Millis) -> f64 {
         let is_known = self
-            .first_heard_ms
-            .is_some_and(|heard_ms| now_ms > heard_ms + KNOWN_MS);
+            .first_known_ms
+            .is_some_and(|known_ms| now_ms > known_ms + KNOWN_MS);
         if !is_known {
             return self.plan.limit_at(FIRST_MS).unwrap_or_default();
         }
@@ -355,7 +358,7 @@
         limits.copied().fold(0.0, f64::max)
     }
 
-    fn play(&mut self) {
+    fn simulate(&mut self) {
         for now_ms in 0..END_MS {
             self.take_answers(now_ms);
             self.receive_forwarded(now_ms);
@@ -431,12 +434,12 @@
 fn server_gets_no_more_than_it_names_whatever_happens_to_boxes() {
     fn property(seed: u64) -> bool {
         let mut fleet = Fleet::new(seed);
-        fleet.play();
+        fleet.simulate();
         let first_excess = fleet.first_excess();
         if let Some((end_ms, came, allowed)) = first_excess {
             println!(
-                "seed {seed}: {came} in the window to {end_ms} ms, {allowed:.1} allowed; limits {:?}, cut {:?}, killed {} redrawn {}",
-                fleet.plan.limits, fleet.plan.cut, fleet.plan.kill_ms, fleet.plan.replaced_ms
+                "seed {seed}: {came} requests in the window to {end_ms} ms, {allowed:.1} allowed; limits {:?}, cut {:?}, home killed at {} ms, replaced at {} ms",
+                fleet.plan.limits, fleet.plan.cut, fleet.plan.kill_ms, fleet.plan.new_home_ms
             );
         }
         first_excess.is_none()
