--- a/crates/tinbay-core/src/sharing/accounts.rs
+++ b/crates/tinbay-core/src/sharing/accounts.rs
@@ -12,8 +12,8 @@
 /// so that earlier heavy use does not hold an account back.
 const USED_HALF_LIFE_MS: f64 = 2_000.0;
 
-/// Use, in tokens, below which an account's entry is dropped.
-const MIN_TRACKED_UNITS: f64 = 0.01;
+/// Recent use, in tokens, below which an account's entry is dropped.
+const MIN_TRACKED_TOKENS: f64 = 0.01;
 
 /// Factor by which the use of an account must exceed its fair share to count as above it.
 const ABOVE_SHARE_FACTOR: f64 = 1.25;
@@ -35,7 +35,7 @@
 
 impl AccountUsage {
     /// Adds the tokens of an admitted request to its account's use.
-    pub fn note(&mut self, account: Fingerprint, units: f64, now_ms: Millis) {
+    pub fn add(&mut self, account: Fingerprint, units: f64, now_ms: Millis) {
         let usage = self.by_account.entry(account).or_default();
         usage.used.add(units, USED_HALF_LIFE_MS, now_ms);
     }
@@ -48,12 +48,12 @@
 
     /// An account's share of the total recent use, at least [`MIN_SHARE`] and at most 1.
     pub fn share(&self, account: Fingerprint, now_ms: Millis) -> f64 {
-        let all: f64 = self
+        let total: f64 = self
             .by_account
             .values()
             .map(|usage| usage.used.at(USED_HALF_LIFE_MS, now_ms))
             .sum();
-        let share = self.used(account, now_ms) / all.max(1.0);
+        let share = self.used(account, now_ms) / total.max(1.0);
         share.clamp(MIN_SHARE, 1.0)
     }
 
@@ -75,8 +75,8 @@
     }
 
     /// Drops the entries of accounts without recent use.
-    pub fn tidy(&mut self, now_ms: Millis) {
+    pub fn drop_idle(&mut self, now_ms: Millis) {
         self.by_account
-            .retain(|_, usage| usage.used.at(USED_HALF_LIFE_MS, now_ms) >= MIN_TRACKED_UNITS);
+            .retain(|_, usage| usage.used.at(USED_HALF_LIFE_MS, now_ms) >= MIN_TRACKED_TOKENS);
     }
 }
--- a/crates/tinbay-core/src/sharing/admission.rs
+++ b/crates/tinbay-core/src/sharing/admission.rs
@@ -14,7 +14,7 @@
 use crate::units::Millis;
 
 /// Requests sent to a server beyond its slots, as a fraction of the slots: those that it starts
-/// before this box has heard of the end of the ones before them.
+/// before this box receives the reports that earlier ones have ended.
 const QUEUED_AT_SERVER_FRACTION: f64 = 0.25;
 
 /// How long an admitted request counts as running before its box reports that it started.
@@ -28,8 +28,8 @@
 /// that a request behind this many can't start in time.
 const MAX_WAITING: usize = 128;
 
-/// Upper bound of the retry time given to callers. They follow it up to a third of the time that
-/// they have left, which is a few seconds.
+/// Upper bound of the retry time given to callers. They follow retry times only up to a third of
+/// their remaining time, which is a few seconds.
 const MAX_RETRY_MS: Millis = 4_000;
 
 /// Lower bound of the retry time given to callers.
@@ -93,8 +93,8 @@
     id: AdmissionId,
     entry: QueueEntry,
     prefill_ms: f64,
-    begin_by_ms: Millis,
-    last_asked_ms: Millis,
+    start_by_ms: Millis,
+    last_requested_ms: Millis,
     digest: u64,
 }
 
@@ -103,7 +103,7 @@
 struct Admitted {
     id: AdmissionId,
     prefill_ms: f64,
-    at_ms: Millis,
+    admitted_ms: Millis,
 }
 
 /// Inputs shared by all decisions of one pass.
@@ -141,14 +141,17 @@
 
     /// Whether a request for admission is still undecided.
     pub fn is_waiting(&self, id: AdmissionId) -> bool {
-        self.waiting.iter().any(|of| of.id == id)
+        self.waiting.iter().any(|waiting| waiting.id == id)
     }
 
     /// Records the start of `count` requests, reported by a box.
     pub fn note_begun(&mut self, box_key: Fingerprint, count: usize, now_ms: Millis) {
-        self.slot_times.note_begun(count, now_ms);
+        self.slot_times.record_starts(count, now_ms);
         for _ in 0..count {
-            let known = self.admitted.iter().position(|of| of.id.box_key == box_key);
+            let known = self
+                .admitted
+                .iter()
+                .position(|admitted| admitted.id.box_key == box_key);
             let Some(position) = known else {
                 return;
             };
@@ -157,76 +160,87 @@
     }
 
     /// Handles a request for admission, new or repeated.
-    pub fn ask(&mut self, ask: AdmissionRequest, now_ms: Millis) {
-        if let Some(waiting) = self.waiting.iter_mut().find(|of| of.id == ask.id) {
-            waiting.last_asked_ms = now_ms;
+    pub fn ask(&mut self, request: AdmissionRequest, now_ms: Millis) {
+        if let Some(waiting) = self
+            .waiting
+            .iter_mut()
+            .find(|waiting| waiting.id == request.id)
+        {
+            waiting.last_requested_ms = now_ms;
             return;
         }
-        if self.admitted.iter().any(|of| of.id == ask.id) {
-            let (id, answer) = (ask.id, AdmissionAnswer::Admitted);
+        if self
+            .admitted
+            .iter()
+            .any(|admitted| admitted.id == request.id)
+        {
+            let (id, answer) = (request.id, AdmissionAnswer::Admitted);
             self.repeated.push(Decision { id, answer });
             return;
         }
-        let is_retry = self.retries.take(ask.digest, now_ms);
+        let is_retry = self.retries.take(request.digest, now_ms);
         self.waiting.push(Waiting {
-            id: ask.id,
+            id: request.id,
             entry: QueueEntry {
-                account: ask.account,
+                account: request.account,
                 is_retry,
-                rank: ask.rank,
+                rank: request.rank,
                 arrived_ms: now_ms,
-                units: ask.units.max(1.0),
+                units: request.units.max(1.0),
             },
-            prefill_ms: ask.prefill_ms.max(0.0),
-            begin_by_ms: now_ms.saturating_add(ask.in_time_ms),
-            last_asked_ms: now_ms,
-            digest: ask.digest,
+            prefill_ms: request.prefill_ms.max(0.0),
+            start_by_ms: now_ms.saturating_add(request.in_time_ms),
+            last_requested_ms: now_ms,
+            digest: request.digest,
         });
     }
 
-    /// Decides which requests are admitted or rejected now. `fullness` holds what the boxes reported.
+    /// Decides which requests are admitted or rejected now. `server_load` is
+    /// what the boxes reported.
     pub fn decide(
         &mut self,
-        fullness: ServerLoad,
+        server_load: ServerLoad,
         weights: &AccountWeights,
         now_ms: Millis,
     ) -> Vec<Decision> {
-        self.forget_old(now_ms);
-        self.slot_times.note_running(fullness.running, now_ms);
+        self.drop_expired(now_ms);
+        self.slot_times.record_running(server_load.running, now_ms);
         let mut decisions = std::mem::take(&mut self.repeated);
-        decisions.extend(self.decide_waiting(fullness, weights, now_ms));
-        let fullness = ServerLoad {
-            running: fullness.running + self.admitted.len(),
-            ..fullness
+        decisions.extend(self.decide_waiting(server_load, weights, now_ms));
+        let server_load = ServerLoad {
+            running: server_load.running + self.admitted.len(),
+            ..server_load
         };
         let has_waiting = !self.waiting.is_empty();
-        self.scarcity.note(fullness, has_waiting, now_ms);
+        self.scarcity.update(server_load, has_waiting, now_ms);
         decisions
     }
 
-    fn forget_old(&mut self, now_ms: Millis) {
+    fn drop_expired(&mut self, now_ms: Millis) {
         self.admitted
-            .retain(|of| now_ms < of.at_ms + ADMITTED_LIFE_MS);
+            .retain(|admitted| now_ms < admitted.admitted_ms + ADMITTED_LIFE_MS);
         self.waiting
-            .retain(|of| now_ms < of.last_asked_ms + ABANDONED_AFTER_MS);
+            .retain(|waiting| now_ms < waiting.last_requested_ms + ABANDONED_AFTER_MS);
         if self.waiting.is_empty() {
-            self.usage.tidy(now_ms);
+            self.usage.drop_idle(now_ms);
         }
     }
 
     fn decide_waiting(
         &mut self,
-        fullness: ServerLoad,
+        server_load: ServerLoad,
         weights: &AccountWeights,
         now_ms: Millis,
     ) -> Vec<Decision> {
         if self.waiting.is_empty() {
             return Vec::new();
         }
-        let entries: Vec<QueueEntry> = self.waiting.iter().map(|of| of.entry).collect();
+        let entries: Vec<QueueEntry> = self.waiting.iter().map(|waiting| waiting.entry).collect();
         let positions = order(&entries, &self.usage, weights, now_ms);
-        let release_interval_ms = self.slot_times.release_interval_ms(fullness.slots, now_ms);
-        let slots = fullness.slots.max(1);
+        let release_interval_ms = self
+            .slot_times
+            .release_interval_ms(server_load.slots, now_ms);
+        let slots = server_load.slots.max(1);
         let terms = PassTerms {
             weights,
             slots,
@@ -235,19 +249,19 @@
         };
         let mut decisions = Vec::new();
         let mut kept: Vec<Waiting> = Vec::new();
-        let mut ahead = Ahead {
-            requests: fullness.running + self.admitted.len(),
-            prefill_ms: fullness.backlog_ms + self.admitted_prefill_ms(),
+        let mut ahead = WorkAhead {
+            requests: server_load.running + self.admitted.len(),
+            prefill_ms: server_load.backlog_ms + self.admitted_prefill_ms(),
         };
         for position in positions {
             let waiting = self.waiting[position];
-            let begins_in_ms = ahead.begins_in_ms(slots, release_interval_ms);
-            let is_too_late = is_too_late(&waiting, &ahead, begins_in_ms, &terms);
+            let starts_in_ms = ahead.starts_in_ms(slots, release_interval_ms);
+            let is_too_late = is_too_late(&waiting, &ahead, starts_in_ms, &terms);
             if is_too_late || kept.len() >= MAX_WAITING {
-                decisions.push(self.reject(&waiting, begins_in_ms, release_interval_ms, now_ms));
+                decisions.push(self.reject(&waiting, starts_in_ms, release_interval_ms, now_ms));
                 continue;
             }
-            if self.may_prefill(&waiting, &ahead, fullness, &terms)
+            if self.may_prefill(&waiting, &ahead, server_load, &terms)
                 && self.has_slot(&waiting.entry, &ahead, &terms)
             {
                 decisions.push(self.admit(&waiting, now_ms));
@@ -263,7 +277,10 @@
 
     /// Prefill time of the admitted requests whose start has not been reported.
     fn admitted_prefill_ms(&self) -> f64 {
-        self.admitted.iter().map(|of| of.prefill_ms).sum()
+        self.admitted
+            .iter()
+            .map(|admitted| admitted.prefill_ms)
+            .sum()
     }
 
     /// Whether the prefill backlog permits sending the request now. Above the bound, requests of an
@@ -271,23 +288,23 @@
     fn may_prefill(
         &self,
         waiting: &Waiting,
-        ahead: &Ahead,
-        fullness: ServerLoad,
+        ahead: &WorkAhead,
+        server_load: ServerLoad,
         terms: &PassTerms<'_>,
     ) -> bool {
-        ahead.prefill_ms <= fullness.most_backlog_ms()
-            || terms.now_ms >= waiting.begin_by_ms
+        ahead.prefill_ms <= server_load.max_backlog_ms()
+            || terms.now_ms >= waiting.start_by_ms
             || !self.is_above_share(&waiting.entry, terms)
     }
 
     /// Whether one more request may be sent to the server: up to its slots and one, or, for accounts
     /// within their fair share, up to the slots and [`QUEUED_AT_SERVER_FRACTION`]. So the server's
     /// own queue seldom holds a request of an account above its share in front of one of the others.
-    fn has_slot(&self, entry: &QueueEntry, ahead: &Ahead, terms: &PassTerms<'_>) -> bool {
-        let next = (terms.slots as f64 * QUEUED_AT_SERVER_FRACTION).ceil() as usize;
-        let is_very_next = ahead.requests <= terms.slots;
-        let is_next = ahead.requests < terms.slots + next;
-        is_very_next || (is_next && !self.is_above_share(entry, terms))
+    fn has_slot(&self, entry: &QueueEntry, ahead: &WorkAhead, terms: &PassTerms<'_>) -> bool {
+        let queue_limit = (terms.slots as f64 * QUEUED_AT_SERVER_FRACTION).ceil() as usize;
+        let fits_slots = ahead.requests <= terms.slots;
+        let fits_queue = ahead.requests < terms.slots + queue_limit;
+        fits_slots || (fits_queue && !self.is_above_share(entry, terms))
     }
 
     /// Whether the recent use of a request's account is clearly above its fair share.
@@ -298,11 +315,11 @@
 
     fn admit(&mut self, waiting: &Waiting, now_ms: Millis) -> Decision {
         self.usage
-            .note(waiting.entry.account, waiting.entry.units, now_ms);
+            .add(waiting.entry.account, waiting.entry.units, now_ms);
         self.admitted.push(Admitted {
             id: waiting.id,
             prefill_ms: waiting.prefill_ms,
-            at_ms: now_ms,
+            admitted_ms: now_ms,
         });
         Decision {
             id: waiting.id,
@@ -316,11 +333,11 @@
     fn reject(
         &mut self,
         waiting: &Waiting,
-        begins_in_ms: f64,
+        starts_in_ms: f64,
         release_interval_ms: f64,
         now_ms: Millis,
     ) -> Decision {
-        let first_ms = now_ms + begins_in_ms as Millis;
+        let first_ms = now_ms + starts_in_ms as Millis;
         let account = waiting.entry.account;
         let share = self.usage.share(account, now_ms) * RETRIES_FRACTION;
         let retry_times = self.usage.retry_times(account);
@@ -340,20 +357,25 @@
 
 /// Whether no slot becomes free in time for a request. The prefill backlog is left out: it is an
 /// estimate, and prompts with a common prefix are cheaper than it says.
-fn is_too_late(waiting: &Waiting, ahead: &Ahead, begins_in_ms: f64, terms: &PassTerms<'_>) -> bool {
-    let is_late = terms.now_ms + begins_in_ms as Millis > waiting.begin_by_ms;
+fn is_too_late(
+    waiting: &Waiting,
+    ahead: &WorkAhead,
+    starts_in_ms: f64,
+    terms: &PassTerms<'_>,
+) -> bool {
+    let is_late = terms.now_ms + starts_in_ms as Millis > waiting.start_by_ms;
     is_late && ahead.requests >= terms.slots
 }
 
 /// Work that goes before a request.
-struct Ahead {
+struct WorkAhead {
     requests: usize,
     prefill_ms: f64,
 }
 
-impl Ahead {
+impl WorkAhead {
     /// Estimated time until a slot is free for the request.
-    fn begins_in_ms(&self, slots: usize, release_interval_ms: f64) -> f64 {
+    fn starts_in_ms(&self, slots: usize, release_interval_ms: f64) -> f64 {
         let missing_slots = (self.requests + 1).saturating_sub(slots);
         missing_slots as f64 * release_interval_ms
     }
--- a/crates/tinbay-core/src/sharing/mod.rs
+++ b/crates/tinbay-core/src/sharing/mod.rs
@@ -1,6 +1,6 @@
 //! Admission control of a server at capacity, with fair sharing among client accounts.
 //!
-//! While a server has free slots, boxes send it requests without asking. Once all slots are
+//! While a server has free slots, boxes send it requests without admission. Once all slots are
 //! taken, the box that holds the server admits requests one by one. Each client account gets
 //! its weighted share of the tokens that the server processes, whatever the load of the others;
 //! what an account leaves unused goes to the others at once. Within an account, requests of
--- a/crates/tinbay-core/src/sharing/order.rs
+++ b/crates/tinbay-core/src/sharing/order.rs
@@ -48,16 +48,16 @@
 ) -> Vec<usize> {
     let mut positions: Vec<usize> = (0..entries.len()).collect();
     positions.sort_by(|left, right| entries[*left].compare(&entries[*right]));
-    let mut reached: HashMap<Fingerprint, f64> = HashMap::new();
+    let mut virtual_time: HashMap<Fingerprint, f64> = HashMap::new();
     let mut virtual_starts = vec![0.0; entries.len()];
     for position in &positions {
         let entry = &entries[*position];
         let weight = weights.of(entry.account);
-        let reached = reached
+        let virtual_time = virtual_time
             .entry(entry.account)
             .or_insert_with(|| usage.used(entry.account, now_ms) / weight);
-        virtual_starts[*position] = *reached;
-        *reached += entry.units / weight;
+        virtual_starts[*position] = *virtual_time;
+        *virtual_time += entry.units / weight;
     }
     // The sort is stable: between accounts with equal use the first sort decides.
     positions.sort_by(|left, right| virtual_starts[*left].total_cmp(&virtual_starts[*right]));
--- a/crates/tinbay-core/src/sharing/scarcity.rs
+++ b/crates/tinbay-core/src/sharing/scarcity.rs
@@ -29,37 +29,38 @@
 
 impl ServerLoad {
     fn is_full(&self) -> bool {
-        self.running >= self.slots.max(1) || self.backlog_ms > self.most_backlog_ms()
+        self.running >= self.slots.max(1) || self.backlog_ms > self.max_backlog_ms()
     }
 
     fn has_spare_capacity(&self) -> bool {
-        let most_running = self.slots.max(1) as f64 * SPARE_FRACTION;
-        (self.running as f64) < most_running && self.backlog_ms <= self.most_backlog_ms() / 2.0
+        let max_running = self.slots.max(1) as f64 * SPARE_FRACTION;
+        (self.running as f64) < max_running && self.backlog_ms <= self.max_backlog_ms() / 2.0
     }
 
     /// Upper bound of the prefill backlog of a server that is not scarce.
-    pub fn most_backlog_ms(&self) -> f64 {
+    pub fn max_backlog_ms(&self) -> f64 {
         self.objective_ms as f64 * MAX_BACKLOG_FRACTION
     }
 }
 
 /// Whether a server is at capacity.
 ///
-/// It is from the moment that all slots are taken, before requests queue at the server itself.
+/// It counts as such as soon as all slots are taken or the prefill backlog exceeds its bound,
+/// before requests queue at the server itself.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Scarcity {
     is_scarce: bool,
-    /// Begin of the current period of spare capacity.
+    /// Start of the current period of spare capacity.
     spare_since_ms: Option<Millis>,
 }
 
 impl Scarcity {
     /// Updates the state with the server's load. Waiting requests keep the server scarce.
-    pub fn note(&mut self, fullness: ServerLoad, has_waiting: bool, now_ms: Millis) {
-        if fullness.is_full() || has_waiting {
+    pub fn update(&mut self, load: ServerLoad, has_waiting: bool, now_ms: Millis) {
+        if load.is_full() || has_waiting {
             self.is_scarce = true;
         }
-        if !fullness.has_spare_capacity() || has_waiting {
+        if !load.has_spare_capacity() || has_waiting {
             self.spare_since_ms = None;
             return;
         }
--- a/crates/tinbay-core/tests/sharing_test.rs
+++ b/crates/tinbay-core/tests/sharing_test.rs
@@ -28,7 +28,7 @@
 
 /// A server that runs some requests concurrently and queues the others by rank and arrival, with or
 /// without admission control.
-struct World {
+struct Simulation {
     admission: Option<AdmissionQueue>,
     weights: AccountWeights,
     now_ms: Millis,
@@ -76,7 +76,7 @@
     }
 }
 
-impl World {
+impl Simulation {
     fn new(is_shared: bool) -> Self {
         Self::with_seed(is_shared, SEEDS[0])
     }
@@ -121,14 +121,14 @@
             return;
         }
         self.waiting.insert(number, request);
-        let ask = self.ask_of(number, &request);
+        let ask = self.admission_request(number, &request);
         if let Some(admission) = &mut self.admission {
             admission.ask(ask, self.now_ms);
         }
         self.decide();
     }
 
-    fn ask_of(&self, number: u32, request: &Request) -> AdmissionRequest {
+    fn admission_request(&self, number: u32, request: &Request) -> AdmissionRequest {
         AdmissionRequest {
             id: AdmissionId {
                 box_key: number % BOXES,
@@ -147,14 +147,14 @@
     fn send(&mut self, request: Request, box_key: Fingerprint) {
         self.queued.push(request);
         self.reported += 1;
-        self.begin_next();
+        self.start_next();
         if let Some(admission) = &mut self.admission {
             admission.note_begun(box_key, 1, self.now_ms);
         }
         self.decide();
     }
 
-    fn begin_next(&mut self) {
+    fn start_next(&mut self) {
         while self.running.len() < SLOTS && !self.queued.is_empty() {
             let key = |request: &Request| (request.rank, request.arrived_ms);
             let first = (0..self.queued.len()).min_by_key(|at| key(&self.queued[*at]));
@@ -178,7 +178,7 @@
         });
     }
 
-    fn fullness(&self) -> ServerLoad {
+    fn server_load(&self) -> ServerLoad {
         ServerLoad {
             running: self.reported,
             slots: SLOTS,
@@ -188,17 +188,17 @@
     }
 
     fn decide(&mut self) {
-        let fullness = self.fullness();
+        let server_load = self.server_load();
         let Some(admission) = &mut self.admission else {
             return;
         };
-        let decisions = admission.decide(fullness, &self.weights, self.now_ms);
+        let decisions = admission.decide(server_load, &self.weights, self.now_ms);
         for decision in decisions {
-            self.take(decision);
+            self.apply(decision);
         }
     }
 
-    fn take(&mut self, decision: Decision) {
+    fn apply(&mut self, decision: Decision) {
         let request = self.waiting.remove(&decision.id.number).expect("known");
         match decision.answer {
             AdmissionAnswer::Admitted => self.send(request, decision.id.box_key),
@@ -213,7 +213,7 @@
         self.now_ms += 1;
         let now_ms = self.now_ms;
         self.running.retain(|request| request.ends_ms > now_ms);
-        self.begin_next();
+        self.start_next();
         let is_scarce = self
             .admission
             .as_ref()
@@ -233,7 +233,7 @@
                 .map(|(number, of)| (*number, *of))
                 .collect();
             for (number, request) in waiting {
-                let ask = self.ask_of(number, &request);
+                let ask = self.admission_request(number, &request);
                 if let Some(admission) = &mut self.admission {
                     admission.ask(ask, now_ms);
                 }
@@ -255,7 +255,7 @@
     }
 
     /// Plays random arrivals, given the mean interval of each account.
-    fn play(&mut self, gaps_ms: &[(Fingerprint, Millis)], for_ms: Millis) {
+    fn simulate(&mut self, gaps_ms: &[(Fingerprint, Millis)], for_ms: Millis) {
         for _ in 0..for_ms {
             self.arrive_at_random(gaps_ms);
             self.step();
@@ -280,11 +280,11 @@
 
 /// Plays a load after some usual work, for each seed. Returns the mean fraction of the other accounts'
 /// requests that started in time.
-fn others_in_time(is_shared: bool, surging: &[Fingerprint], load: impl Fn(&mut World)) -> f64 {
+fn others_in_time(is_shared: bool, surging: &[Fingerprint], load: impl Fn(&mut Simulation)) -> f64 {
     let others: Vec<Fingerprint> = (1..=10).filter(|one| !surging.contains(one)).collect();
     let fractions = SEEDS.iter().map(|seed| {
-        let mut world = World::with_seed(is_shared, *seed);
-        world.play(&usual(), 4_000);
+        let mut world = Simulation::with_seed(is_shared, *seed);
+        world.simulate(&usual(), 4_000);
         let from_ms = world.now_ms;
         load(&mut world);
         world.in_time(&others, from_ms)
@@ -347,30 +347,34 @@
 
 /// One account sends many times its usual load: the others are not affected.
 #[test]
-fn surge_of_one_account_leaves_others_unhurt() {
-    let in_time = others_in_time(true, &[3], |world| world.play(&surge(&[3]), 6_000));
+fn surge_of_one_account_does_not_delay_others() {
+    let in_time = others_in_time(true, &[3], |world| world.simulate(&surge(&[3]), 6_000));
     assert!(in_time >= MIN_IN_TIME, "{in_time}");
 }
 
 /// The same load without admission control, where requests of all accounts are late.
 #[test]
-fn surge_of_one_account_hurts_all_by_arrival() {
-    let in_time = others_in_time(false, &[3], |world| world.play(&surge(&[3]), 6_000));
+fn surge_of_one_account_without_admission_delays_all() {
+    let in_time = others_in_time(false, &[3], |world| world.simulate(&surge(&[3]), 6_000));
     assert!(in_time < 0.5, "{in_time}");
 }
 
 /// Two accounts surge: they share the capacity that the others leave.
 #[test]
 fn surge_of_two_accounts_shared_between_them() {
-    let in_time = others_in_time(true, &[3, 7], |world| world.play(&surge(&[3, 7]), 8_000));
+    let in_time = others_in_time(true, &[3, 7], |world| {
+        world.simulate(&surge(&[3, 7]), 8_000)
+    });
     assert!(in_time >= MIN_IN_TIME, "{in_time}");
-    let mut world = World::new(true);
-    world.play(&usual(), 4_000);
-    world.play(&surge(&[3, 7]), 8_000);
+    let mut world = Simulation::new(true);
+    world.simulate(&usual(), 4_000);
+    world.simulate(&surge(&[3, 7]), 8_000);
     let admitted = |account| {
         let of_account = |outcome: &&Outcome| outcome.account == account;
-        let began = world.results.iter().filter(of_account);
-        began.filter(|outcome| outcome.waited_ms.is_some()).count()
+        let started = world.results.iter().filter(of_account);
+        started
+            .filter(|outcome| outcome.waited_ms.is_some())
+            .count()
     };
     let (third, seventh) = (admitted(3) as f64, admitted(7) as f64);
     assert!(
@@ -381,24 +385,24 @@
 
 /// Capacity that one account leaves unused goes to the other, so that the slots stay in use.
 #[test]
-fn unused_room_is_given_on() {
-    let mut world = World::new(true);
-    world.play(&[(1, 30), (2, 2_000)], 12_000);
-    let began = world
+fn unused_capacity_goes_to_other_accounts() {
+    let mut world = Simulation::new(true);
+    world.simulate(&[(1, 30), (2, 2_000)], 12_000);
+    let started = world
         .results
         .iter()
         .filter(|outcome| outcome.waited_ms.is_some());
-    let held_ms = began.count() as f64 * HOLD_MS as f64;
+    let held_ms = started.count() as f64 * HOLD_MS as f64;
     let capacity_ms = 12_000.0 * SLOTS as f64;
     assert!(held_ms >= 0.9 * capacity_ms, "{held_ms} of {capacity_ms}");
 }
 
 /// With spare capacity, requests need no admission and do not wait.
 #[test]
-fn plenty_changes_nothing() {
-    let mut world = World::new(true);
+fn spare_capacity_needs_no_admission() {
+    let mut world = Simulation::new(true);
     let half: Vec<_> = usual().into_iter().take(6).collect();
-    world.play(&half, 10_000);
+    world.simulate(&half, 10_000);
     assert!(
         !world
             .admission
@@ -406,39 +410,39 @@
             .is_some_and(AdmissionQueue::is_scarce)
     );
     assert!(world.results.iter().all(|of| of.waited_ms == Some(0)));
-    world.play(&usual(), 10_000);
+    world.simulate(&usual(), 10_000);
     assert!(world.results.iter().all(Outcome::is_in_time));
 }
 
 /// The server's own queue stays short.
 #[test]
 fn queue_at_the_server_is_bounded() {
-    let mut world = World::new(true);
-    world.play(&usual(), 4_000);
-    world.play(&surge(&[3]), 6_000);
+    let mut world = Simulation::new(true);
+    world.simulate(&usual(), 4_000);
+    world.simulate(&surge(&[3]), 6_000);
     assert!(world.max_queued <= SLOTS / 2, "{}", world.max_queued);
 }
 
 /// Admitted requests start in time, and rejected ones get a retry time.
 #[test]
-fn let_in_begin_in_time_and_others_get_a_turn() {
-    let mut world = World::new(true);
-    world.play(&usual(), 4_000);
+fn admitted_start_in_time_and_rejected_get_a_retry_time() {
+    let mut world = Simulation::new(true);
+    world.simulate(&usual(), 4_000);
     let from_ms = world.now_ms;
-    world.play(&surge(&[3]), 6_000);
+    world.simulate(&surge(&[3]), 6_000);
     let since = world.results.iter().filter(|of| of.arrived_ms >= from_ms);
-    let (begun, rejected): (Vec<&Outcome>, Vec<&Outcome>) =
+    let (admitted, rejected): (Vec<&Outcome>, Vec<&Outcome>) =
         since.partition(|of| of.waited_ms.is_some());
-    let in_time = begun.iter().filter(|of| of.is_in_time()).count();
-    assert!(in_time as f64 >= MIN_IN_TIME * begun.len() as f64);
+    let in_time = admitted.iter().filter(|of| of.is_in_time()).count();
+    assert!(in_time as f64 >= MIN_IN_TIME * admitted.len() as f64);
     assert!(!rejected.is_empty());
     assert!(rejected.iter().all(|of| of.retry_in_ms > Some(0)));
 }
 
 /// Within an account, requests of better rank go first.
 #[test]
-fn urgent_go_before_others_of_their_account() {
-    let mut world = World::new(true);
+fn better_rank_goes_first_within_an_account() {
+    let mut world = Simulation::new(true);
     let began_ms = world.now_ms;
     for round in 0..300 {
         for rank in [2, 0] {
@@ -462,7 +466,7 @@
 /// Requests five times as long as others of their account are admitted about as often.
 #[test]
 fn long_are_not_starved() {
-    let mut world = World::new(true);
+    let mut world = Simulation::new(true);
     for round in 0..400 {
         let (short, long) = (UNITS, 5.0 * UNITS);
         let pair = if round % 2 == 0 {
@@ -493,7 +497,7 @@
 /// Accounts share tokens, so that an account with long requests gets fewer of them admitted.
 #[test]
 fn accounts_share_tokens_and_not_requests() {
-    let mut world = World::new(true);
+    let mut world = Simulation::new(true);
     for _ in 0..300 {
         for (account, units) in [(1, UNITS), (2, 3.0 * UNITS)] {
             let request = world.request(account);
@@ -516,8 +520,8 @@
 
 /// Retries at the given time are admitted before new requests of their account.
 #[test]
-fn who_comes_back_at_its_turn_goes_before_new_ones() {
-    let mut world = World::new(true);
+fn retry_at_its_time_goes_before_new_requests() {
+    let mut world = Simulation::new(true);
     let mut due: Vec<(Millis, u64)> = Vec::new();
     let mut seen = 0;
     let mut retried = Vec::new();
@@ -565,8 +569,8 @@
 
 /// Callers that retry at once after each rejection gain nothing over others.
 #[test]
-fn callers_that_come_back_at_once_do_not_hurt_others() {
-    let load = |world: &mut World| {
+fn immediate_retries_do_not_delay_other_accounts() {
+    let load = |world: &mut Simulation| {
         let mut seen = world.results.len();
         for _ in 0..6_000 {
             world.arrive_at_random(&surge(&[3]));
@@ -587,13 +591,13 @@
 /// The holder of the server fails. The new one only knows what the boxes report and still does not
 /// overfill the server.
 #[test]
-fn holder_new_gives_no_more_than_places() {
-    let load = |world: &mut World| {
-        world.play(&surge(&[3]), 2_000);
+fn new_holder_does_not_overfill_the_server() {
+    let load = |world: &mut Simulation| {
+        world.simulate(&surge(&[3]), 2_000);
         world.admission = Some(AdmissionQueue::default());
         world.waiting.clear();
         world.decide();
-        world.play(&surge(&[3]), 6_000);
+        world.simulate(&surge(&[3]), 6_000);
         assert!(world.max_queued <= SLOTS / 2, "{}", world.max_queued);
     };
     let in_time = others_in_time(true, &[3], load);
@@ -602,7 +606,7 @@
 
 /// Two holders that each hear of half of the requests send the server at most twice its capacity.
 #[test]
-fn two_holders_give_at_most_twice() {
+fn two_holders_admit_at_most_twice_the_capacity() {
     let mut admissions = [AdmissionQueue::default(), AdmissionQueue::default()];
     let weights = AccountWeights::default();
     let mut admitted = 0;
@@ -610,7 +614,7 @@
         for number in 0..200 {
             admission.ask(ask(1, number, 0), 1_000);
         }
-        let decisions = admission.decide(full(0), &weights, 1_000);
+        let decisions = admission.decide(load_of(0), &weights, 1_000);
         admitted += decisions.iter().filter(is_admitted).count();
     }
     assert!(admitted <= 2 * (SLOTS + SLOTS / 4), "{admitted}");
@@ -620,7 +624,7 @@
     decision.answer == AdmissionAnswer::Admitted
 }
 
-fn full(running: usize) -> ServerLoad {
+fn load_of(running: usize) -> ServerLoad {
     ServerLoad {
         running,
         slots: SLOTS,
@@ -644,43 +648,43 @@
 /// A box freezes after its requests were admitted: unless their start is reported, they stop counting
 /// after a while.
 #[test]
-fn room_of_a_frozen_box_is_given_on() {
+fn slots_of_a_frozen_box_are_released() {
     let mut admission = AdmissionQueue::default();
     let weights = AccountWeights::default();
     for number in 0..15 {
         admission.ask(ask(1, number, 0), 1_000);
     }
-    let first = admission.decide(full(0), &weights, 1_000);
+    let first = admission.decide(load_of(0), &weights, 1_000);
     assert_eq!(first.iter().filter(is_admitted).count(), 15);
     admission.ask(ask(2, 100, 0), 1_010);
-    assert!(admission.decide(full(0), &weights, 1_010).is_empty());
+    assert!(admission.decide(load_of(0), &weights, 1_010).is_empty());
     admission.ask(ask(2, 100, 0), 1_300);
-    let later = admission.decide(full(0), &weights, 1_300);
+    let later = admission.decide(load_of(0), &weights, 1_300);
     assert_eq!(later.iter().filter(is_admitted).count(), 1);
 }
 
 /// A repeated request for admission counts once; one that is no longer repeated is dropped.
 #[test]
-fn question_repeated_is_one_and_silent_is_forgotten() {
+fn repeated_request_counts_once_and_abandoned_is_dropped() {
     let mut admission = AdmissionQueue::default();
     for now_ms in [1_000, 1_100, 1_200] {
         admission.ask(ask(1, 7, 0), now_ms);
     }
     assert_eq!(admission.waiting_count(), 1);
-    admission.decide(full(SLOTS * 2), &AccountWeights::default(), 2_000);
+    admission.decide(load_of(SLOTS * 2), &AccountWeights::default(), 2_000);
     assert_eq!(admission.waiting_count(), 0);
 }
 
 /// After a lost decision, the repeated request gets the same decision and counts once.
 #[test]
-fn question_again_after_a_lost_word_is_let_in_once() {
+fn repeated_request_after_a_lost_decision_is_admitted_once() {
     let mut admission = AdmissionQueue::default();
     let weights = AccountWeights::default();
     admission.ask(ask(1, 7, 0), 1_000);
-    let first = admission.decide(full(SLOTS + 2), &weights, 1_000);
+    let first = admission.decide(load_of(SLOTS + 2), &weights, 1_000);
     admission.ask(ask(1, 7, 0), 1_100);
     admission.ask(ask(1, 8, 0), 1_100);
-    let second = admission.decide(full(SLOTS + 2), &weights, 1_100);
+    let second = admission.decide(load_of(SLOTS + 2), &weights, 1_100);
     assert_eq!(first, second);
     assert_eq!(first.len(), 1);
     assert_eq!(admission.waiting_count(), 1);
@@ -688,14 +692,14 @@
 
 /// Two accounts that both exceed the capacity share it by weight.
 #[test]
-fn room_is_shared_by_weight() {
+fn capacity_is_shared_by_weight() {
     let (small, large) = (
         account(Some(10.0), LimitUnit::Requests),
         account(Some(30.0), LimitUnit::Requests),
     );
-    let mut world = World::new(true);
+    let mut world = Simulation::new(true);
     world.weights = AccountWeights::new(&[(1, &small), (2, &large)]);
-    world.play(&[(1, 60), (2, 60)], 20_000);
+    world.simulate(&[(1, 60), (2, 60)], 20_000);
     let admitted = |account| {
         let of_account = world.results.iter().filter(|of| of.account == account);
         of_account.filter(|of| of.waited_ms.is_some()).count() as f64
@@ -705,32 +709,32 @@
 }
 
 #[test]
-fn scarcity_ends_only_after_a_while_of_plenty() {
+fn scarcity_ends_only_after_lasting_spare_capacity() {
     let mut scarcity = Scarcity::default();
-    scarcity.note(full(SLOTS - 1), false, 0);
+    scarcity.update(load_of(SLOTS - 1), false, 0);
     assert!(!scarcity.is_scarce());
-    scarcity.note(full(SLOTS), false, 10);
+    scarcity.update(load_of(SLOTS), false, 10);
     assert!(scarcity.is_scarce());
-    scarcity.note(full(SLOTS / 2), false, 20);
-    scarcity.note(full(SLOTS / 2), false, 400);
+    scarcity.update(load_of(SLOTS / 2), false, 20);
+    scarcity.update(load_of(SLOTS / 2), false, 400);
     assert!(scarcity.is_scarce());
-    scarcity.note(full(SLOTS - 1), false, 450);
-    scarcity.note(full(SLOTS / 2), false, 500);
-    scarcity.note(full(SLOTS / 2), false, 900);
+    scarcity.update(load_of(SLOTS - 1), false, 450);
+    scarcity.update(load_of(SLOTS / 2), false, 500);
+    scarcity.update(load_of(SLOTS / 2), false, 900);
     assert!(scarcity.is_scarce());
-    scarcity.note(full(SLOTS / 2), false, 1_000);
+    scarcity.update(load_of(SLOTS / 2), false, 1_000);
     assert!(!scarcity.is_scarce());
 }
 
 /// A large prefill backlog makes a server scarce although it has free slots.
 #[test]
-fn scarcity_begins_with_much_to_read() {
+fn large_prefill_backlog_begins_scarcity() {
     let mut scarcity = Scarcity::default();
-    let much = ServerLoad {
+    let backlogged = ServerLoad {
         backlog_ms: OBJECTIVE_MS as f64 * 0.75,
-        ..full(1)
+        ..load_of(1)
     };
-    scarcity.note(much, false, 0);
+    scarcity.update(backlogged, false, 0);
     assert!(scarcity.is_scarce());
 }
 
@@ -766,7 +770,7 @@
 /// At a server with free slots and a large prefill backlog, requests of an account above its fair
 /// share wait, and those of others go first.
 #[test]
-fn much_to_read_holds_back_who_had_more_than_its_part() {
+fn large_prefill_backlog_delays_accounts_above_their_share() {
     let mut admission = AdmissionQueue::default();
     let weights = AccountWeights::default();
     let prefilling = |account, number| AdmissionRequest {
@@ -777,16 +781,16 @@
         admission.ask(prefilling(1, number), 1_000);
     }
     admission.ask(prefilling(2, 50), 1_000);
-    let first = admission.decide(full(0), &weights, 1_000);
+    let first = admission.decide(load_of(0), &weights, 1_000);
     assert_eq!(first.iter().filter(is_admitted).count(), 9);
     admission.note_begun(1, 9, 1_010);
-    let much = |backlog_ms| ServerLoad {
+    let backlogged = |backlog_ms| ServerLoad {
         backlog_ms,
-        ..full(9)
+        ..load_of(9)
     };
     admission.ask(prefilling(1, 100), 1_010);
     admission.ask(prefilling(2, 101), 1_010);
-    let next = admission.decide(much(540.0), &weights, 1_010);
+    let next = admission.decide(backlogged(540.0), &weights, 1_010);
     let numbers: Vec<u32> = next
         .iter()
         .filter(is_admitted)
@@ -794,29 +798,29 @@
         .collect();
     assert_eq!(numbers, vec![101]);
     assert_eq!(admission.waiting_count(), 1);
-    let later = admission.decide(much(300.0), &weights, 1_250);
+    let later = admission.decide(backlogged(300.0), &weights, 1_250);
     assert_eq!(later.iter().filter(is_admitted).count(), 1);
 }
 
 /// While slots are free, nothing is rejected, even if the estimated prefill backlog is far too high.
 #[test]
-fn much_to_read_turns_nobody_away_while_places_are_free() {
+fn large_prefill_backlog_rejects_nothing_while_slots_are_free() {
     let mut admission = AdmissionQueue::default();
     let weights = AccountWeights::default();
-    let wrong = ServerLoad {
+    let overestimated = ServerLoad {
         backlog_ms: 60_000.0,
-        ..full(1)
+        ..load_of(1)
     };
     for number in 0..SLOTS as u32 - 1 {
         admission.ask(ask(number % 3, number, 0), 1_000);
     }
-    let decisions = admission.decide(wrong, &weights, 1_000);
+    let decisions = admission.decide(overestimated, &weights, 1_000);
     assert!(decisions.iter().all(|of| is_admitted(&of)), "{decisions:?}");
     admission.ask(ask(1, 100, 0), 1_300);
     let later_ms = 1_300 + OBJECTIVE_MS;
-    let next = admission.decide(wrong, &weights, 1_300);
+    let next = admission.decide(overestimated, &weights, 1_300);
     admission.ask(ask(1, 100, 0), later_ms - 100);
-    let later = admission.decide(wrong, &weights, later_ms);
+    let later = admission.decide(overestimated, &weights, later_ms);
     let all: Vec<&Decision> = next.iter().chain(&later).collect();
     assert!(all.iter().all(is_admitted), "{all:?}");
     assert!(!all.is_empty());
@@ -839,7 +843,7 @@
             };
             admission.ask(ask, 1_000);
         }
-        let decisions = admission.decide(full(running), &AccountWeights::default(), 1_000);
+        let decisions = admission.decide(load_of(running), &AccountWeights::default(), 1_000);
         let admitted = decisions.iter().filter(is_admitted).count();
         let rejected = decisions.len() - admitted;
         let is_whole = decisions.len() + admission.waiting_count() == asks.len();
