--- a/crates/tinbay-core/src/engine/contents.rs
+++ b/crates/tinbay-core/src/engine/contents.rs
@@ -10,7 +10,12 @@
 const UNLOAD_RETRY_MS: Millis = 500;
 
 impl EngineOwner {
-    pub(super) fn note_loaded(&mut self, now_ms: Millis, model: &ModelRef, out: &mut Vec<Command>) {
+    pub(super) fn handle_loaded(
+        &mut self,
+        now_ms: Millis,
+        model: &ModelRef,
+        out: &mut Vec<Command>,
+    ) {
         out.push(Command::EndLoad(model.clone()));
         self.failures.remove(model);
         let Some(slot) = self.slots.get_mut(model) else {
@@ -19,12 +24,12 @@
         slot.state = SlotState::Loaded;
         slot.loaded_ms = now_ms;
         let load_ms = now_ms.saturating_sub(slot.ordered_ms);
-        slot.note_demand(now_ms, self.queue.has_urgent(model));
-        self.load.add(load_ms);
+        slot.record_request(now_ms, self.queue.has_urgent(model));
+        self.mean_load.add(load_ms);
         self.queue.set_dispatchable(model, true);
     }
 
-    pub(super) fn note_load_failed(
+    pub(super) fn handle_load_failed(
         &mut self,
         now_ms: Millis,
         model: &ModelRef,
@@ -46,7 +51,7 @@
         }
     }
 
-    pub(super) fn note_unloaded(
+    pub(super) fn handle_unloaded(
         &mut self,
         now_ms: Millis,
         model: &ModelRef,
@@ -64,14 +69,14 @@
         }
     }
 
-    pub(super) fn note_unload_failed(
+    pub(super) fn handle_unload_failed(
         &mut self,
         now_ms: Millis,
         model: &ModelRef,
         out: &mut Vec<Command>,
     ) {
-        if self.slots.get(model).is_some_and(|slot| slot.lost) {
-            self.note_unloaded(now_ms, model, out);
+        if self.slots.get(model).is_some_and(|slot| slot.is_lost) {
+            self.handle_unloaded(now_ms, model, out);
             return;
         }
         if let Some(next) = self.replacing.remove(model) {
@@ -84,7 +89,7 @@
         }
     }
 
-    pub(super) fn note_missing(&mut self, model: &ModelRef) {
+    pub(super) fn handle_missing(&mut self, model: &ModelRef) {
         let serving = |slot: &Slot| slot.state == SlotState::Loaded;
         if self.slots.get(model).is_some_and(serving) {
             self.slots.remove(model);
@@ -96,13 +101,13 @@
     ///
     /// A slot with a load or unload in progress stays until the outcome of that order is known:
     /// the outcome of an order from before a restart must not be attributed to a later one.
-    pub(super) fn learn(&mut self, now_ms: Millis, contents: &EngineContents) {
+    pub(super) fn apply_contents(&mut self, now_ms: Millis, contents: &EngineContents) {
         let known: Vec<ModelRef> = self.slots.iter().map(|(m, _)| m.clone()).collect();
         for model in known {
-            let named = contents.loaded.contains(&model);
+            let is_reported = contents.loaded.contains(&model);
             match self.slots.get_mut(&model) {
                 Some(slot) if slot.state == SlotState::Loading => {}
-                Some(slot) if slot.state == SlotState::Unloading => slot.lost = !named,
+                Some(slot) if slot.state == SlotState::Unloading => slot.is_lost = !is_reported,
                 _ => {
                     self.queue.set_dispatchable(&model, false);
                     self.slots.remove(&model);
@@ -121,8 +126,8 @@
             }
         }
         self.count_inherited(contents);
-        self.learnt = true;
-        self.leaving = false;
+        self.contents_known = true;
+        self.is_leaving = false;
     }
 
     /// Counts the running requests of earlier owners, which occupy batch places and pin slots too.
--- a/crates/tinbay-core/src/engine/demand.rs
+++ b/crates/tinbay-core/src/engine/demand.rs
@@ -12,19 +12,19 @@
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Demand {
     weight: f64,
-    noted_ms: Millis,
+    updated_ms: Millis,
 }
 
 impl Demand {
     /// Counts one request.
-    pub fn note(&mut self, now_ms: Millis) {
+    pub fn add_request(&mut self, now_ms: Millis) {
         self.weight = self.at(now_ms) + 1.0;
-        self.noted_ms = now_ms;
+        self.updated_ms = now_ms;
     }
 
     /// The count, decayed up to `now_ms`.
     pub fn at(&self, now_ms: Millis) -> f64 {
-        let age_ms = now_ms.saturating_sub(self.noted_ms) as f64;
+        let age_ms = now_ms.saturating_sub(self.updated_ms) as f64;
         self.weight * (-age_ms / HALF_LIFE_MS).exp2()
     }
 }
@@ -37,8 +37,10 @@
 
 impl MovingAverage {
     /// Creates an average with an initial estimate.
-    pub fn new(guess_ms: f64) -> Self {
-        Self { mean_ms: guess_ms }
+    pub fn new(initial_ms: f64) -> Self {
+        Self {
+            mean_ms: initial_ms,
+        }
     }
 
     /// Adds a sample.
--- a/crates/tinbay-core/src/engine/owner.rs
+++ b/crates/tinbay-core/src/engine/owner.rs
@@ -54,12 +54,12 @@
     /// Granted loads whose slot is still being unloaded, by the model that is unloaded.
     pub(super) replacing: HashMap<ModelRef, ModelRef>,
     pub(super) failures: HashMap<ModelRef, FailedLoads>,
-    pub(super) service: MovingAverage,
-    pub(super) load: MovingAverage,
+    pub(super) mean_service: MovingAverage,
+    pub(super) mean_load: MovingAverage,
     pub(super) dispatch_intervals: DispatchIntervals,
     pub(super) dispatches: u32,
-    pub(super) learnt: bool,
-    pub(super) leaving: bool,
+    pub(super) contents_known: bool,
+    pub(super) is_leaving: bool,
 }
 
 impl EngineOwner {
@@ -75,12 +75,12 @@
             pending_loads: BTreeMap::new(),
             replacing: HashMap::new(),
             failures: HashMap::new(),
-            service: MovingAverage::new(INITIAL_SERVICE_MS),
-            load: MovingAverage::new(INITIAL_LOAD_MS),
+            mean_service: MovingAverage::new(INITIAL_SERVICE_MS),
+            mean_load: MovingAverage::new(INITIAL_LOAD_MS),
             dispatch_intervals: DispatchIntervals::default(),
             dispatches: 0,
-            learnt: false,
-            leaving: false,
+            contents_known: false,
+            is_leaving: false,
         }
     }
 
@@ -103,37 +103,45 @@
 
     /// Whether the engine's contents are known.
     pub fn has_learnt(&self) -> bool {
-        self.learnt
+        self.contents_known
     }
 
-    fn submit(&mut self, now_ms: Millis, ask: QueuedRequest, out: &mut Vec<Command>) {
-        if self.leaving {
-            out.push(refuse(ask.id, RefusalReason::EngineLeaves, 0));
+    fn submit(&mut self, now_ms: Millis, request: QueuedRequest, out: &mut Vec<Command>) {
+        if self.is_leaving {
+            out.push(refuse(request.id, RefusalReason::EngineLeaves, 0));
             return;
         }
-        if self.is_backing_off(&ask.model, now_ms) {
-            out.push(refuse(ask.id, RefusalReason::LoadFailed, LOAD_BACKOFF_MS));
+        if self.is_backing_off(&request.model, now_ms) {
+            out.push(refuse(
+                request.id,
+                RefusalReason::LoadFailed,
+                LOAD_BACKOFF_MS,
+            ));
             return;
         }
-        let wait_ms = self.estimate_wait_ms(now_ms, &ask);
-        if now_ms + wait_ms > ask.start_by_ms {
-            let late_ms = now_ms + wait_ms - ask.start_by_ms;
-            out.push(refuse(ask.id, RefusalReason::Overloaded, late_ms.max(1)));
+        let wait_ms = self.estimate_wait_ms(now_ms, &request);
+        if now_ms + wait_ms > request.start_by_ms {
+            let late_ms = now_ms + wait_ms - request.start_by_ms;
+            out.push(refuse(
+                request.id,
+                RefusalReason::Overloaded,
+                late_ms.max(1),
+            ));
             return;
         }
-        if let Some(slot) = self.slots.get_mut(&ask.model) {
-            slot.note_demand(now_ms, ask.urgent);
+        if let Some(slot) = self.slots.get_mut(&request.model) {
+            slot.record_request(now_ms, request.urgent);
         }
         let draining = |slot: &Slot| slot.state == SlotState::Draining;
-        if ask.urgent && self.slots.get(&ask.model).is_some_and(draining) {
-            self.cancel_drain(&ask.model);
+        if request.urgent && self.slots.get(&request.model).is_some_and(draining) {
+            self.cancel_drain(&request.model);
         }
-        let share_ms =
-            self.service.mean_ms() / (f64::from(self.shape.batch_limit) * self.settings.fair_share);
-        if self.queue.of_rank(ask.rank) == 0 {
-            self.dispatch_intervals.note_backlog(ask.rank, now_ms);
+        let share_ms = self.mean_service.mean_ms()
+            / (f64::from(self.shape.batch_limit) * self.settings.fair_share);
+        if self.queue.count_of_rank(request.rank) == 0 {
+            self.dispatch_intervals.record_backlog(request.rank, now_ms);
         }
-        self.queue.push(ask, share_ms as Millis);
+        self.queue.push(request, share_ms as Millis);
     }
 
     fn is_backing_off(&self, model: &ModelRef, now_ms: Millis) -> bool {
@@ -141,19 +149,19 @@
         failure.is_some_and(|failure| now_ms < failure.retry_ms)
     }
 
-    fn estimate_wait_ms(&self, now_ms: Millis, ask: &QueuedRequest) -> Millis {
-        let wait_ms = self.expected_wait_ms(now_ms, ask.rank);
-        if self.slots.is_loaded(&ask.model) {
+    fn estimate_wait_ms(&self, now_ms: Millis, request: &QueuedRequest) -> Millis {
+        let wait_ms = self.expected_wait_ms(now_ms, request.rank);
+        if self.slots.is_loaded(&request.model) {
             return wait_ms;
         }
-        wait_ms.max(self.load.mean_ms() as Millis)
+        wait_ms.max(self.mean_load.mean_ms() as Millis)
     }
 
     fn finish(&mut self, now_ms: Millis, id: RequestId) {
         let Some(run) = self.running.remove(&id) else {
             return;
         };
-        self.service.add(now_ms.saturating_sub(run.started_ms));
+        self.mean_service.add(now_ms.saturating_sub(run.started_ms));
         if let Some(slot) = self.slots.get_mut(&run.model) {
             slot.serving = slot.serving.saturating_sub(1);
         }
@@ -171,13 +179,13 @@
     }
 
     fn release(&mut self, out: &mut Vec<Command>) {
-        self.learnt = false;
+        self.contents_known = false;
         self.refuse_all(RefusalReason::NotOwner, out);
     }
 
     /// Refuses all requests until the engine reports its contents again after a restart.
     fn leave(&mut self, out: &mut Vec<Command>) {
-        self.leaving = true;
+        self.is_leaving = true;
         self.refuse_all(RefusalReason::EngineLeaves, out);
     }
 
@@ -190,7 +198,7 @@
 
     fn refuse_expired(&mut self, now_ms: Millis, out: &mut Vec<Command>) {
         while let Some(id) = self.queue.first_expired(now_ms) {
-            let rank = self.queue.remove(id).map_or(0, |ask| ask.rank);
+            let rank = self.queue.remove(id).map_or(0, |request| request.rank);
             let retry_after_ms = self.expected_wait_ms(now_ms, rank).max(1);
             out.push(refuse(id, RefusalReason::DeadlinePassed, retry_after_ms));
         }
@@ -198,23 +206,24 @@
 
     fn dispatch(&mut self, now_ms: Millis, out: &mut Vec<Command>) {
         while let Some(id) = self.next_to_run(now_ms) {
-            let Some(ask) = self.queue.remove(id) else {
+            let Some(request) = self.queue.remove(id) else {
                 return;
             };
-            let Some(slot) = self.slots.get_mut(&ask.model) else {
+            let Some(slot) = self.slots.get_mut(&request.model) else {
                 // A dispatchable model always has a slot. If that were violated, the caller would
                 // still need an answer.
                 out.push(refuse(id, RefusalReason::LoadFailed, 0));
                 continue;
             };
             slot.serving += 1;
-            self.dispatch_intervals.note_dispatch(ask.rank, now_ms);
-            let stall_ms = slot.loaded_ms.saturating_sub(ask.arrived_ms);
+            self.dispatch_intervals
+                .record_dispatch(request.rank, now_ms);
+            let stall_ms = slot.loaded_ms.saturating_sub(request.arrived_ms);
             self.dispatches = self.dispatches.wrapping_add(1);
             self.running.insert(
                 id,
                 Running {
-                    model: ask.model,
+                    model: request.model,
                     started_ms: now_ms,
                 },
             );
@@ -259,26 +268,26 @@
     fn handle(&mut self, now_ms: Millis, event: Event) -> Vec<Command> {
         let mut out = Vec::new();
         match event {
-            Event::Submit(ask) => self.submit(now_ms, ask, &mut out),
+            Event::Submit(request) => self.submit(now_ms, request, &mut out),
             Event::Cancel(id) => {
                 self.queue.remove(id);
             }
             Event::Finished(id) => self.finish(now_ms, id),
             Event::Detached(id) => self.detach(id),
             Event::LoadGranted(model) => self.start_load(now_ms, model, &mut out),
-            Event::Loaded(model) => self.note_loaded(now_ms, &model, &mut out),
-            Event::LoadFailed(model) => self.note_load_failed(now_ms, &model, &mut out),
-            Event::Unloaded(model) => self.note_unloaded(now_ms, &model, &mut out),
-            Event::UnloadFailed(model) => self.note_unload_failed(now_ms, &model, &mut out),
-            Event::Missing(model) => self.note_missing(&model),
-            Event::Learnt(contents) => self.learn(now_ms, &contents),
+            Event::Loaded(model) => self.handle_loaded(now_ms, &model, &mut out),
+            Event::LoadFailed(model) => self.handle_load_failed(now_ms, &model, &mut out),
+            Event::Unloaded(model) => self.handle_unloaded(now_ms, &model, &mut out),
+            Event::UnloadFailed(model) => self.handle_unload_failed(now_ms, &model, &mut out),
+            Event::Missing(model) => self.handle_missing(&model),
+            Event::Learnt(contents) => self.apply_contents(now_ms, &contents),
             Event::Observed(contents) => self.count_inherited(&contents),
             Event::EngineLeaves => self.leave(&mut out),
             Event::Released => self.release(&mut out),
             Event::Tick => {}
         }
         self.refuse_expired(now_ms, &mut out);
-        if self.learnt {
+        if self.contents_known {
             self.dispatch(now_ms, &mut out);
             self.plan_loads(now_ms, &mut out);
         }
@@ -295,10 +304,10 @@
 
     fn expected_wait_ms(&self, now_ms: Millis, rank: u8) -> Millis {
         let limit = self.shape.batch_limit as usize;
-        let ahead = self.queue.ahead_of(rank) + self.busy() as usize;
+        let ahead = self.queue.count_ahead_of(rank) + self.busy() as usize;
         let beyond = ahead.saturating_sub(limit.saturating_sub(1));
-        let by_count_ms = (beyond as f64 * self.service.mean_ms() / limit as f64) as Millis;
-        let queued = self.queue.of_rank(rank);
+        let by_count_ms = (beyond as f64 * self.mean_service.mean_ms() / limit as f64) as Millis;
+        let queued = self.queue.count_of_rank(rank);
         if queued <= limit {
             // With less than a batch queued, the dispatch interval says no more than the count.
             return by_count_ms;
--- a/crates/tinbay-core/src/engine/pace.rs
+++ b/crates/tinbay-core/src/engine/pace.rs
@@ -27,12 +27,12 @@
 
 impl DispatchIntervals {
     /// Records that a rank's queue, empty until now, has a backlog.
-    pub fn note_backlog(&mut self, rank: u8, now_ms: Millis) {
+    pub fn record_backlog(&mut self, rank: u8, now_ms: Millis) {
         self.interval(rank, now_ms).last_progress_ms = now_ms;
     }
 
     /// Records that a request of a rank was dispatched.
-    pub fn note_dispatch(&mut self, rank: u8, now_ms: Millis) {
+    pub fn record_dispatch(&mut self, rank: u8, now_ms: Millis) {
         let interval = self.interval(rank, now_ms);
         interval
             .mean
--- a/crates/tinbay-core/src/engine/placement.rs
+++ b/crates/tinbay-core/src/engine/placement.rs
@@ -48,7 +48,7 @@
             out.push(Command::ReturnLoad(model));
             return;
         };
-        self.begin_unload(&victim);
+        self.start_unload(&victim);
         self.replacing.insert(victim.clone(), model);
         out.push(Command::Unload(victim));
     }
@@ -60,7 +60,7 @@
             || self.replacing.values().any(|next| next == model)
     }
 
-    fn begin_unload(&mut self, victim: &ModelRef) {
+    fn start_unload(&mut self, victim: &ModelRef) {
         self.queue.set_dispatchable(victim, false);
         if let Some(slot) = self.slots.get_mut(victim) {
             slot.state = SlotState::Unloading;
@@ -166,11 +166,12 @@
             if self.is_load_in_progress(&candidate.model) {
                 continue;
             }
-            let asked = self.pending_loads.get(&candidate.model).copied();
-            if asked.is_some_and(|asked| asked.rank <= candidate.load.rank) {
+            let pending_load = self.pending_loads.get(&candidate.model).copied();
+            if pending_load.is_some_and(|pending_load| pending_load.rank <= candidate.load.rank) {
                 continue;
             }
-            if asked.is_none() && !self.has_slot_for(now_ms, candidate.load, candidate.may_preempt)
+            if pending_load.is_none()
+                && !self.has_slot_for(now_ms, candidate.load, candidate.may_preempt)
             {
                 if candidate.may_preempt {
                     unplaced.push(candidate.load.rank);
@@ -190,22 +191,23 @@
 
     /// The first models in the queue that have no slot, at most as many as the engine has slots.
     fn load_candidates(&self, now_ms: Millis) -> Vec<LoadCandidate> {
-        let room = self.shape.slots as usize;
+        let slot_count = self.shape.slots as usize;
         self.queue
             .blocked_heads()
-            .take(2 * room)
-            .filter(|ask| self.slots.get(&ask.model).is_none())
-            .take(room)
-            .map(|ask| {
-                let waited_ms = now_ms.saturating_sub(ask.arrived_ms);
+            .take(2 * slot_count)
+            .filter(|request| self.slots.get(&request.model).is_none())
+            .take(slot_count)
+            .map(|request| {
+                let waited_ms = now_ms.saturating_sub(request.arrived_ms);
                 LoadCandidate {
-                    model: ask.model.clone(),
+                    model: request.model.clone(),
                     load: PendingLoad {
-                        rank: self.load_rank(ask, now_ms),
-                        urgent: ask.urgent,
+                        rank: self.load_rank(request, now_ms),
+                        urgent: request.urgent,
                     },
-                    may_preempt: ask.urgent || waited_ms >= self.settings.swap_patience_ms,
-                    since_ms: ask.arrived_ms,
+                    may_preempt: request.urgent
+                        || waited_ms >= self.settings.min_wait_before_swap_ms,
+                    since_ms: request.arrived_ms,
                 }
             })
             .collect()
@@ -238,12 +240,12 @@
         self.queue.set_dispatchable(model, true);
     }
 
-    fn load_rank(&self, ask: &QueuedRequest, now_ms: Millis) -> u8 {
-        let late = ask.start_by_ms < now_ms + self.settings.late_within_ms;
-        if !ask.urgent && late {
-            return ask.rank.min(LATE_RANK);
+    fn load_rank(&self, request: &QueuedRequest, now_ms: Millis) -> u8 {
+        let late = request.start_by_ms < now_ms + self.settings.late_within_ms;
+        if !request.urgent && late {
+            return request.rank.min(LATE_RANK);
         }
-        ask.rank
+        request.rank
     }
 
     /// Whether one more load than those pending would find a slot. Pending loads of a lower
@@ -252,7 +254,7 @@
         let pending = self
             .pending_loads
             .values()
-            .filter(|asked| asked.rank <= load.rank)
+            .filter(|pending_load| pending_load.rank <= load.rank)
             .count();
         let held = self.slots.iter().count();
         let free = (self.shape.slots as usize).saturating_sub(held);
--- a/crates/tinbay-core/src/engine/queue.rs
+++ b/crates/tinbay-core/src/engine/queue.rs
@@ -26,7 +26,7 @@
 
 #[derive(Debug)]
 struct Waiting {
-    ask: QueuedRequest,
+    request: QueuedRequest,
     key: QueueKey,
 }
 
@@ -51,61 +51,61 @@
     /// later.
     ///
     /// Related: Goyal, Vin and Cheng, "Start-time fair queueing", SIGCOMM 1996.
-    pub fn push(&mut self, ask: QueuedRequest, share_ms: Millis) {
-        let arrival_ms = self.virtual_arrival(&ask, share_ms);
-        let patience_ms = ask.start_by_ms.saturating_sub(ask.arrived_ms);
+    pub fn push(&mut self, request: QueuedRequest, share_ms: Millis) {
+        let arrival_ms = self.virtual_arrival(&request, share_ms);
+        let max_wait_ms = request.start_by_ms.saturating_sub(request.arrived_ms);
         let key = QueueKey {
-            rank: ask.rank,
-            due_ms: arrival_ms + patience_ms,
-            id: ask.id,
+            rank: request.rank,
+            due_ms: arrival_ms + max_wait_ms,
+            id: request.id,
         };
-        self.expiry.insert((ask.start_by_ms, ask.id));
-        *self.per_rank.entry(ask.rank).or_default() += 1;
-        if ask.urgent {
-            *self.urgent.entry(ask.model.clone()).or_default() += 1;
+        self.expiry.insert((request.start_by_ms, request.id));
+        *self.per_rank.entry(request.rank).or_default() += 1;
+        if request.urgent {
+            *self.urgent.entry(request.model.clone()).or_default() += 1;
         } else {
-            self.late_batch.insert((ask.start_by_ms, ask.id));
+            self.late_batch.insert((request.start_by_ms, request.id));
         }
-        self.change_group(&ask.model, |group| {
+        self.change_group(&request.model, |group| {
             group.insert(key);
         });
-        self.items.insert(ask.id, Waiting { ask, key });
+        self.items.insert(request.id, Waiting { request, key });
     }
 
     /// Removes a request.
     pub fn remove(&mut self, id: RequestId) -> Option<QueuedRequest> {
-        let Waiting { ask, key } = self.items.remove(&id)?;
-        self.expiry.remove(&(ask.start_by_ms, id));
-        if let Some(count) = self.per_rank.get_mut(&ask.rank) {
+        let Waiting { request, key } = self.items.remove(&id)?;
+        self.expiry.remove(&(request.start_by_ms, id));
+        if let Some(count) = self.per_rank.get_mut(&request.rank) {
             *count -= 1;
         }
-        if ask.urgent {
-            self.drop_urgent(&ask.model);
+        if request.urgent {
+            self.decrement_urgent(&request.model);
         } else {
-            self.late_batch.remove(&(ask.start_by_ms, id));
+            self.late_batch.remove(&(request.start_by_ms, id));
         }
-        self.change_group(&ask.model, |group| {
+        self.change_group(&request.model, |group| {
             group.remove(&key);
         });
-        Some(ask)
+        Some(request)
     }
 
     /// Sets whether a model's requests may be dispatched now.
     pub fn set_dispatchable(&mut self, model: &ModelRef, dispatchable: bool) {
         let head = self.head(model);
-        self.unlist(model, head);
+        self.remove_head(model, head);
         if dispatchable {
             self.dispatchable.insert(model.clone());
         } else {
             self.dispatchable.remove(model);
         }
-        self.list(model, head);
+        self.insert_head(model, head);
     }
 
     /// The first request of a dispatchable model.
     pub fn first_dispatchable(&self) -> Option<&QueuedRequest> {
         let (key, _) = self.dispatchable_heads.first()?;
-        self.ask(key.id)
+        self.request(key.id)
     }
 
     /// The first dispatchable request among the `depth` batch requests with the earliest start
@@ -115,15 +115,15 @@
             .iter()
             .take(depth)
             .take_while(|(start_by_ms, _)| *start_by_ms < horizon_ms)
-            .filter_map(|(_, id)| self.ask(*id))
-            .find(|ask| self.dispatchable.contains(&ask.model))
+            .filter_map(|(_, id)| self.request(*id))
+            .find(|request| self.dispatchable.contains(&request.model))
     }
 
     /// The first request of each model that is not dispatchable, in queue order.
     pub fn blocked_heads(&self) -> impl Iterator<Item = &QueuedRequest> {
         self.blocked_heads
             .iter()
-            .filter_map(|(key, _)| self.ask(key.id))
+            .filter_map(|(key, _)| self.request(key.id))
     }
 
     /// A request whose latest start time has passed.
@@ -154,12 +154,12 @@
     }
 
     /// Number of requests that go before a new one of `rank`.
-    pub fn ahead_of(&self, rank: u8) -> usize {
+    pub fn count_ahead_of(&self, rank: u8) -> usize {
         self.per_rank.range(..=rank).map(|(_, count)| count).sum()
     }
 
     /// Number of requests of one rank.
-    pub fn of_rank(&self, rank: u8) -> usize {
+    pub fn count_of_rank(&self, rank: u8) -> usize {
         self.per_rank.get(&rank).copied().unwrap_or(0)
     }
 
@@ -175,8 +175,8 @@
         ids
     }
 
-    fn ask(&self, id: RequestId) -> Option<&QueuedRequest> {
-        self.items.get(&id).map(|waiting| &waiting.ask)
+    fn request(&self, id: RequestId) -> Option<&QueuedRequest> {
+        self.items.get(&id).map(|waiting| &waiting.request)
     }
 
     fn head(&self, model: &ModelRef) -> Option<QueueKey> {
@@ -185,23 +185,23 @@
 
     fn change_group(&mut self, model: &ModelRef, change: impl FnOnce(&mut BTreeSet<QueueKey>)) {
         let head = self.head(model);
-        self.unlist(model, head);
+        self.remove_head(model, head);
         let group = self.groups.entry(model.clone()).or_default();
         change(group);
         if group.is_empty() {
             self.groups.remove(model);
         }
         let head = self.head(model);
-        self.list(model, head);
+        self.insert_head(model, head);
     }
 
-    fn list(&mut self, model: &ModelRef, head: Option<QueueKey>) {
+    fn insert_head(&mut self, model: &ModelRef, head: Option<QueueKey>) {
         let Some(key) = head else { return };
         let dispatchable = self.dispatchable.contains(model);
         self.heads(dispatchable).insert((key, model.clone()));
     }
 
-    fn unlist(&mut self, model: &ModelRef, head: Option<QueueKey>) {
+    fn remove_head(&mut self, model: &ModelRef, head: Option<QueueKey>) {
         let Some(key) = head else { return };
         let dispatchable = self.dispatchable.contains(model);
         self.heads(dispatchable).remove(&(key, model.clone()));
@@ -215,7 +215,7 @@
         }
     }
 
-    fn drop_urgent(&mut self, model: &ModelRef) {
+    fn decrement_urgent(&mut self, model: &ModelRef) {
         if let Some(count) = self.urgent.get_mut(model) {
             *count -= 1;
             if *count == 0 {
@@ -224,13 +224,16 @@
         }
     }
 
-    fn virtual_arrival(&mut self, ask: &QueuedRequest, share_ms: Millis) -> Millis {
+    fn virtual_arrival(&mut self, request: &QueuedRequest, share_ms: Millis) -> Millis {
         if self.virtual_ms.len() > MAX_TRACKED_ORGANISATIONS {
             self.virtual_ms
-                .retain(|_, next_ms| *next_ms > ask.arrived_ms);
+                .retain(|_, next_ms| *next_ms > request.arrived_ms);
         }
-        let next_ms = self.virtual_ms.entry(ask.organisation.clone()).or_default();
-        let arrival_ms = ask.arrived_ms.max(*next_ms);
+        let next_ms = self
+            .virtual_ms
+            .entry(request.organisation.clone())
+            .or_default();
+        let arrival_ms = request.arrived_ms.max(*next_ms);
         *next_ms = arrival_ms + share_ms;
         arrival_ms
     }
--- a/crates/tinbay-core/src/engine/settings.rs
+++ b/crates/tinbay-core/src/engine/settings.rs
@@ -7,7 +7,7 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct OwnerSettings {
     /// How long batch work waits before it may take a slot from other batch work.
-    pub swap_patience_ms: Millis,
+    pub min_wait_before_swap_ms: Millis,
     /// Share of the slots, from 0 to 1, that batch work may hold while urgent work needs the others.
     pub batch_slot_share: f64,
     /// Number of places in the engine's batch that only urgent work may take. A batch with a single
@@ -22,7 +22,7 @@
 }
 
 /// Swap patience of a policy that weighs batch efficiency alone.
-const MAX_SWAP_PATIENCE_MS: f64 = 4_000.0;
+const MAX_WAIT_BEFORE_SWAP_MS: f64 = 4_000.0;
 
 impl Default for OwnerSettings {
     fn default() -> Self {
@@ -35,7 +35,7 @@
     pub fn from_policy(settings: PolicySettings) -> Self {
         let batch_weight = 1.0 - settings.stall_weight;
         Self {
-            swap_patience_ms: (batch_weight * MAX_SWAP_PATIENCE_MS) as Millis,
+            min_wait_before_swap_ms: (batch_weight * MAX_WAIT_BEFORE_SWAP_MS) as Millis,
             batch_slot_share: batch_weight,
             urgent_reserve: 1,
             late_every: 8,
--- a/crates/tinbay-core/src/engine/slots.rs
+++ b/crates/tinbay-core/src/engine/slots.rs
@@ -31,7 +31,7 @@
     /// When the load was ordered.
     pub ordered_ms: Millis,
     /// Whether the engine lost the model, by a restart, while it was being unloaded.
-    pub lost: bool,
+    pub is_lost: bool,
     /// Earliest time of the next unload, after one that failed; 0 otherwise.
     pub keep_until_ms: Millis,
     /// Recent urgent requests for the model.
@@ -49,11 +49,11 @@
 
 impl Slot {
     /// Records a request for the model.
-    pub fn note_demand(&mut self, now_ms: Millis, urgent: bool) {
+    pub fn record_request(&mut self, now_ms: Millis, urgent: bool) {
         if urgent {
-            self.urgent_demand.note(now_ms);
+            self.urgent_demand.add_request(now_ms);
         } else {
-            self.batch_demand.note(now_ms);
+            self.batch_demand.add_request(now_ms);
         }
     }
 
@@ -112,7 +112,7 @@
             serving: 0,
             loaded_ms: now_ms,
             ordered_ms: now_ms,
-            lost: false,
+            is_lost: false,
             keep_until_ms: 0,
             urgent_demand: Demand::default(),
             batch_demand: Demand::default(),
--- a/crates/tinbay-core/tests/owner_test.rs
+++ b/crates/tinbay-core/tests/owner_test.rs
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn dispatch_counter_work_goes_before_batch() {
+fn dispatch_urgent_work_goes_before_batch() {
     let mut bench = bench();
     bench.submit(ask(1, 0, false, 0, 60_000));
     bench.run_until(300);
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn unload_spares_model_with_counter_work_waiting() {
+fn unload_spares_model_with_urgent_work_waiting() {
     let mut bench = bench();
     for number in 0..2 {
         bench.submit(ask(number as u64, number, true, 0, 5_000));
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn close_slot_reopens_when_need_has_gone() {
+fn drained_slot_reopens_after_the_urgent_request() {
     let mut bench = bench();
     for number in 0..2 {
         bench.submit(ask(number as u64, number, false, 0, 60_000));
