--- a/crates/tinbay-core/src/memory/cuts.rs
+++ b/crates/tinbay-core/src/memory/cuts.rs
@@ -32,7 +32,7 @@
 ///
 /// Choosing the largest answer instead would hit a caller that reads a long answer quickly;
 /// choosing the oldest would let one account suffer for the slow callers of another.
-pub fn first_to_cut(answers: &[UnreadAnswer]) -> Option<usize> {
+pub fn first_to_abort(answers: &[UnreadAnswer]) -> Option<usize> {
     let account = heaviest_account(answers)?;
     let of_account = |answer: &UnreadAnswer| answer.account == account;
     answers
@@ -60,7 +60,7 @@
     let mut freed_bytes = 0;
     let mut cut = Vec::new();
     while freed_bytes < excess_bytes {
-        let Some(position) = first_to_cut(&answers) else {
+        let Some(position) = first_to_abort(&answers) else {
             break;
         };
         freed_bytes += answers.swap_remove(position).held_bytes;
--- a/crates/tinbay-core/src/memory/ledger.rs
+++ b/crates/tinbay-core/src/memory/ledger.rs
@@ -24,10 +24,10 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum MemoryShort {
     /// The box has reached its memory bound.
-    #[error("the box holds as much as it may")]
+    #[error("request refused: the memory bound of the box is reached")]
     Box,
     /// The request's client account has reached its share of the memory.
-    #[error("the account holds as much as it may")]
+    #[error("request refused: the memory share of the client account is reached")]
     Account,
 }
 
@@ -110,7 +110,7 @@
 
     /// Bytes to free by aborting answers of slow callers; 0 below the threshold.
     pub fn excess_bytes(&self, terms: &MemoryTerms) -> u64 {
-        self.total_bytes.saturating_sub(terms.cut_from_bytes)
+        self.total_bytes.saturating_sub(terms.abort_above_bytes)
     }
 }
 
--- a/crates/tinbay-core/src/memory/reader.rs
+++ b/crates/tinbay-core/src/memory/reader.rs
@@ -1,4 +1,4 @@
-//! Tracks how a caller reads its answer.
+//! Tracks how fast a caller reads its answer, and decides when to abort it.
 
 use crate::serving::configuration::Route;
 use crate::units::{MS_PER_SECOND, Millis};
@@ -10,11 +10,11 @@
 /// Time without a read after which a complete answer is aborted once the request's deadline has
 /// passed. A caller that reads at all shows progress within a second, as the kernel reports send
 /// buffer space in steps of some ten kilobytes.
-pub const LATE_PATIENCE_MS: Millis = 1_000;
+pub const LATE_UNREAD_LIMIT_MS: Millis = 1_000;
 
 /// Maximum time past the deadline for which a complete answer is kept for a caller that still reads:
 /// enough for the data buffered ahead at 30 kB/s.
-pub const LONGEST_LATE_MS: Millis = 10_000;
+pub const MAX_LATE_MS: Millis = 10_000;
 
 /// Why an answer is aborted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -67,38 +67,38 @@
 /// Read progress of a caller over time, sampled by [`ReadTracker::look`].
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ReadTracker {
-    taken_bytes: u64,
-    began_ms: Millis,
-    progress_ms: Millis,
+    read_bytes: u64,
+    started_ms: Millis,
+    last_progress_ms: Millis,
 }
 
 impl ReadTracker {
     /// Starts tracking a caller whose answer begins now.
     pub fn begin(now_ms: Millis) -> Self {
         Self {
-            taken_bytes: 0,
-            began_ms: now_ms,
-            progress_ms: now_ms,
+            read_bytes: 0,
+            started_ms: now_ms,
+            last_progress_ms: now_ms,
         }
     }
 
     /// Records a sample of the caller's progress.
     pub fn look(&mut self, taken: Taken, now_ms: Millis) {
-        if taken.waits || taken.bytes != self.taken_bytes {
-            self.progress_ms = now_ms;
+        if taken.waits || taken.bytes != self.read_bytes {
+            self.last_progress_ms = now_ms;
         }
-        self.taken_bytes = taken.bytes;
+        self.read_bytes = taken.bytes;
     }
 
     /// Time for which the caller has read nothing although data was available.
     pub fn unread_ms(&self, now_ms: Millis) -> Millis {
-        now_ms.saturating_sub(self.progress_ms)
+        now_ms.saturating_sub(self.last_progress_ms)
     }
 
-    /// Average read rate since the begin of the answer.
+    /// Average read rate since the start of the answer.
     pub fn bytes_per_s(&self, now_ms: Millis) -> u64 {
-        let time_ms = now_ms.saturating_sub(self.began_ms).max(1);
-        self.taken_bytes.saturating_mul(MS_PER_SECOND) / time_ms
+        let time_ms = now_ms.saturating_sub(self.started_ms).max(1);
+        self.read_bytes.saturating_mul(MS_PER_SECOND) / time_ms
     }
 
     /// Whether the caller is slow, so that its answer is buffered ahead of it. That frees the
@@ -111,7 +111,7 @@
     /// Whether an answer is so late that it is aborted even if its caller keeps reading a little at
     /// a time.
     pub fn is_overdue(&self, terms: &ReaderTerms, now_ms: Millis) -> bool {
-        now_ms >= terms.time_up_ms + LONGEST_LATE_MS
+        now_ms >= terms.time_up_ms + MAX_LATE_MS
     }
 
     /// Whether to abort an answer that is buffered ahead of its caller, and why.
@@ -130,6 +130,6 @@
         if !is_whole || self.is_overdue(terms, now_ms) {
             return Some(CutCause::TimeUp);
         }
-        (unread_ms >= LATE_PATIENCE_MS).then_some(CutCause::Unread)
+        (unread_ms >= LATE_UNREAD_LIMIT_MS).then_some(CutCause::Unread)
     }
 }
--- a/crates/tinbay-core/src/memory/terms.rs
+++ b/crates/tinbay-core/src/memory/terms.rs
@@ -9,7 +9,7 @@
 
 /// Fraction of the bound above which answers of slow callers are aborted. It is below 1 to leave
 /// room for data that arrives before the next check.
-const CUT_FRACTION: f64 = 0.75;
+const ABORT_FRACTION: f64 = 0.75;
 
 /// Fraction of the bound available to a single client account.
 const ACCOUNT_FRACTION: f64 = 0.5;
@@ -20,7 +20,7 @@
     /// Maximum in total; requests beyond it are refused.
     pub bound_bytes: u64,
     /// Total above which answers of slow callers are aborted.
-    pub cut_from_bytes: u64,
+    pub abort_above_bytes: u64,
     /// Maximum per client account.
     pub account_bytes: u64,
 }
@@ -29,7 +29,7 @@
     /// No bounds, for a box whose memory is unknown.
     pub const UNBOUNDED: Self = Self {
         bound_bytes: u64::MAX,
-        cut_from_bytes: u64::MAX,
+        abort_above_bytes: u64::MAX,
         account_bytes: u64::MAX,
     };
 
@@ -41,7 +41,7 @@
         let bound_bytes = memory_mb * BYTES_PER_MB * HELD_FRACTION;
         Self {
             bound_bytes: bound_bytes as u64,
-            cut_from_bytes: (bound_bytes * CUT_FRACTION) as u64,
+            abort_above_bytes: (bound_bytes * ABORT_FRACTION) as u64,
             account_bytes: (bound_bytes * ACCOUNT_FRACTION) as u64,
         }
     }
--- a/crates/tinbay-core/tests/memory_test.rs
+++ b/crates/tinbay-core/tests/memory_test.rs
@@ -1,10 +1,10 @@
 //! Tests of the memory bounds for requests and answers.
 
 use quickcheck::QuickCheck;
-use tinbay_core::memory::cuts::{UnreadAnswer, first_to_cut, to_cut};
+use tinbay_core::memory::cuts::{UnreadAnswer, first_to_abort, to_cut};
 use tinbay_core::memory::ledger::{Holder, Ledger, MemoryShort};
 use tinbay_core::memory::reader::{
-    BEHIND_AFTER_MS, CutCause, LATE_PATIENCE_MS, LONGEST_LATE_MS, ReadTracker, ReaderTerms, Taken,
+    BEHIND_AFTER_MS, CutCause, LATE_UNREAD_LIMIT_MS, MAX_LATE_MS, ReadTracker, ReaderTerms, Taken,
     unread_limit_ms,
 };
 use tinbay_core::memory::terms::MemoryTerms;
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn excess_begins_before_requests_are_turned_away() {
+fn excess_begins_before_requests_are_refused() {
     let mut ledger = Ledger::default();
     ledger.add(holder(MODEST, 1), 60 * MB);
     ledger.add(holder(GREEDY, 2), 50 * MB);
@@ -129,24 +129,24 @@
         answer(GREEDY, 3 * MB, 1_000_000),
         answer(GREEDY, 2 * MB, 0),
     ];
-    assert_eq!(first_to_cut(&answers), Some(2));
+    assert_eq!(first_to_abort(&answers), Some(2));
 }
 
 #[test]
 fn first_to_cut_quick_reader_of_a_long_answer_is_spared() {
     let answers = [answer(None, 8 * MB, 20_000_000), answer(None, MB, 1_000)];
-    assert_eq!(first_to_cut(&answers), Some(1));
+    assert_eq!(first_to_abort(&answers), Some(1));
 }
 
 #[test]
 fn first_to_cut_same_pace_largest() {
     let answers = [answer(None, MB, 0), answer(None, 2 * MB, 0)];
-    assert_eq!(first_to_cut(&answers), Some(1));
+    assert_eq!(first_to_abort(&answers), Some(1));
 }
 
 #[test]
 fn first_to_cut_none_is_behind() {
-    assert_eq!(first_to_cut(&[]), None);
+    assert_eq!(first_to_abort(&[]), None);
 }
 
 /// The selected answers free the excess, if all answers together suffice, and no answer is selected
@@ -191,38 +191,38 @@
 
 #[test]
 fn is_behind_reader_that_waits_for_more() {
-    let mut sight = ReadTracker::begin(0);
+    let mut tracker = ReadTracker::begin(0);
     let waits = true;
-    sight.look(Taken { bytes: 10, waits }, 1_000);
-    sight.look(Taken { bytes: 10, waits }, 60_000);
-    assert!(!sight.is_behind(60_000));
+    tracker.look(Taken { bytes: 10, waits }, 1_000);
+    tracker.look(Taken { bytes: 10, waits }, 60_000);
+    assert!(!tracker.is_behind(60_000));
 }
 
 #[test]
 fn is_behind_reader_that_takes_nothing() {
-    let mut sight = ReadTracker::begin(0);
-    sight.look(taken(10), 50);
-    sight.look(taken(10), 50 + BEHIND_AFTER_MS - 1);
-    assert!(!sight.is_behind(50 + BEHIND_AFTER_MS - 1));
-    assert!(sight.is_behind(50 + BEHIND_AFTER_MS));
+    let mut tracker = ReadTracker::begin(0);
+    tracker.look(taken(10), 50);
+    tracker.look(taken(10), 50 + BEHIND_AFTER_MS - 1);
+    assert!(!tracker.is_behind(50 + BEHIND_AFTER_MS - 1));
+    assert!(tracker.is_behind(50 + BEHIND_AFTER_MS));
 }
 
 #[test]
 fn judge_nothing_read_for_as_long_as_the_route_allows() {
-    let sight = ReadTracker::begin(0);
-    assert_eq!(sight.judge(&READER, false, 1_999), None);
-    assert_eq!(sight.judge(&READER, false, 2_000), Some(CutCause::Unread));
+    let tracker = ReadTracker::begin(0);
+    assert_eq!(tracker.judge(&READER, false, 1_999), None);
+    assert_eq!(tracker.judge(&READER, false, 2_000), Some(CutCause::Unread));
 }
 
 /// The answer of a caller that reads 100 bytes per second is aborted exactly at the deadline.
 #[test]
 fn judge_slow_trickle_reader() {
-    let mut sight = ReadTracker::begin(0);
+    let mut tracker = ReadTracker::begin(0);
     let mut cut = None;
     for step in 1..600 {
         let now_ms: Millis = step * 100;
-        sight.look(taken(now_ms / 1_000 * 100), now_ms);
-        cut = sight.judge(&READER, false, now_ms);
+        tracker.look(taken(now_ms / 1_000 * 100), now_ms);
+        cut = tracker.judge(&READER, false, now_ms);
         if cut.is_some() {
             assert_eq!(now_ms, READER.time_up_ms);
             break;
@@ -233,50 +233,50 @@
 
 #[test]
 fn judge_whole_answer_waits_for_its_caller_until_its_time() {
-    let sight = ReadTracker::begin(0);
-    assert_eq!(sight.judge(&READER, true, 4_999), None);
-    assert_eq!(sight.judge(&READER, true, 5_000), Some(CutCause::Unread));
+    let tracker = ReadTracker::begin(0);
+    assert_eq!(tracker.judge(&READER, true, 4_999), None);
+    assert_eq!(tracker.judge(&READER, true, 5_000), Some(CutCause::Unread));
 }
 
 #[test]
 fn judge_whole_answer_is_delivered_late() {
-    let mut sight = ReadTracker::begin(0);
+    let mut tracker = ReadTracker::begin(0);
     for step in 1..=60 {
         let now_ms: Millis = step * 100;
-        sight.look(taken(now_ms), now_ms);
-        assert_eq!(sight.judge(&READER, true, now_ms), None);
+        tracker.look(taken(now_ms), now_ms);
+        assert_eq!(tracker.judge(&READER, true, now_ms), None);
     }
 }
 
 #[test]
 fn judge_whole_answer_late_and_unread() {
-    let mut sight = ReadTracker::begin(0);
-    sight.look(taken(1), 5_000);
-    assert_eq!(sight.judge(&READER, true, 5_000), None);
-    let end_ms = 5_000 + LATE_PATIENCE_MS;
-    assert_eq!(sight.judge(&READER, true, end_ms), Some(CutCause::Unread));
+    let mut tracker = ReadTracker::begin(0);
+    tracker.look(taken(1), 5_000);
+    assert_eq!(tracker.judge(&READER, true, 5_000), None);
+    let end_ms = 5_000 + LATE_UNREAD_LIMIT_MS;
+    assert_eq!(tracker.judge(&READER, true, end_ms), Some(CutCause::Unread));
 }
 
 #[test]
 fn judge_whole_answer_trickled_for_too_long() {
-    let mut sight = ReadTracker::begin(0);
-    let end_ms = READER.time_up_ms + LONGEST_LATE_MS;
-    sight.look(taken(1), end_ms - 1);
-    assert_eq!(sight.judge(&READER, true, end_ms - 1), None);
-    sight.look(taken(2), end_ms);
-    assert_eq!(sight.judge(&READER, true, end_ms), Some(CutCause::TimeUp));
+    let mut tracker = ReadTracker::begin(0);
+    let end_ms = READER.time_up_ms + MAX_LATE_MS;
+    tracker.look(taken(1), end_ms - 1);
+    assert_eq!(tracker.judge(&READER, true, end_ms - 1), None);
+    tracker.look(taken(2), end_ms);
+    assert_eq!(tracker.judge(&READER, true, end_ms), Some(CutCause::TimeUp));
 }
 
 /// The answer of a caller that never stops reading is aborted as well.
 #[test]
 fn is_overdue_steady_reader() {
-    let mut sight = ReadTracker::begin(0);
-    let end_ms = READER.time_up_ms + LONGEST_LATE_MS;
+    let mut tracker = ReadTracker::begin(0);
+    let end_ms = READER.time_up_ms + MAX_LATE_MS;
     for now_ms in (0..end_ms).step_by(50) {
-        sight.look(taken(now_ms), now_ms);
-        assert!(!sight.is_behind(now_ms) && !sight.is_overdue(&READER, now_ms));
+        tracker.look(taken(now_ms), now_ms);
+        assert!(!tracker.is_behind(now_ms) && !tracker.is_overdue(&READER, now_ms));
     }
-    assert!(sight.is_overdue(&READER, end_ms));
+    assert!(tracker.is_overdue(&READER, end_ms));
 }
 
 fn route(kind: RouteKind) -> Route {
