--- a/crates/tinbay-core/src/crashes/ledger.rs
+++ b/crates/tinbay-core/src/crashes/ledger.rs
@@ -24,7 +24,7 @@
 #[derive(Debug)]
 struct Suspect {
     crashes: Vec<CrashKey>,
-    last_ms: Millis,
+    last_crash_ms: Millis,
 }
 
 /// The requests that were running when servers crashed.
@@ -32,7 +32,7 @@
 pub struct CrashLedger {
     suspects: HashMap<RequestDigest, Suspect>,
     /// Suspects in the order in which they were added.
-    order: VecDeque<RequestDigest>,
+    by_age: VecDeque<RequestDigest>,
 }
 
 impl CrashLedger {
@@ -40,17 +40,17 @@
     /// up to [`CRASHES_TO_REFUSE`].
     pub fn note(&mut self, digest: RequestDigest, crash: CrashKey, now_ms: Millis) -> usize {
         if !self.suspects.contains_key(&digest) {
-            self.make_room();
-            self.order.push_back(digest);
+            self.drop_oldest();
+            self.by_age.push_back(digest);
         }
         let suspect = self.suspects.entry(digest).or_insert_with(|| Suspect {
             crashes: Vec::new(),
-            last_ms: now_ms,
+            last_crash_ms: now_ms,
         });
-        if now_ms >= suspect.last_ms + CRASH_LIFE_MS {
+        if now_ms >= suspect.last_crash_ms + CRASH_LIFE_MS {
             suspect.crashes.clear();
         }
-        suspect.last_ms = now_ms;
+        suspect.last_crash_ms = now_ms;
         let is_full = suspect.crashes.len() >= CRASHES_TO_REFUSE;
         if !is_full && !suspect.crashes.contains(&crash) {
             suspect.crashes.push(crash);
@@ -61,7 +61,7 @@
     /// Drops a request that succeeded.
     pub fn clear(&mut self, digest: RequestDigest) {
         if self.suspects.remove(&digest).is_some() {
-            self.order.retain(|kept| *kept != digest);
+            self.by_age.retain(|kept| *kept != digest);
         }
     }
 
@@ -75,9 +75,9 @@
         self.suspects.is_empty()
     }
 
-    fn make_room(&mut self) {
-        while self.order.len() >= MAX_SUSPECTS
-            && let Some(oldest) = self.order.pop_front()
+    fn drop_oldest(&mut self) {
+        while self.by_age.len() >= MAX_SUSPECTS
+            && let Some(oldest) = self.by_age.pop_front()
         {
             self.suspects.remove(&oldest);
         }
--- a/crates/tinbay-core/src/crashes/proven.rs
+++ b/crates/tinbay-core/src/crashes/proven.rs
@@ -14,7 +14,7 @@
 #[derive(Debug, Default)]
 pub struct ProvenRequests {
     known: HashSet<RequestDigest>,
-    order: VecDeque<RequestDigest>,
+    by_age: VecDeque<RequestDigest>,
 }
 
 impl ProvenRequests {
@@ -23,9 +23,9 @@
         if !self.known.insert(digest) {
             return;
         }
-        self.order.push_back(digest);
-        if self.order.len() > MAX_PROVEN
-            && let Some(oldest) = self.order.pop_front()
+        self.by_age.push_back(digest);
+        if self.by_age.len() > MAX_PROVEN
+            && let Some(oldest) = self.by_age.pop_front()
         {
             self.known.remove(&oldest);
         }
--- a/crates/tinbay-core/src/crashes/quarantine.rs
+++ b/crates/tinbay-core/src/crashes/quarantine.rs
@@ -26,7 +26,7 @@
             return false;
         }
         if self.until_ms.len() >= MAX_REFUSED {
-            self.make_room();
+            self.drop_oldest();
         }
         self.until_ms.insert(digest, now_ms + left_ms);
         true
@@ -50,7 +50,7 @@
         self.until_ms.retain(|_, until_ms| now_ms < *until_ms);
     }
 
-    fn make_room(&mut self) {
+    fn drop_oldest(&mut self) {
         let oldest = self.until_ms.iter().min_by_key(|(_, until_ms)| **until_ms);
         if let Some(oldest) = oldest.map(|(digest, _)| *digest) {
             self.until_ms.remove(&oldest);
--- a/crates/tinbay-core/tests/crashes_test.rs
+++ b/crates/tinbay-core/tests/crashes_test.rs
@@ -6,27 +6,27 @@
 use tinbay_core::crashes::proven::ProvenRequests;
 use tinbay_core::crashes::quarantine::{QUARANTINE_LIFE_MS, Quarantine};
 
-const HERE: Option<&str> = Some("account");
+const ACCOUNT: Option<&str> = Some("account");
 
 fn digest(name: u32) -> RequestDigest {
-    RequestDigest::of(HERE, "/route/", &name.to_le_bytes())
+    RequestDigest::of(ACCOUNT, "/route/", &name.to_le_bytes())
 }
 
 #[test]
 fn digest_alike_for_the_same_request() {
-    let again = RequestDigest::of(HERE, "/a", b"body");
-    assert_eq!(RequestDigest::of(HERE, "/a", b"body"), again);
+    let again = RequestDigest::of(ACCOUNT, "/a", b"body");
+    assert_eq!(RequestDigest::of(ACCOUNT, "/a", b"body"), again);
 }
 
 #[test]
 fn digest_differs_by_account_path_and_body() {
-    let first = RequestDigest::of(HERE, "/a", b"body");
+    let first = RequestDigest::of(ACCOUNT, "/a", b"body");
     let others = [
         RequestDigest::of(None, "/a", b"body"),
         RequestDigest::of(Some("other"), "/a", b"body"),
-        RequestDigest::of(HERE, "/b", b"body"),
-        RequestDigest::of(HERE, "/a", b"bodz"),
-        RequestDigest::of(HERE, "/abody", b""),
+        RequestDigest::of(ACCOUNT, "/b", b"body"),
+        RequestDigest::of(ACCOUNT, "/a", b"bodz"),
+        RequestDigest::of(ACCOUNT, "/abody", b""),
     ];
     assert!(others.iter().all(|other| *other != first));
 }
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn ledger_forgets_what_ended_well() {
+fn ledger_drops_a_request_that_succeeded() {
     let mut ledger = CrashLedger::default();
     ledger.note(digest(1), 40, 0);
     ledger.note(digest(1), 41, 0);
@@ -117,7 +117,7 @@
 /// Boxes that restart at random pass a quarantine on to each other: it still ends within its lifetime
 /// counted from the first box.
 #[test]
-fn quarantine_passed_on_never_outlives_itself() {
+fn quarantine_passed_on_ends_within_its_lifetime() {
     fn ends(steps: Vec<(u8, u16)>) -> TestResult {
         let mut boxes: Vec<(u64, Quarantine)> =
             (0..4).map(|_| (0, Quarantine::default())).collect();
