--- a/crates/tinbay-core/src/accounts/key_check.rs
+++ b/crates/tinbay-core/src/accounts/key_check.rs
@@ -23,7 +23,7 @@
 
 /// How long a watch of the store may miss changes: the store reports dropped history 1 s later, and
 /// 0.5 s is allowed for the network.
-const WATCH_BLIND_MS: Millis = 1_500;
+const WATCH_DELAY_MS: Millis = 1_500;
 
 /// Safety margin of both bounds for clock drift and rounding to milliseconds.
 const MARGIN_MS: Millis = 200;
@@ -40,8 +40,8 @@
 impl KeyTerms {
     /// Maximum age of the copy at which a key that it holds is accepted.
     pub fn served_age_ms(&self) -> Millis {
-        let kept_ms = WATCH_BLIND_MS + MARGIN_MS;
-        self.withdrawn_within_ms.saturating_sub(kept_ms)
+        let margin_ms = WATCH_DELAY_MS + MARGIN_MS;
+        self.withdrawn_within_ms.saturating_sub(margin_ms)
     }
 
     /// Maximum age of the copy at which a key that it lacks is reported as unknown.
--- a/crates/tinbay-core/src/accounts/priority.rs
+++ b/crates/tinbay-core/src/accounts/priority.rs
@@ -32,8 +32,8 @@
             return route.min(RANKS as u8 - 1);
         };
         let pairs = self.accounts.len() * self.routes.len();
-        let above = position(&self.accounts, account) * self.routes.len();
-        let pair = above + position(&self.routes, route);
+        let first_pair = index_of(&self.accounts, account) * self.routes.len();
+        let pair = first_pair + index_of(&self.routes, route);
         let rank = if pairs > RANKS {
             pair * RANKS / pairs
         } else {
@@ -43,6 +43,6 @@
     }
 }
 
-fn position(sorted: &[u8], priority: u8) -> usize {
+fn index_of(sorted: &[u8], priority: u8) -> usize {
     sorted.partition_point(|other| *other < priority)
 }
--- a/crates/tinbay-core/tests/accounts_key_test.rs
+++ b/crates/tinbay-core/tests/accounts_key_test.rs
@@ -37,7 +37,7 @@
     AccountTable::new(accounts).expect("accounts")
 }
 
-fn shown(key: &str) -> PresentedKey {
+fn presented(key: &str) -> PresentedKey {
     PresentedKey::Digest(digest(key))
 }
 
@@ -93,19 +93,19 @@
     let decide = |key, age_ms| check(&accounts, false, key, age_ms, &TERMS);
     assert_eq!(decide(PresentedKey::None, 0), KeyDecision::NoKey);
     assert_eq!(decide(PresentedKey::None, 60_000), KeyDecision::NoKey);
-    assert_eq!(decide(shown("other"), 2_800), KeyDecision::Unknown);
-    assert_eq!(decide(shown("other"), 2_801), KeyDecision::CopyTooOld);
-    assert!(is_served(&decide(shown("k1"), 3_300)));
-    assert_eq!(decide(shown("k1"), 3_301), KeyDecision::CopyTooOld);
+    assert_eq!(decide(presented("other"), 2_800), KeyDecision::Unknown);
+    assert_eq!(decide(presented("other"), 2_801), KeyDecision::CopyTooOld);
+    assert!(is_served(&decide(presented("k1"), 3_300)));
+    assert_eq!(decide(presented("k1"), 3_301), KeyDecision::CopyTooOld);
 }
 
 #[test]
 fn check_public_route_needs_no_key() {
     let accounts = table(vec![account("one", &["k1"])]);
     let decide = |key, age_ms| check(&accounts, true, key, age_ms, &TERMS);
-    assert!(is_served(&decide(shown("k1"), 0)));
-    assert_eq!(decide(shown("k1"), 4_000), KeyDecision::Serve(None));
-    assert_eq!(decide(shown("other"), 0), KeyDecision::Serve(None));
+    assert!(is_served(&decide(presented("k1"), 0)));
+    assert_eq!(decide(presented("k1"), 4_000), KeyDecision::Serve(None));
+    assert_eq!(decide(presented("other"), 0), KeyDecision::Serve(None));
     assert_eq!(decide(PresentedKey::None, 0), KeyDecision::Serve(None));
 }
 
@@ -120,16 +120,16 @@
     /// When the box queried the store, and how long the answer took.
     reads: Vec<(Millis, Millis)>,
     /// How long after the revocation the store's watches still miss it.
-    blind_ms: Millis,
+    watch_delay_ms: Millis,
 }
 
 impl History {
     /// The box's copy at a time: whether it holds the key, and its age.
     fn copy_at(&self, now_ms: Millis) -> Option<(bool, Millis)> {
         let done = self.reads.iter().filter(|(at, took)| at + took <= now_ms);
-        let asked_ms = done.map(|(at, _)| *at).max()?;
-        let has_key = asked_ms < self.withdrawn_ms + self.blind_ms;
-        Some((has_key, now_ms - asked_ms))
+        let queried_ms = done.map(|(at, _)| *at).max()?;
+        let has_key = queried_ms < self.withdrawn_ms + self.watch_delay_ms;
+        Some((has_key, now_ms - queried_ms))
     }
 }
 
@@ -139,15 +139,15 @@
 /// The test fails without the bound on the copy's age, and without the allowance for watches that
 /// miss changes.
 #[test]
-fn check_never_serves_a_key_gone_for_longer_than_allowed() {
-    fn property(withdrawn: u16, blind: u8, reads: Reads, requests: Vec<u16>) -> bool {
+fn check_never_serves_a_key_revoked_for_longer_than_allowed() {
+    fn property(withdrawn: u16, watch_delay: u8, reads: Reads, requests: Vec<u16>) -> bool {
         let history = History {
             withdrawn_ms: Millis::from(withdrawn) / 4,
             reads: reads
                 .iter()
                 .map(|(at, took)| (Millis::from(*at) / 2, Millis::from(*took) / 8))
                 .collect(),
-            blind_ms: Millis::from(blind) * 1_500 / 255,
+            watch_delay_ms: Millis::from(watch_delay) * 1_500 / 255,
         };
         let with_key = table(vec![account("one", &["k1"])]);
         let without = table(vec![account("one", &["k2"])]);
@@ -157,7 +157,7 @@
                 return true;
             };
             let accounts = if has_key { &with_key } else { &without };
-            let decision = check(accounts, false, shown("k1"), age_ms, &TERMS);
+            let decision = check(accounts, false, presented("k1"), age_ms, &TERMS);
             let is_late = sent_ms > history.withdrawn_ms + TERMS.withdrawn_within_ms;
             !(is_late && is_served(&decision))
         })
@@ -181,15 +181,21 @@
         let without = table(vec![account("one", &["k2"])]);
         requests.iter().map(|at| Millis::from(*at)).all(|sent_ms| {
             let done = reads.iter().filter(|(at, took)| at + took <= sent_ms);
-            let Some(asked_ms) = done.map(|(at, _)| *at).max() else {
+            let Some(queried_ms) = done.map(|(at, _)| *at).max() else {
                 return true;
             };
-            let accounts = if asked_ms >= added_ms {
+            let accounts = if queried_ms >= added_ms {
                 &with_key
             } else {
                 &without
             };
-            let decision = check(accounts, false, shown("k1"), sent_ms - asked_ms, &TERMS);
+            let decision = check(
+                accounts,
+                false,
+                presented("k1"),
+                sent_ms - queried_ms,
+                &TERMS,
+            );
             let is_long_ago = sent_ms > added_ms + TERMS.added_within_ms;
             !(is_long_ago && decision == KeyDecision::Unknown)
         })
