--- a/crates/tinbay-core/tests/serving_server_limit_test.rs
+++ b/crates/tinbay-core/tests/serving_server_limit_test.rs
@@ -107,11 +107,11 @@
     cut: (Millis, Millis, usize),
     /// When the home of the limit is killed, and when another box takes its place.
     kill_ms: Millis,
-    replaced_ms: Millis,
+    new_home_ms: Millis,
 }
 
 impl Plan {
-    fn draw(random: &mut SmallRng) -> Self {
+    fn random(random: &mut SmallRng) -> Self {
         let mut limits = BTreeMap::new();
         limits.insert(0, None);
         let mut at_ms = FIRST_MS;
@@ -131,7 +131,7 @@
                 random.random_range(0..=BOXES),
             ),
             kill_ms,
-            replaced_ms: kill_ms + random.random_range(0..3_000),
+            new_home_ms: kill_ms + random.random_range(0..3_000),
         }
     }
 
@@ -163,7 +163,7 @@
     fn new(seed: u64) -> Self {
         let mut random = SmallRng::seed_from_u64(seed);
         Self {
-            plan: Plan::draw(&mut random),
+            plan: Plan::random(&mut random),
             random,
             announced: vec![AnnouncedLimit::default(); BOXES],
             shares: vec![LimitShare::new(0); BOXES],
@@ -201,7 +201,7 @@
         if now_ms < self.plan.kill_ms {
             return Some((BOXES - 1, reached));
         }
-        (now_ms >= self.plan.replaced_ms).then_some((BOXES - 2, reached))
+        (now_ms >= self.plan.new_home_ms).then_some((BOXES - 2, reached))
     }
 
     /// Terms under which a box enforces the limit that it knows.
@@ -228,10 +228,10 @@
             };
             return self.shares[at].take_share(terms, 1.0, now_ms).is_ok();
         };
-        self.ask(at, home, reached, now_ms)
+        self.request_unit(at, home, reached, now_ms)
     }
 
-    fn ask(&mut self, at: usize, home: usize, reached: f64, now_ms: Millis) -> bool {
+    fn request_unit(&mut self, at: usize, home: usize, reached: f64, now_ms: Millis) -> bool {
         let ahead = self.shares[at].ahead(now_ms);
         // The home combines what its own box learned with what it receives with requests.
         let mut known = self.announced[home];
@@ -247,7 +247,7 @@
             return self.announced[at].per_s().is_none();
         };
         let terms = self.terms(home, per_s, now_ms);
-        let (_, dealer) = self
+        let (_, limit_home) = self
             .homes
             .entry(home)
             .or_insert_with(|| (known, LimitHome::in_debt(terms.first_debt, now_ms)));
@@ -257,7 +257,7 @@
             boxes: BOXES,
         };
         let request = UnitRequest { needed: 1.0, ahead };
-        let grant = dealer.deal(deal, request, now_ms);
+        let grant = limit_home.deal(deal, request, now_ms);
         known
             .notice()
             .into_iter()
@@ -361,7 +361,7 @@
         limits.copied().fold(0.0, f64::max)
     }
 
-    fn play(&mut self) {
+    fn simulate(&mut self) {
         for now_ms in 0..END_MS {
             self.take_answers(now_ms);
             self.receive_forwarded(now_ms);
@@ -437,7 +437,7 @@
 fn server_gets_no_more_than_it_names_whatever_happens_to_boxes() {
     fn property(seed: u64) -> bool {
         let mut fleet = Fleet::new(seed);
-        fleet.play();
+        fleet.simulate();
         let first_excess = fleet.first_excess();
         if let Some((end_ms, arrived, allowed)) = first_excess {
             println!(
