--- a/crates/tinbay-core/src/memory/ledger.rs
+++ b/crates/tinbay-core/src/memory/ledger.rs
@@ -24,10 +24,10 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum MemoryShort {
     /// The box has reached its memory bound.
-    #[error("request refused: the memory bound of the box is reached")]
+    #[error("the box holds as much as it may")]
     Box,
     /// The request's client account has reached its share of the memory.
-    #[error("request refused: the memory share of the client account is reached")]
+    #[error("the account holds as much as it may")]
     Account,
 }
 
--- a/crates/tinbay-core/tests/serving_server_limit_test.rs
+++ b/crates/tinbay-core/tests/serving_server_limit_test.rs
@@ -443,7 +443,7 @@
             println!(
                 "seed {seed}: {arrived} requests in the window to {end_ms} ms, {allowed:.1} allowed; \
                  limits {:?}, partition {:?}, home killed at {} ms and replaced at {} ms",
-                fleet.plan.limits, fleet.plan.cut, fleet.plan.kill_ms, fleet.plan.replaced_ms
+                fleet.plan.limits, fleet.plan.cut, fleet.plan.kill_ms, fleet.plan.new_home_ms
             );
         }
         first_excess.is_none()
--- a/crates/tinbay-node/src/filters/failure.rs
+++ b/crates/tinbay-node/src/filters/failure.rs
@@ -17,10 +17,10 @@
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 pub enum Failure {
     /// The body is incomplete or cannot be parsed.
-    #[error("the request body is invalid: {0}")]
+    #[error("body: {0}")]
     MalformedBody(String),
     /// A header or query parameter cannot be parsed.
-    #[error("{name} is invalid: {reason}")]
+    #[error("{name} is not understood: {reason}")]
     BadParameter {
         /// Name of the header or parameter.
         name: &'static str,
@@ -28,19 +28,19 @@
         reason: String,
     },
     /// The body exceeds the configured limit.
-    #[error("the request body exceeds {limit_bytes} bytes")]
+    #[error("body is over {limit_bytes} bytes")]
     BodyTooLarge {
         /// The limit that was exceeded.
         limit_bytes: usize,
     },
     /// The request key cannot be parsed.
-    #[error("the request key is malformed; use one that locate has issued")]
+    #[error("the request key is not one that locate gave")]
     BadKey,
     /// The path does not exist.
-    #[error("this path does not exist")]
+    #[error("nothing is at this path")]
     NotFound,
     /// The path exists but does not support the method.
-    #[error("this path does not support the method")]
+    #[error("the path does not take this method")]
     MethodNotAllowed,
     /// The admin token is missing or wrong.
     #[error("the administration token is missing or wrong")]
@@ -61,16 +61,16 @@
     #[error("{0} does not exist")]
     UnknownObject(ConfigKey),
     /// No engine of the region serves the adapter's base model.
-    #[error("no engine of this region serves base model {0}")]
+    #[error("no engine of base model {0} can be used")]
     NoEngine(String),
     /// The queue is too long for the request to start before its deadline.
-    #[error("the queue is too long for the request to start before its deadline")]
+    #[error("the queue is too long to start in time")]
     Overloaded {
         /// Delay after which a retry may succeed.
         retry_after_ms: Millis,
     },
     /// The request was still queued at its deadline.
-    #[error("the request was still queued at its deadline")]
+    #[error("it could not start in time")]
     DeadlinePassed {
         /// Delay after which a retry may succeed.
         retry_after_ms: Millis,
@@ -82,34 +82,34 @@
         retry_after_ms: Millis,
     },
     /// The box is leaving the fleet and accepts no new work.
-    #[error("this box is leaving the fleet; ask locate for another one")]
+    #[error("this box is leaving; ask locate for another")]
     Leaving,
     /// The engine is leaving the fleet and accepts no new requests.
-    #[error("the engine is leaving the fleet")]
+    #[error("the engine is leaving")]
     EngineLeaves,
     /// No owner of the engine could be reached.
-    #[error("no owner of the engine could be reached")]
+    #[error("the engine has no owner that answers")]
     NotOwner {
         /// Time until the next owner is expected.
         retry_after_ms: Millis,
     },
     /// The box does not have the required configuration yet.
-    #[error("this box does not have the required configuration yet")]
+    #[error("this box is catching up with the configuration")]
     StaleConfiguration,
     /// The request key has been used already.
     #[error("the request with this key is running or was answered")]
     AlreadyUsed,
     /// The request may have run.
-    #[error("the outcome is unknown: the request may have run")]
+    #[error("whether the request ran is not known")]
     OutcomeUnknown,
     /// The engine no longer has the rest of the answer.
-    #[error("the engine no longer has the rest of the answer")]
+    #[error("the rest of the answer is not there any more")]
     CannotResume,
     /// The engine's answer is for another request or model, or has a gap.
-    #[error("the answer does not match the request: {0}")]
+    #[error("wrong answer: {0}")]
     WrongAnswer(#[from] AssembleError),
     /// The engine or service failed.
-    #[error("the engine or service failed")]
+    #[error("the back end failed")]
     BackendFailed {
         /// Whether it is certain that nothing ran.
         not_run: bool,
@@ -135,7 +135,7 @@
     #[error("the key-value service cannot be reached; nothing was changed")]
     PlatformUnavailable,
     /// The change may or may not have been made.
-    #[error("change {0} may or may not have been made; look it up in the audit trail")]
+    #[error("whether change {0} was made is not known yet; ask the audit trail for it")]
     ChangeUnknown(String),
 }
 
@@ -236,7 +236,7 @@
     fn from(error: BodyError) -> Self {
         match error {
             BodyError::TooLarge { limit_bytes } => Failure::BodyTooLarge { limit_bytes },
-            BodyError::Broken => Failure::MalformedBody("it ended early".to_owned()),
+            BodyError::Broken => Failure::MalformedBody("it broke off".to_owned()),
             BodyError::Json(error) => Failure::MalformedBody(error.to_string()),
         }
     }
