--- a/crates/tinbay-core/src/config/check.rs
+++ b/crates/tinbay-core/src/config/check.rs
@@ -38,7 +38,8 @@
         /// Description of the allowed values.
         allowed: &'static str,
     },
-    /// The weights of an existing version can't change, as callers rely on a version being immutable.
+    /// The weights of an existing version can't change, as callers rely on a version being
+    /// immutable.
     #[error("{0} exists with other weights; make a new version instead")]
     VersionChanged(ConfigKey),
     /// A policy program does not compile, or fails on the samples.
--- a/crates/tinbay-core/src/crashes/digest.rs
+++ b/crates/tinbay-core/src/crashes/digest.rs
@@ -64,7 +64,8 @@
     }
 }
 
-/// Hashes a part with its name and length, so that different parts can't give the same byte sequence.
+/// Hashes a part with its name and length, so that different parts can't give the same byte
+/// sequence.
 fn add(hasher: &mut Sha256, name: &[u8], part: &[u8]) {
     hasher.update(name);
     hasher.update((part.len() as u64).to_le_bytes());
--- a/crates/tinbay-core/src/crashes/ledger.rs
+++ b/crates/tinbay-core/src/crashes/ledger.rs
@@ -36,8 +36,8 @@
 }
 
 impl CrashLedger {
-    /// Records that a server crashed while it ran a request. Returns the request's number of crashes,
-    /// up to [`CRASHES_TO_REFUSE`].
+    /// Records that a server crashed while it ran a request. Returns the request's number of
+    /// crashes, up to [`CRASHES_TO_REFUSE`].
     pub fn note(&mut self, digest: RequestDigest, crash: CrashKey, now_ms: Millis) -> usize {
         if !self.suspects.contains_key(&digest) {
             self.drop_oldest();
--- a/crates/tinbay-core/src/crashes/proven.rs
+++ b/crates/tinbay-core/src/crashes/proven.rs
@@ -4,8 +4,8 @@
 
 use super::digest::RequestDigest;
 
-/// Upper bound of the requests remembered; the oldest are dropped. A box of 2,200 that share 120,000
-/// requests per second covers more than two minutes, in a third of a megabyte.
+/// Upper bound of the requests remembered; the oldest are dropped. A box of 2,200 that share
+/// 120,000 requests per second covers more than two minutes, in a third of a megabyte.
 const MAX_PROVEN: usize = 8_192;
 
 /// Requests that succeeded recently. Such a request is not suspected, even if it was running in
--- a/crates/tinbay-core/src/engine/owner.rs
+++ b/crates/tinbay-core/src/engine/owner.rs
@@ -63,7 +63,8 @@
 }
 
 impl EngineOwner {
-    /// Creates an owner that dispatches nothing until [`Event::Learnt`] reports the engine's contents.
+    /// Creates an owner that dispatches nothing until [`Event::Learnt`] reports the engine's
+    /// contents.
     pub fn new(shape: EngineShape, settings: OwnerSettings) -> Self {
         Self {
             shape,
--- a/crates/tinbay-core/src/engine/placement.rs
+++ b/crates/tinbay-core/src/engine/placement.rs
@@ -265,7 +265,8 @@
     }
 
     /// Whether an idle model may be evicted for a load of `rank`: always if no request waits for
-    /// it, otherwise only if the load may preempt and no waiting request is urgent or ranked better.
+    /// it, otherwise only if the load may preempt and no waiting request is urgent or ranked
+    /// better.
     fn may_evict(&self, model: &ModelRef, rank: u8, may_preempt: bool) -> bool {
         match self.queue.head_rank(model) {
             None => true,
--- a/crates/tinbay-core/src/engine/settings.rs
+++ b/crates/tinbay-core/src/engine/settings.rs
@@ -8,7 +8,8 @@
 pub struct OwnerSettings {
     /// How long batch work waits before it may take a slot from other batch work.
     pub min_wait_before_swap_ms: Millis,
-    /// Share of the slots, from 0 to 1, that batch work may hold while urgent work needs the others.
+    /// Share of the slots, from 0 to 1, that batch work may hold while urgent work needs the
+    /// others.
     pub batch_slot_share: f64,
     /// Number of places in the engine's batch that only urgent work may take. A batch with a single
     /// place has no reserve.
--- a/crates/tinbay-core/src/engine/slots.rs
+++ b/crates/tinbay-core/src/engine/slots.rs
@@ -57,7 +57,8 @@
         }
     }
 
-    /// Weighted, decayed count of the requests for the model, by which slots are ranked for eviction.
+    /// Weighted, decayed count of the requests for the model, by which slots are ranked for
+    /// eviction.
     pub fn demand_at(&self, now_ms: Millis) -> f64 {
         self.urgent_demand.at(now_ms) + BATCH_DEMAND_WEIGHT * self.batch_demand.at(now_ms)
     }
--- a/crates/tinbay-core/src/keys.rs
+++ b/crates/tinbay-core/src/keys.rs
@@ -80,7 +80,8 @@
     Used,
     /// An earlier attempt ended without having run: the claimant may run the request.
     Regranted,
-    /// The key is of another box or incarnation, expired, or from the future: no statement possible.
+    /// The key is of another box or incarnation, expired, or from the future: no statement
+    /// possible.
     Unknown,
 }
 
--- a/crates/tinbay-core/src/limits/retry_times.rs
+++ b/crates/tinbay-core/src/limits/retry_times.rs
@@ -10,8 +10,8 @@
 }
 
 impl RetryTimes {
-    /// Time until the next retry: not before `first_ms`, and `gap_ms` after the previous one, but at
-    /// most `max_retry_ms`.
+    /// Time until the next retry: not before `first_ms`, and `gap_ms` after the previous one, but
+    /// at most `max_retry_ms`.
     pub fn next_ms(
         &mut self,
         first_ms: Millis,
--- a/crates/tinbay-core/src/limits/share.rs
+++ b/crates/tinbay-core/src/limits/share.rs
@@ -69,8 +69,8 @@
     }
 
     /// Records that the home refused units for a request. For a while the box then does not use its
-    /// share either, even if the home stops answering: the home may still be granting to other boxes,
-    /// and grants and shares together exceed the limit.
+    /// share either, even if the home stops answering: the home may still be granting to other
+    /// boxes, and grants and shares together exceed the limit.
     pub fn note_denied(&mut self, now_ms: Millis) {
         self.at_limit_until_ms = now_ms + AT_LIMIT_MS;
     }
@@ -126,8 +126,8 @@
         self.granted = self.unexpired_grant(now_ms) + units;
     }
 
-    /// Units to request ahead: the expected use in [`PREFETCH_MS`] less the units at hand, or 0 while
-    /// these cover half of it.
+    /// Units to request ahead: the expected use in [`PREFETCH_MS`] less the units at hand, or 0
+    /// while these cover half of it.
     pub fn ahead(&self, now_ms: Millis) -> f64 {
         let expected = self.average_use_per_ms(now_ms) * PREFETCH_MS as f64;
         let granted = self.unexpired_grant(now_ms);
--- a/crates/tinbay-core/src/limits/terms.rs
+++ b/crates/tinbay-core/src/limits/terms.rs
@@ -77,8 +77,8 @@
     /// Terms for the limit of a server, in requests per second. The limit applies `binds_after_ms`
     /// after the server announced it, which was `known_for_ms` ago.
     ///
-    /// If `binds_after_ms` is shorter than the window, the first windows include requests from before
-    /// the announcement, which count as well.
+    /// If `binds_after_ms` is shorter than the window, the first windows include requests from
+    /// before the announcement, which count as well.
     pub fn of_server(per_s: f64, binds_after_ms: Millis, known_for_ms: Millis) -> Self {
         let window_before_ms = SERVER_WINDOW_MS.saturating_sub(binds_after_ms) as f64;
         let withheld_ms = (window_before_ms * PRIOR_RATE_RATIO).min(binds_after_ms as f64);
--- a/crates/tinbay-core/src/loads.rs
+++ b/crates/tinbay-core/src/loads.rs
@@ -69,7 +69,8 @@
         self.allowance = allowance;
     }
 
-    /// Queues a request. Of several requests for the same target, the one with the better rank counts.
+    /// Queues a request. Of several requests for the same target, the one with the better rank
+    /// counts.
     pub fn ask(&mut self, request: LoadRequest) {
         let target = (request.engine.clone(), request.model.clone());
         if self.running.contains_key(&target) {
--- a/crates/tinbay-core/src/memory/reader.rs
+++ b/crates/tinbay-core/src/memory/reader.rs
@@ -12,8 +12,8 @@
 /// buffer space in steps of some ten kilobytes.
 pub const LATE_UNREAD_LIMIT_MS: Millis = 1_000;
 
-/// Maximum time past the deadline for which a complete answer is kept for a caller that still reads:
-/// enough for the data buffered ahead at 30 kB/s.
+/// Maximum time past the deadline for which a complete answer is kept for a caller that still
+/// reads: enough for the data buffered ahead at 30 kB/s.
 pub const MAX_LATE_MS: Millis = 10_000;
 
 /// Why an answer is aborted.
@@ -40,8 +40,9 @@
 
 /// How long a caller may leave its answer unread.
 ///
-/// For a stream, it is the time for which callers themselves wait on a silent stream. A plain answer
-/// is used as a whole, so that its caller may start to read at any time within the route's timeout.
+/// For a stream, it is the time for which callers themselves wait on a silent stream. A plain
+/// answer is used as a whole, so that its caller may start to read at any time within the route's
+/// timeout.
 pub fn unread_limit_ms(route: &Route) -> Millis {
     route.first_piece_timeout_ms().unwrap_or(route.timeout_ms)
 }
@@ -116,9 +117,9 @@
 
     /// Whether to abort an answer that is buffered ahead of its caller, and why.
     ///
-    /// An incomplete answer occupies a slot of the server, so that it is aborted if its caller reads
-    /// nothing, or too slowly to finish by the deadline. A complete one occupies none and is kept
-    /// until the deadline, and past it while the caller keeps reading.
+    /// An incomplete answer occupies a slot of the server, so that it is aborted if its caller
+    /// reads nothing, or too slowly to finish by the deadline. A complete one occupies none and is
+    /// kept until the deadline, and past it while the caller keeps reading.
     pub fn judge(&self, terms: &ReaderTerms, is_whole: bool, now_ms: Millis) -> Option<CutCause> {
         let unread_ms = self.unread_ms(now_ms);
         if !is_whole && unread_ms >= terms.unread_limit_ms {
--- a/crates/tinbay-core/src/route.rs
+++ b/crates/tinbay-core/src/route.rs
@@ -18,7 +18,8 @@
 /// engine pays off.
 const URGENT_SPREAD_WAIT_MS: Millis = 1_500;
 
-/// The same for batch requests: they can wait, and a further copy takes a slot from another adapter.
+/// The same for batch requests: they can wait, and a further copy takes a slot from another
+/// adapter.
 const BATCH_SPREAD_WAIT_MS: Millis = 20_000;
 
 /// Caches, for each model, the ranking of the engines with its base model.
--- a/crates/tinbay-core/src/sharing/admission.rs
+++ b/crates/tinbay-core/src/sharing/admission.rs
@@ -297,9 +297,10 @@
             || !self.is_above_share(&waiting.entry, terms)
     }
 
-    /// Whether one more request may be sent to the server: up to its slots and one, or, for accounts
-    /// within their fair share, up to the slots and [`QUEUED_AT_SERVER_FRACTION`]. So the server's
-    /// own queue seldom holds a request of an account above its share in front of one of the others.
+    /// Whether one more request may be sent to the server: up to its slots and one, or, for
+    /// accounts within their fair share, up to the slots and [`QUEUED_AT_SERVER_FRACTION`]. So the
+    /// server's own queue seldom holds a request of an account above its share in front of one of
+    /// the others.
     fn has_slot(&self, entry: &QueueEntry, ahead: &WorkAhead, terms: &PassTerms<'_>) -> bool {
         let queue_limit = (terms.slots as f64 * QUEUED_AT_SERVER_FRACTION).ceil() as usize;
         let fits_slots = ahead.requests <= terms.slots;
@@ -327,9 +328,9 @@
         }
     }
 
-    /// Rejects a request with a retry time. Retry times of an account are spaced so that they take up
-    /// [`RETRIES_FRACTION`] of the slots that it gets. A request that would have to wait longer than
-    /// [`MAX_RETRY_MS`] is not remembered and comes back as a new one.
+    /// Rejects a request with a retry time. Retry times of an account are spaced so that they take
+    /// up [`RETRIES_FRACTION`] of the slots that it gets. A request that would have to wait longer
+    /// than [`MAX_RETRY_MS`] is not remembered and comes back as a new one.
     fn reject(
         &mut self,
         waiting: &Waiting,
--- a/crates/tinbay-core/src/sharing/returns.rs
+++ b/crates/tinbay-core/src/sharing/returns.rs
@@ -21,7 +21,8 @@
 }
 
 impl ScheduledRetries {
-    /// Remembers the retry time of a rejected request, unless [`MAX_REMEMBERED`] others are pending.
+    /// Remembers the retry time of a rejected request, unless [`MAX_REMEMBERED`] others are
+    /// pending.
     pub fn schedule(&mut self, digest: u64, retry_at_ms: Millis, now_ms: Millis) {
         if self.retry_times.len() >= MAX_REMEMBERED {
             self.retry_times
--- a/crates/tinbay-core/src/vacancy.rs
+++ b/crates/tinbay-core/src/vacancy.rs
@@ -20,7 +20,8 @@
 pub enum OwnerLoss {
     /// The owner can't be reached and has not been declared dead yet.
     Unreachable,
-    /// The designated owner answers and does not own the engine yet, or there is no designated owner.
+    /// The designated owner answers and does not own the engine yet, or there is no designated
+    /// owner.
     TakingOver,
 }
 
@@ -66,8 +67,8 @@
 impl Vacancies {
     /// Records that an engine has no owner, where `owner` is the run that was expected to own it.
     ///
-    /// The first observation determines the expected wait. A loss of another run, or one observed in
-    /// another way, is a new vacancy.
+    /// The first observation determines the expected wait. A loss of another run, or one observed
+    /// in another way, is a new vacancy.
     pub fn note_lost(
         &mut self,
         engine: &EngineId,
--- a/crates/tinbay-core/src/view.rs
+++ b/crates/tinbay-core/src/view.rs
@@ -18,8 +18,8 @@
 /// Time between heartbeats in a small zone.
 pub const HEARTBEAT_MS: Millis = 500;
 
-/// Number of boxes in a zone up to which heartbeats are sent every [`HEARTBEAT_MS`]. A heartbeat and
-/// its answer take about 108 bytes, so that a keeper handles about 7 KB/s.
+/// Number of boxes in a zone up to which heartbeats are sent every [`HEARTBEAT_MS`]. A heartbeat
+/// and its answer take about 108 bytes, so that a keeper handles about 7 KB/s.
 const BOXES_AT_FULL_RATE: usize = 36;
 
 /// Missed heartbeats after which a box is declared dead.
@@ -124,7 +124,8 @@
         true
     }
 
-    /// Marks a box as leaving, as announced by the platform. Returns whether that changed its state.
+    /// Marks a box as leaving, as announced by the platform. Returns whether that changed its
+    /// state.
     pub fn mark_leaving(&mut self, id: &BoxId) -> bool {
         let Some(record) = self.boxes.get_mut(id) else {
             return false;
@@ -163,12 +164,12 @@
             .is_some_and(|record| record.incarnation == run.incarnation)
     }
 
-    /// Whether this box, which has joined the others if `has_joined`, still has to exchange views with
-    /// box `id`.
+    /// Whether this box, which has joined the others if `has_joined`, still has to exchange views
+    /// with box `id`.
     ///
-    /// Before it has joined, a box may know others by their heartbeats only: they are in its view, but
-    /// it has not received theirs. Starting boxes send each other no heartbeats, so that neither
-    /// would learn that the other one has become live.
+    /// Before it has joined, a box may know others by their heartbeats only: they are in its view,
+    /// but it has not received theirs. Starting boxes send each other no heartbeats, so that
+    /// neither would learn that the other one has become live.
     pub fn is_unmet(&self, id: &BoxId, has_joined: bool) -> bool {
         let known = self.get(id);
         !has_joined || known.is_none_or(|record| record.state == BoxState::Starting)
@@ -214,8 +215,8 @@
             .collect()
     }
 
-    /// The keepers of a zone. Views may differ for a while, which is harmless, as it only leads to an
-    /// additional keeper. If all boxes of a zone are leaving, they stay eligible.
+    /// The keepers of a zone. Views may differ for a while, which is harmless, as it only leads to
+    /// an additional keeper. If all boxes of a zone are leaving, they stay eligible.
     pub fn keepers(&self, zone: &ZoneId) -> Vec<&BoxRecord> {
         let members: Vec<&BoxRecord> = self.boxes.values().filter(|b| b.zone == *zone).collect();
         let any_live = members.iter().any(|b| b.state == BoxState::Live);
--- a/crates/tinbay-core/tests/accounts_key_test.rs
+++ b/crates/tinbay-core/tests/accounts_key_test.rs
@@ -112,8 +112,8 @@
 /// When a box queried the store and how long the answers took, in raw units.
 type Reads = Vec<(u16, u16)>;
 
-/// The revocation of a key, observed by one box through slow reads and watches that miss changes for
-/// a while.
+/// The revocation of a key, observed by one box through slow reads and watches that miss changes
+/// for a while.
 struct History {
     /// When the key is revoked.
     withdrawn_ms: Millis,
--- a/crates/tinbay-core/tests/assemble_test.rs
+++ b/crates/tinbay-core/tests/assemble_test.rs
@@ -71,7 +71,8 @@
 
 #[test]
 fn take_any_arrival_passes_each_position_once_in_order() {
-    // For late, repeated and abandoned chunks in any order, the positions passed on are 0, 1, 2, ...
+    // For late, repeated and abandoned chunks in any order, the positions passed on are 0, 1, 2,
+    // ...
     fn holds(arrivals: Vec<(u8, u8)>) -> bool {
         let mut assembler = assembler();
         let mut passed = Vec::new();
--- a/crates/tinbay-core/tests/crashes_test.rs
+++ b/crates/tinbay-core/tests/crashes_test.rs
@@ -114,8 +114,8 @@
     assert!(quarantine.holds(digest(2_999), 3_000));
 }
 
-/// Boxes that restart at random pass a quarantine on to each other: it still ends within its lifetime
-/// counted from the first box.
+/// Boxes that restart at random pass a quarantine on to each other: it still ends within its
+/// lifetime counted from the first box.
 #[test]
 fn quarantine_passed_on_ends_within_its_lifetime() {
     fn ends(steps: Vec<(u8, u16)>) -> TestResult {
@@ -146,8 +146,8 @@
         .quickcheck(ends as fn(Vec<(u8, u16)>) -> TestResult);
 }
 
-/// For any sequence of reports, with duplicates, a request is refused exactly when it was running in
-/// enough distinct crashes.
+/// For any sequence of reports, with duplicates, a request is refused exactly when it was running
+/// in enough distinct crashes.
 #[test]
 fn ledger_refuses_by_different_crashes_alone() {
     fn refuses(reports: Vec<(u8, u8)>) -> bool {
--- a/crates/tinbay-core/tests/limits_test.rs
+++ b/crates/tinbay-core/tests/limits_test.rs
@@ -120,8 +120,8 @@
     }
 }
 
-/// Six times the limit at 74 boxes for 20 s: the admitted units stay within the limit and use nearly
-/// all of it.
+/// Six times the limit at 74 boxes for 20 s: the admitted units stay within the limit and use
+/// nearly all of it.
 #[test]
 fn deal_one_account_asks_six_times_its_limit() {
     let mut fleet = Fleet::new(74);
--- a/crates/tinbay-core/tests/sharing_test.rs
+++ b/crates/tinbay-core/tests/sharing_test.rs
@@ -278,8 +278,8 @@
     in_time.count() as f64 / outcomes.len().max(1) as f64
 }
 
-/// Plays a load after some usual work, for each seed. Returns the mean fraction of the other accounts'
-/// requests that started in time.
+/// Plays a load after some usual work, for each seed. Returns the mean fraction of the other
+/// accounts' requests that started in time.
 fn others_in_time(is_shared: bool, surging: &[Fingerprint], load: impl Fn(&mut Simulation)) -> f64 {
     let others: Vec<Fingerprint> = (1..=10).filter(|one| !surging.contains(one)).collect();
     let fractions = SEEDS.iter().map(|seed| {
@@ -645,8 +645,8 @@
     }
 }
 
-/// A box freezes after its requests were admitted: unless their start is reported, they stop counting
-/// after a while.
+/// A box freezes after its requests were admitted: unless their start is reported, they stop
+/// counting after a while.
 #[test]
 fn slots_of_a_frozen_box_are_released() {
     let mut admission = AdmissionQueue::default();
@@ -802,7 +802,8 @@
     assert_eq!(later.iter().filter(is_admitted).count(), 1);
 }
 
-/// While slots are free, nothing is rejected, even if the estimated prefill backlog is far too high.
+/// While slots are free, nothing is rejected, even if the estimated prefill backlog is far too
+/// high.
 #[test]
 fn large_prefill_backlog_rejects_nothing_while_slots_are_free() {
     let mut admission = AdmissionQueue::default();
--- a/crates/tinbay-gateway/src/directory.rs
+++ b/crates/tinbay-gateway/src/directory.rs
@@ -24,7 +24,8 @@
 /// Maximum number of addresses in a directory answer.
 const MAX_ADDRESSES: usize = 64;
 
-/// Longest time for which callers may cache a directory answer; boxes start and stop within seconds.
+/// Longest time for which callers may cache a directory answer; boxes start and stop within
+/// seconds.
 const MAX_VALID_MS: Millis = 2_000;
 
 /// If at least this many boxes of the caller's zone are up, boxes of other zones are left out.
--- a/crates/tinbay-gateway/src/http/pool.rs
+++ b/crates/tinbay-gateway/src/http/pool.rs
@@ -140,8 +140,8 @@
         self.connect().await
     }
 
-    /// Whether even the most recently used connection has been idle for more than `MIN_IDLE_LIMIT_MS`, so
-    /// that its server may have closed it.
+    /// Whether even the most recently used connection has been idle for more than
+    /// `MIN_IDLE_LIMIT_MS`, so that its server may have closed it.
     fn may_all_be_stale(&self) -> bool {
         let now_ms = self.clock.now_ms();
         let idle = self.idle.borrow();
--- a/crates/tinbay-gateway/src/members.rs
+++ b/crates/tinbay-gateway/src/members.rs
@@ -1,9 +1,9 @@
 //! Known boxes and their liveness.
 //!
 //! A box of the own availability zone counts as silent if no box of the zone has received a message
-//! from it for a while. From each other zone, only its relays send messages, the few boxes that read
-//! the store for it: a box there counts as silent if the relays report it so, and otherwise as up
-//! while its entry is in the store.
+//! from it for a while. From each other zone, only its relays send messages, the few boxes that
+//! read the store for it: a box there counts as silent if the relays report it so, and otherwise as
+//! up while its entry is in the store.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -136,8 +136,8 @@
 
     /// Whether this box may hold a role that only one box may hold, such as the home of a limit: no
     /// other box can have taken it for failed meanwhile. A box that has just started may do so at
-    /// once. If it first had to be in contact for `SILENT_AFTER_MS`, no box could hold such a role for
-    /// that long after a restart of the whole fleet, and many requests would be refused.
+    /// once. If it first had to be in contact for `SILENT_AFTER_MS`, no box could hold such a role
+    /// for that long after a restart of the whole fleet, and many requests would be refused.
     pub fn may_hold_exclusive_role(&self, now_ms: Millis) -> bool {
         let is_in_first_contact = self.contact.is_some_and(|contact| {
             contact.is_first && now_ms < contact.last_ms + MAX_CONTACT_GAP_MS
@@ -145,8 +145,8 @@
         is_in_first_contact || self.can_detect_failures(now_ms)
     }
 
-    /// Whether this box has been in contact for long enough that the silence of another box is a fault
-    /// of that box, not of this one.
+    /// Whether this box has been in contact for long enough that the silence of another box is a
+    /// fault of that box, not of this one.
     fn can_detect_failures(&self, now_ms: Millis) -> bool {
         self.contact.is_some_and(|contact| {
             let is_in_contact = now_ms < contact.last_ms + MAX_CONTACT_GAP_MS;
@@ -160,8 +160,8 @@
         if !self.can_detect_failures(now_ms) {
             return Vec::new();
         }
-        // Leaves out this box, which is listed like any other: without another live box in the zone,
-        // none reports that it has heard this one, which would then report itself as silent.
+        // Leaves out this box, which is listed like any other: without another live box in the
+        // zone, none reports that it has heard this one, which would then report itself as silent.
         let others = self.others(own_id);
         let own_zone = others.filter(|(_, member)| member.record.zone == self.zone);
         let (mut listed, mut missing, mut silent) = (0, 0, Vec::new());
@@ -435,8 +435,8 @@
 
     /// Whether a report of its own zone that it is silent is still valid.
     ///
-    /// Without such reports, other zones would go on sending callers to a failed box until the lease
-    /// of its entry ends after 8 s.
+    /// Without such reports, other zones would go on sending callers to a failed box until the
+    /// lease of its entry ends after 8 s.
     fn has_silence_report(&self, now_ms: Millis) -> bool {
         self.silence_reported_ms
             .is_some_and(|report_ms| now_ms < report_ms + SILENCE_REPORT_LIFE_MS)
--- a/crates/tinbay-gateway/src/node.rs
+++ b/crates/tinbay-gateway/src/node.rs
@@ -340,8 +340,8 @@
         self.versions.borrow().get(adapter)?.newest()
     }
 
-    /// Time since this box learnt of the adapter's newest named version; `None` if it was named before
-    /// the box started.
+    /// Time since this box learnt of the adapter's newest named version; `None` if it was named
+    /// before the box started.
     pub fn named_age_ms(&self, adapter: &str) -> Option<Millis> {
         let learnt_ms = self.versions.borrow().get(adapter)?.learnt_ms()?;
         Some(self.now_ms().saturating_sub(learnt_ms))
@@ -525,8 +525,8 @@
         is_held || server.view.borrow().has_status_since(asked_ms)
     }
 
-    /// Whether a status request could yield news about the server's load: another live box holds the
-    /// claim and answers, and its last status is not fresh.
+    /// Whether a status request could yield news about the server's load: another live box holds
+    /// the claim and answers, and its last status is not fresh.
     pub fn should_request_status(&self, server: &Server) -> bool {
         let now_ms = self.now_ms();
         let view = server.view.borrow();
--- a/crates/tinbay-gateway/src/run.rs
+++ b/crates/tinbay-gateway/src/run.rs
@@ -46,8 +46,8 @@
     has_own_read_limiter: true,
 };
 
-/// Watch timing for servers: they rewrite their entries often, so the gap lets one call return several
-/// changes.
+/// Watch timing for servers: they rewrite their entries often, so the gap lets one call return
+/// several changes.
 const SERVER_PACE: WatchPace = WatchPace {
     wait_ms: 600,
     gap_ms: 600,
--- a/crates/tinbay-gateway/src/watch/access.rs
+++ b/crates/tinbay-gateway/src/watch/access.rs
@@ -187,9 +187,9 @@
     /// Commits a transaction and returns its position.
     ///
     /// # Errors
-    /// When the store does not answer or refuses; `EraChanged` if it was restored after the expected
-    /// positions were read: the transaction was either not sent, or its expected positions may have
-    /// matched other content.
+    /// When the store does not answer or refuses; `EraChanged` if it was restored after the
+    /// expected positions were read: the transaction was either not sent, or its expected positions
+    /// may have matched other content.
     pub async fn commit(&self, transaction: &Transaction) -> StoreResult<Position> {
         let eras = eras_of(transaction);
         if !eras.iter().all(|era| self.is_present(*era)) {
--- a/crates/tinbay-node/src/admin/changes.rs
+++ b/crates/tinbay-node/src/admin/changes.rs
@@ -99,8 +99,8 @@
             Ok(TxnEnd::Done(revision)) => {
                 let accepted = finish(node, change, revision);
                 if caught_up {
-                    // The guard on the head ensures that no change lies between it and this one, so this
-                    // box can pass the new revision on even if the service fails now.
+                    // The guard on the head ensures that no change lies between it and this one, so
+                    // this box can pass the new revision on even if the service fails now.
                     node.config.advance(revision);
                 }
                 return Ok(accepted);
--- a/crates/tinbay-node/src/admin/status.rs
+++ b/crates/tinbay-node/src/admin/status.rs
@@ -64,7 +64,8 @@
     }
 }
 
-/// Heartbeat status of a zone's boxes, from the first of its keepers that replies; empty if none does.
+/// Heartbeat status of a zone's boxes, from the first of its keepers that replies; empty if none
+/// does.
 async fn request_zone_status(node: &Arc<Node>, zone: &ZoneId) -> Vec<HeardBox> {
     let keepers: Vec<BoxRecord> = {
         let members = read(&node.members);
--- a/crates/tinbay-node/src/control/client.rs
+++ b/crates/tinbay-node/src/control/client.rs
@@ -76,7 +76,8 @@
     /// Sends a request to the box at a control address and waits for its reply.
     ///
     /// # Errors
-    /// Returns a [`ControlError`] if no reply arrives; the box may have received the request anyway.
+    /// Returns a [`ControlError`] if no reply arrives; the box may have received the request
+    /// anyway.
     pub async fn ask(
         &self,
         address: &str,
--- a/crates/tinbay-node/src/control/server.rs
+++ b/crates/tinbay-node/src/control/server.rs
@@ -94,7 +94,8 @@
     let mut message = ZmqMessage::from(body);
     message.push_front(number.into());
     message.push_front(peer.into());
-    // A failed send is ignored: a peer that has lost its connection repeats the request on a new one.
+    // A failed send is ignored: a peer that has lost its connection repeats the request on a new
+    // one.
     let _ = send.send(message).await;
     length
 }
--- a/crates/tinbay-node/src/node.rs
+++ b/crates/tinbay-node/src/node.rs
@@ -209,8 +209,8 @@
         }
     }
 
-    /// Waits until callers' locate answers with this box's address have expired and no request is in
-    /// progress, or until `stop-within-ms` has passed.
+    /// Waits until callers' locate answers with this box's address have expired and no request is
+    /// in progress, or until `stop-within-ms` has passed.
     fn await_requests(&self) {
         let options = &self.node.options;
         let began_ms = self.node.clock.now_ms();
--- a/crates/tinbay-node/src/platform/etcd.rs
+++ b/crates/tinbay-node/src/platform/etcd.rs
@@ -103,7 +103,8 @@
         let mut pairs = Vec::new();
         loop {
             let page = self.range(&request).await?;
-            // Later pages are read at the first page's revision, so the listing is a consistent snapshot.
+            // Later pages are read at the first page's revision, so the listing is a consistent
+            // snapshot.
             if request.revision.0 == 0 {
                 request.revision = page.header.revision;
             }
