--- a/crates/tinbay-gateway/src/front/deliver.rs
+++ b/crates/tinbay-gateway/src/front/deliver.rs
@@ -416,7 +416,7 @@
 
 /// Takes a retry from the service's budget, if it has one left.
 fn take_retry_budget(node: &Node, inbound: &InboundRequest) -> bool {
-    let terms = node.settings.borrow().bounds.second_attempts;
+    let terms = node.settings.borrow().bounds.second_sends;
     let boxes = node.box_count.get();
     let now_ms = node.now_ms();
     let mut budgets = node.budgets.borrow_mut();
@@ -424,7 +424,7 @@
     let is_taken = budget.take_retry(&terms, boxes, now_ms);
     let outcome = if is_taken { "sent" } else { "no_budget" };
     node.metrics
-        .second_attempts
+        .second_sends
         .with_label_values(&[outcome])
         .inc();
     is_taken
--- a/crates/tinbay-gateway/src/front/hedge.rs
+++ b/crates/tinbay-gateway/src/front/hedge.rs
@@ -281,7 +281,7 @@
 }
 
 fn take_hedge_budget(node: &Node, inbound: &InboundRequest) -> bool {
-    let terms = node.settings.borrow().bounds.second_attempts;
+    let terms = node.settings.borrow().bounds.second_sends;
     let mut budgets = node.budgets.borrow_mut();
     let budget = budgets.entry(inbound.service.clone()).or_default();
     budget.take_hedge(&terms, node.box_count.get(), node.now_ms())
--- a/crates/tinbay-gateway/src/metrics.rs
+++ b/crates/tinbay-gateway/src/metrics.rs
@@ -29,7 +29,7 @@
     /// Time until a request was sent, by kind: the wait for its adapter.
     pub stall_seconds: HistogramVec,
     /// Attempts after a request's first one, by outcome.
-    pub second_attempts: IntCounterVec,
+    pub second_sends: IntCounterVec,
     /// Requests sent to a second server as the first was late, by outcome.
     pub hedged_sends: IntCounterVec,
     /// Connections to servers: new ones, and outcomes of pooled ones.
@@ -108,7 +108,7 @@
             requests: counter("tinbay_requests_total", "Requests", &["kind", "outcome"])?,
             head_seconds: histogram("tinbay_head_seconds", "Time to the head", &["kind"])?,
             stall_seconds: histogram("tinbay_stall_seconds", "Time until sent", &["kind"])?,
-            second_attempts: counter("tinbay_second_sends_total", "Second sends", &["outcome"])?,
+            second_sends: counter("tinbay_second_sends_total", "Second sends", &["outcome"])?,
             hedged_sends: counter(
                 "tinbay_hedged_sends_total",
                 "Requests sent to a second server as the first was late",
--- a/crates/tinbay-gateway/src/settings.rs
+++ b/crates/tinbay-gateway/src/settings.rs
@@ -67,7 +67,7 @@
     /// the next holder.
     pub holder_gap_ms: Millis,
     /// Budget for second attempts.
-    pub second_attempts: BudgetTerms,
+    pub second_sends: BudgetTerms,
     /// Limit on adapter loads from the weight store.
     pub loads: LoadBound,
     /// Times within which added or removed API keys take effect.
